--- a/Makefile
+++ b/Makefile
@@ -63,30 +63,30 @@
 
 # Every order of a few events among three members of the tier, deeper than the tests go.
 explore: setup
-	$(BIN)/python -c 'from plumtrestle.tier.explore import explore; print(explore(4, 2, heal_every=3))'
+	$(BIN)/python -c 'from testbed.tier.explore import explore; print(explore(4, 2, heal_every=3))'
 
 # Many members on this machine, real and hollow ones, each size for itself; figures go to docs/capacity.
 SIZES ?= 50 100 200 400 750
 
 scale: setup
-	for size in $(SIZES); do $(BIN)/plumtrestle scale --members $$size --save $(SCALE) || test $$? = 3 || exit 1; done
+	for size in $(SIZES); do $(BIN)/sidecar-testbed scale --members $$size --save $(SCALE) || test $$? = 3 || exit 1; done
 
 # What membership costs and how quickly it finds out: tables, and the plot of docs/membership.md.
 membership: setup
-	$(BIN)/python -m plumtrestle.tier.measure
+	$(BIN)/python -m testbed.tier.measure
 
 # What membership costs a member by the tier's size, in peace and in each event: data of docs/CAPACITY.md.
 slopes: setup
-	$(BIN)/python -m plumtrestle.tier.slopes $(CASES)
+	$(BIN)/python -m testbed.tier.slopes $(CASES)
 
 # How soon all sidecars have an answer again after discovery was down, by their number: data of docs/CAPACITY.md.
 line: setup
-	$(BIN)/python -m plumtrestle.tier.line
+	$(BIN)/python -m testbed.tier.line
 
-# docs/CAPACITY.md and its plots, from the runs in docs/capacity/ and plumtrestle/capacity/rows.toml.
+# docs/CAPACITY.md and its plots, from the runs in docs/capacity/ and testbed/capacity/rows.toml.
 capacity: setup
-	$(BIN)/python -m plumtrestle.capacity
+	$(BIN)/python -m testbed.capacity
 
 # Until a configuration is in force everywhere, and what comparing versions costs: docs/capacity/rollout-*.json.
 rollout: setup
-	$(BIN)/python -m plumtrestle.tier.rollouts --save
+	$(BIN)/python -m testbed.tier.rollouts --save
--- a/magpiemux/__init__.py
+++ b/balancer/__init__.py
@@ -1,7 +1,7 @@
 """Magpiemux: the decisions of a sidecar balancer, by best-of-k with redraw."""
 
-from magpiemux.balancer import Balancer
-from magpiemux.interface import Settings
+from balancer.balancer import Balancer
+from balancer.interface import Settings
 
 __all__ = ["Balancer", "Settings"]
 __version__ = "0.1.0"
--- a/magpiemux/adapter.py
+++ b/balancer/adapter.py
@@ -1,6 +1,6 @@
 """Puts balancers on the simulator's wire: a map of names, and no decision.
 
-Run as `python -m magpiemux.adapter`.  Input that breaks the wire's grammar ends the process with one line on
+Run as `python -m balancer.adapter`.  Input that breaks the wire's grammar ends the process with one line on
 standard error and exit code 2.
 """
 
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, TextIO
 
-from magpiemux.balancer import Balancer
-from magpiemux.interface import (
+from balancer.balancer import Balancer
+from balancer.interface import (
     Action,
     AnswerStarted,
     AttemptEnded,
--- a/magpiemux/balancer.py
+++ b/balancer/balancer.py
@@ -1,6 +1,6 @@
 """All decisions of a sidecar balancer, by best-of-k with redraw.
 
-Types, events and actions: magpiemux/interface.py.  The reasons for each departure: docs/design.md.
+Types, events and actions: balancer/interface.py.  The reasons for each departure: docs/design.md.
 
 Per request: draw k random distinct ready servers and send to the one with the fewest of this balancer's own
 requests in flight; on a full answer draw again, wider.  Every attempt leaves through `_send` and every final
@@ -13,7 +13,7 @@
 import math
 import random
 
-from magpiemux.interface import (
+from balancer.interface import (
     Action,
     AnswerStarted,
     AttemptEnded,
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -158,7 +158,7 @@
 
 def parsing() -> dict[str, float]:
     """Microseconds a byte or a piece in the codec, for messages of growing size: it should not grow."""
-    from micadeck.http import RequestReader
+    from sidecar.http import RequestReader
 
     head = b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n"
     found: dict[str, float] = {}
--- a/bench/decide.py
+++ b/bench/decide.py
@@ -17,13 +17,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from bench.__main__ import SETTINGS
-from bench.listed import listed
-from bench.sidecars import how_built, restart_as_built
-from bench.spread import show, spread
-from magpiemux import Balancer
-from magpiemux.adapter import settings_from_wire
-from magpiemux.interface import (
+from balancer import Balancer
+from balancer.adapter import settings_from_wire
+from balancer.interface import (
     Action,
     AttemptEnded,
     Event,
@@ -38,10 +34,14 @@
     SetTimer,
     TimerFired,
 )
-from micadeck.catalog import Catalog, Listing, parse_listing
-from micadeck.clock import Clock
-from micadeck.upstream import Upstream
-from plumtrestle.capacity.samples import FOLDER, Sample, save
+from bench.__main__ import SETTINGS
+from bench.listed import listed
+from bench.sidecars import how_built, restart_as_built
+from bench.spread import show, spread
+from sidecar.catalog import Catalog, Listing, parse_listing
+from sidecar.clock import Clock
+from sidecar.upstream import Upstream
+from testbed.capacity.samples import FOLDER, Sample, save
 
 SIZES = (20, 100, 300, 750, 1_500)
 GAP_US = 3_413  # between two requests at 293 a second
--- a/bench/ground.py
+++ b/bench/ground.py
@@ -17,14 +17,14 @@
 
 from msgspec.structs import replace
 
-from plumtrestle import events as log
-from plumtrestle.emulator.play import Ground, play
-from plumtrestle.model.play import play as play_model
-from plumtrestle.report import plots
-from plumtrestle.rules import account, judge
-from plumtrestle.rules.history import gather
-from plumtrestle.world import Day, draw, read
-from plumtrestle.world.read import parse
+from testbed import events as log
+from testbed.emulator.play import Ground, play
+from testbed.model.play import play as play_model
+from testbed.report import plots
+from testbed.rules import account, judge
+from testbed.rules.history import gather
+from testbed.world import Day, draw, read
+from testbed.world.read import parse
 
 ROOT = Path(__file__).resolve().parent.parent
 PLOT = ROOT / "docs" / "model-growth.svg"
@@ -69,7 +69,7 @@
 def fleet(seed: int) -> subprocess.Popen[bytes]:
     """A process that plays `fleet`, by the compiled module where there is one."""
     path = os.pathsep.join((str(ROOT / "build" / "native"), str(ROOT)))
-    command = [sys.executable, "-P", "-m", "plumtrestle", "model", "fleet", "--seed", str(seed), "--json"]
+    command = [sys.executable, "-P", "-m", "testbed", "model", "fleet", "--seed", str(seed), "--json"]
     environment = {**os.environ, "PYTHONPATH": path}
     return subprocess.Popen(command, cwd=ROOT, env=environment, stdout=subprocess.DEVNULL)
 
--- a/bench/member.py
+++ b/bench/member.py
@@ -18,14 +18,14 @@
 
 from bench.sidecars import how_built, restart_as_built
 from bench.spread import show, spread
-from micadeck.clock import Clock
-from micadeck.members import Members
-from micadeck.peers import Peers
-from micadeck.tier.membership import Membership
-from micadeck.tier.message import NOBODY, VERSION, Claim, Kind, Message, State, tier_number, write
-from micadeck.tier.settings import MembershipSettings
-from micadeck.tier.view import Action, Datagram, Wake
-from plumtrestle.capacity.samples import FOLDER, Sample, save
+from sidecar.clock import Clock
+from sidecar.cluster.membership import Membership
+from sidecar.cluster.message import NOBODY, VERSION, Claim, Kind, Message, State, tier_number, write
+from sidecar.cluster.settings import MembershipSettings
+from sidecar.cluster.view import Action, Datagram, Wake
+from sidecar.members import Members
+from sidecar.peers import Peers
+from testbed.capacity.samples import FOLDER, Sample, save
 
 SIZES = (50, 100, 200, 400, 750, 1_000)
 EVENTS = 2_000  # timed, of each kind
--- a/bench/path.py
+++ b/bench/path.py
@@ -24,7 +24,7 @@
 from bench.openloop import OpenLoop, Played, quantile
 from bench.process import HOST, cpu_s, free_ports, wait_until_it_answers
 from bench.sidecars import behind, configuration, is_compiled, running, sidecar
-from plumtrestle.capacity.samples import FOLDER, Sample, save
+from testbed.capacity.samples import FOLDER, Sample, save
 
 SIZES = (8, 20, 100, 300, 750)
 MEAN = 293.0  # calls a second of the fleet's mean sidecar
--- a/bench/sidecars.py
+++ b/bench/sidecars.py
@@ -35,7 +35,7 @@
 
 def is_compiled() -> bool:
     """Whether `build` has left compiled decisions, which `run` then starts."""
-    return any((NATIVE / "magpiemux").glob("balancer*.so"))
+    return any((NATIVE / "balancer").glob("balancer*.so"))
 
 
 def how_built() -> str:
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -5,7 +5,7 @@
 import statistics
 from collections.abc import Sequence
 
-from plumtrestle.capacity.samples import Sample
+from testbed.capacity.samples import Sample
 
 MANY = 1_000  # values from which on a 99th percentile says something
 
--- a/bench/staged.py
+++ b/bench/staged.py
@@ -16,13 +16,9 @@
 
 import uvloop
 
-from bench.__main__ import SETTINGS
-from bench.listed import listed
-from bench.process import HOST
-from bench.relay import Client, End, relay
-from magpiemux import Balancer
-from magpiemux.adapter import settings_from_wire
-from magpiemux.interface import (
+from balancer import Balancer
+from balancer.adapter import settings_from_wire
+from balancer.interface import (
     Action,
     AttemptEnded,
     Event,
@@ -33,10 +29,14 @@
     SetTimer,
     TimerFired,
 )
-from micadeck.catalog import parse_listing
-from micadeck.http import RequestHead, RequestReader, ResponseHead, ResponseReader, Signal, request_head
-from micadeck.http.writer import response_head
-from micadeck.request import read_request
+from bench.__main__ import SETTINGS
+from bench.listed import listed
+from bench.process import HOST
+from bench.relay import Client, End, relay
+from sidecar.catalog import parse_listing
+from sidecar.http import RequestHead, RequestReader, ResponseHead, ResponseReader, Signal, request_head
+from sidecar.http.writer import response_head
+from sidecar.request import read_request
 
 _SETTINGS = settings_from_wire({**SETTINGS, "zone": "z0"})
 _CLASSES = {each.name: each for each in _SETTINGS.classes}
--- a/bench/stages.py
+++ b/bench/stages.py
@@ -31,7 +31,7 @@
     running,
     sidecar,
 )
-from plumtrestle.capacity.samples import FOLDER, Sample, save
+from testbed.capacity.samples import FOLDER, Sample, save
 
 STAGES = ("relay", "framed", "decided", "whole")
 SERVERS = 8
--- a/bench/startup.py
+++ b/bench/startup.py
@@ -23,7 +23,7 @@
 from bench.process import HOST, cpu_s, free_ports, resident_mb, wait_until_it_answers
 from bench.sidecars import Started, behind, configuration, how_built, sidecar
 from bench.spread import show, spread
-from plumtrestle.capacity.samples import FOLDER, Sample, save
+from testbed.capacity.samples import FOLDER, Sample, save
 
 AT_ONCE = (1, 8, 32, 100)
 READY_SERVERS = 100  # listed, while processes start
--- a/deploy/native.py
+++ b/deploy/native.py
@@ -18,15 +18,15 @@
 NATIVE = ROOT / "build" / "native"
 KEPT = ROOT / "build" / "compiled"
 TOOLS = ROOT / "requirements-build.txt"
-PACKAGES = ("magpiemux", "micadeck")
+PACKAGES = ("balancer", "sidecar")
 COMPILED = (
-    "magpiemux/interface.py",
-    "magpiemux/balancer.py",
-    "micadeck/http/grammar.py",
-    "micadeck/http/chunked.py",
-    "micadeck/http/reader.py",
-    "micadeck/http/writer.py",
-    "micadeck/request.py",
+    "balancer/interface.py",
+    "balancer/balancer.py",
+    "sidecar/http/grammar.py",
+    "sidecar/http/chunked.py",
+    "sidecar/http/reader.py",
+    "sidecar/http/writer.py",
+    "sidecar/request.py",
 )
 
 
--- a/fuzz/fuzz_codec.py
+++ b/fuzz/fuzz_codec.py
@@ -12,7 +12,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-with atheris.instrument_imports(include=["micadeck.http"]):
+with atheris.instrument_imports(include=["sidecar.http"]):
     from oracle import disagreement, ours
 
 
--- a/fuzz/fuzz_rollout.py
+++ b/fuzz/fuzz_rollout.py
@@ -14,12 +14,12 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT)]
 
-with atheris.instrument_imports(include=["micadeck.tier"]):
-    from micadeck.tier.answer import Look
-    from micadeck.tier.message import MOST_MEMBERS
-    from micadeck.tier.rollout import Rollout
-    from micadeck.tier.settings import RolloutSettings
-    from micadeck.tier.table import Table
+with atheris.instrument_imports(include=["sidecar.cluster"]):
+    from sidecar.cluster.answer import Look
+    from sidecar.cluster.message import MOST_MEMBERS
+    from sidecar.cluster.rollout import Rollout
+    from sidecar.cluster.settings import RolloutSettings
+    from sidecar.cluster.table import Table
 
 SIZE = 5
 
--- a/fuzz/fuzz_tier.py
+++ b/fuzz/fuzz_tier.py
@@ -13,9 +13,9 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT)]
 
-with atheris.instrument_imports(include=["micadeck.tier"]):
-    from micadeck.tier.membership import Membership
-    from micadeck.tier.settings import MembershipSettings
+with atheris.instrument_imports(include=["sidecar.cluster"]):
+    from sidecar.cluster.membership import Membership
+    from sidecar.cluster.settings import MembershipSettings
 
 SIZE = 5
 
--- a/micadeck/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Micadeck: the sidecar that puts magpiemux's decisions on real sockets."""
--- a/plumtrestle/__main__.py
+++ /dev/null
@@ -1,5 +0,0 @@
-"""`python -m plumtrestle` is the console script."""
-
-from plumtrestle.cli import main
-
-main()
--- /dev/null
+++ b/sidecar/__init__.py
@@ -0,0 +1,1 @@
+"""Sidecar: the sidecar that puts balancer's decisions on real sockets."""
--- a/micadeck/__main__.py
+++ b/sidecar/__main__.py
@@ -1,4 +1,4 @@
-"""Starts a sidecar: `python -m micadeck`.
+"""Starts a sidecar: `python -m sidecar`.
 
 Exit codes: 0 after SIGTERM or SIGINT, 1 if it can't listen, 2 if its configuration is bad.
 """
@@ -14,10 +14,10 @@
 
 import uvloop
 
-from micadeck.config import Config, ConfigError, load
-from micadeck.listener import inherited
-from micadeck.reload import Reload
-from micadeck.sidecar import Sidecar
+from sidecar.config import Config, ConfigError, load
+from sidecar.listener import inherited
+from sidecar.reload import Reload
+from sidecar.sidecar import Sidecar
 
 _LINES_PER_S = 20.0
 _LINES_AT_ONCE = 200.0
@@ -85,12 +85,12 @@
         config = load(os.environ)
         held = listening(config)
     except ConfigError as fault:
-        print(f"micadeck: config: {fault}".replace("\n", " "), file=sys.stderr)
+        print(f"sidecar: config: {fault}".replace("\n", " "), file=sys.stderr)
         return 2
     try:
         uvloop.run(serve(config, held))
     except OSError as fault:
-        print(f"micadeck: can't listen: {fault}", file=sys.stderr)
+        print(f"sidecar: can't listen: {fault}", file=sys.stderr)
         return 1
     return 0
 
--- a/micadeck/catalog.py
+++ b/sidecar/catalog.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from magpiemux.interface import ListedServer, ListKind, ServersListed, ServerState
-from micadeck.client import Address, parse_address
+from balancer.interface import ListedServer, ListKind, ServersListed, ServerState
+from sidecar.client import Address, parse_address
 
 _MOST_LEFT = 1_024  # servers that left and are remembered, so that a late list can't bring them back
 _STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
--- a/micadeck/client.py
+++ b/sidecar/client.py
@@ -13,7 +13,7 @@
 from enum import Enum, unique
 from typing import cast
 
-from micadeck.http import (
+from sidecar.http import (
     LAST_CHUNK,
     Headers,
     Malformed,
@@ -23,9 +23,9 @@
     chunk,
     request_head,
 )
-from micadeck.roles import Sink, Transport
-from micadeck.stream import BoundedReader, Upload
-from micadeck.wire import Wire
+from sidecar.roles import Sink, Transport
+from sidecar.stream import BoundedReader, Upload
+from sidecar.wire import Wire
 
 _HELD_S = 0.05  # an answer of unknown length that goes on for longer is passed on as it comes
 
--- a/micadeck/tier/answer.py
+++ b/sidecar/cluster/answer.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from micadeck.tier.view import Datagram, Wake
+from sidecar.cluster.view import Datagram, Wake
 
 MOST_NAMED = 16  # members by number in an answer; what is beyond is counted
 
--- a/micadeck/tier/exchange.py
+++ b/sidecar/cluster/exchange.py
@@ -1,7 +1,7 @@
 """Datagrams about versions of the configuration: MessagePack, read strictly, of their own format version.
 
 An exchange is [2, tier, sender, kind, version, wave, age, by, low, high, piece, has, behind].  The version of
-the program before drops it by its head as "another version" (`micadeck.tier.message`).
+the program before drops it by its head as "another version" (`sidecar.cluster.message`).
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from micadeck.tier.message import MOST_BYTES, MOST_MEMBERS, Member, Unfit
-from micadeck.tier.tally import NO_DIGEST, PIECE, Tally, unpacked
+from sidecar.cluster.message import MOST_BYTES, MOST_MEMBERS, Member, Unfit
+from sidecar.cluster.tally import NO_DIGEST, PIECE, Tally, unpacked
 
 FORMAT = 2
 LAST_VERSION = (1 << 63) - 1
--- a/micadeck/tier/gossip.py
+++ b/sidecar/cluster/gossip.py
@@ -4,7 +4,7 @@
 
 import math
 
-from micadeck.tier.message import Claim, Room
+from sidecar.cluster.message import Claim, Room
 
 _SPREAD = 2.0  # times log2 of the tier that a claim is told
 
--- a/micadeck/tier/membership.py
+++ b/sidecar/cluster/membership.py
@@ -12,9 +12,9 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from micadeck.tier.budget import Budget
-from micadeck.tier.health import Health
-from micadeck.tier.message import (
+from sidecar.cluster.budget import Budget
+from sidecar.cluster.health import Health
+from sidecar.cluster.message import (
     LAST_LIFE,
     MOST_ROUND,
     NOBODY,
@@ -26,12 +26,12 @@
     read,
     tier_number,
 )
-from micadeck.tier.post import Post
-from micadeck.tier.questions import Question, Questions, Relayed, Targets
-from micadeck.tier.settings import MembershipSettings
-from micadeck.tier.suspicion import Suspicion, least_us
-from micadeck.tier.table import Table
-from micadeck.tier.view import Action, Doubled, News, Size, Slept, Wake
+from sidecar.cluster.post import Post
+from sidecar.cluster.questions import Question, Questions, Relayed, Targets
+from sidecar.cluster.settings import MembershipSettings
+from sidecar.cluster.suspicion import Suspicion, least_us
+from sidecar.cluster.table import Table
+from sidecar.cluster.view import Action, Doubled, News, Size, Slept, Wake
 
 _A_PERIOD = 2.2  # datagrams that a period takes at rest: a question, an answer, and a few for others
 _DIRECT = 0.3  # part of a period that a direct question waits
--- a/micadeck/tier/post.py
+++ b/sidecar/cluster/post.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Sequence
 
-from micadeck.tier.gossip import Gossip
-from micadeck.tier.message import MOST_SKETCHED, NOBODY, VERSION, Claim, Kind, Message, Room, State, write
-from micadeck.tier.table import Table
-from micadeck.tier.view import Datagram
+from sidecar.cluster.gossip import Gossip
+from sidecar.cluster.message import MOST_SKETCHED, NOBODY, VERSION, Claim, Kind, Message, Room, State, write
+from sidecar.cluster.table import Table
+from sidecar.cluster.view import Datagram
 
 
 class Post:
--- a/micadeck/tier/questions.py
+++ b/sidecar/cluster/questions.py
@@ -6,8 +6,8 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from micadeck.tier.message import MOST_QUESTION
-from micadeck.tier.table import Table
+from sidecar.cluster.message import MOST_QUESTION
+from sidecar.cluster.table import Table
 
 _ANYBODY_EVERY = 4  # each so many questions go to any member, also one that was called dead
 _MOST_RELAYED = 32  # at a time; the oldest gives way
--- a/micadeck/tier/rollout.py
+++ b/sidecar/cluster/rollout.py
@@ -12,14 +12,14 @@
 import random
 from collections import Counter
 
-from micadeck.tier.answer import MOST_NAMED, Ambiguous, Answer, Forgotten, Look, Missing, Settled, Step
-from micadeck.tier.budget import Budget
-from micadeck.tier.exchange import LAST_WAVE, Kind, read, write
-from micadeck.tier.message import State, Unfit, tier_number
-from micadeck.tier.settings import RolloutSettings
-from micadeck.tier.table import Table
-from micadeck.tier.tally import PIECE, Tally, bit, members
-from micadeck.tier.view import Datagram, Wake
+from sidecar.cluster.answer import MOST_NAMED, Ambiguous, Answer, Forgotten, Look, Missing, Settled, Step
+from sidecar.cluster.budget import Budget
+from sidecar.cluster.exchange import LAST_WAVE, Kind, read, write
+from sidecar.cluster.message import State, Unfit, tier_number
+from sidecar.cluster.settings import RolloutSettings
+from sidecar.cluster.table import Table
+from sidecar.cluster.tally import PIECE, Tally, bit, members
+from sidecar.cluster.view import Datagram, Wake
 
 _MOST_PER_S = 10.0  # datagrams in all, whatever comes; six seconds' worth may be saved up
 _HURRY_US = 250_000  # between two exchanges while a new version spreads
--- a/micadeck/tier/table.py
+++ b/sidecar/cluster/table.py
@@ -6,8 +6,8 @@
 from collections import Counter
 from hashlib import blake2b
 
-from micadeck.tier.message import MOST_SKETCHED, Claim, State
-from micadeck.tier.view import Size
+from sidecar.cluster.message import MOST_SKETCHED, Claim, State
+from sidecar.cluster.view import Size
 
 _PACKED = struct.Struct("<HIB")  # member, life, state, for the digest alone
 
--- a/micadeck/tier/view.py
+++ b/sidecar/cluster/view.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from micadeck.tier.message import State
+from sidecar.cluster.message import State
 
 
 @dataclass(frozen=True, slots=True)
--- a/micadeck/config.py
+++ b/sidecar/config.py
@@ -9,11 +9,11 @@
 from typing import Any
 from zlib import crc32
 
-from magpiemux import Settings
-from magpiemux.adapter import settings_from_wire
-from micadeck.catalog import Listing, parse_listing
-from micadeck.client import Address, parse_address
-from micadeck.tier.settings import MembershipSettings, RolloutSettings
+from balancer import Settings
+from balancer.adapter import settings_from_wire
+from sidecar.catalog import Listing, parse_listing
+from sidecar.client import Address, parse_address
+from sidecar.cluster.settings import MembershipSettings, RolloutSettings
 
 _DEFAULT_SOCKETS = 1_024
 _DEFAULT_MEMORY_MB = 64
--- a/micadeck/discovery.py
+++ b/sidecar/discovery.py
@@ -22,8 +22,8 @@
 from random import Random
 from typing import Any
 
-from micadeck.catalog import Catalog, Inconsistent, Listing, parse_listing
-from micadeck.client import Address, ClientConnection, Failure, Message, Response
+from sidecar.catalog import Catalog, Inconsistent, Listing, parse_listing
+from sidecar.client import Address, ClientConnection, Failure, Message, Response
 
 _PATH = "/catalog/members"
 _MOST_BYTES = 4 << 20  # of a whole list
--- a/micadeck/frontend.py
+++ b/sidecar/frontend.py
@@ -9,8 +9,8 @@
 from itertools import islice, takewhile
 from typing import cast
 
-from magpiemux.interface import Settings
-from micadeck.http import (
+from balancer.interface import Settings
+from sidecar.http import (
     CONTINUE,
     LAST_CHUNK,
     Headers,
@@ -21,11 +21,11 @@
     chunk,
     response_head,
 )
-from micadeck.listener import Listener
-from micadeck.request import CHUNKED, BadRequest, Incoming, read_request
-from micadeck.roles import Source, Transport
-from micadeck.stream import KEPT, LONGEST, STALLED_S, BoundedReader, Upload, part_of_budget
-from micadeck.wire import Wire
+from sidecar.listener import Listener
+from sidecar.request import CHUNKED, BadRequest, Incoming, read_request
+from sidecar.roles import Source, Transport
+from sidecar.stream import KEPT, LONGEST, STALLED_S, BoundedReader, Upload, part_of_budget
+from sidecar.wire import Wire
 
 _YOUNG_S = 0.25  # a connection that waits for its request for longer goes before one at rest
 _LOOKS = 8  # connections at rest that are looked at for one to let go
--- a/micadeck/http/__init__.py
+++ b/sidecar/http/__init__.py
@@ -4,9 +4,9 @@
 `reader` turns bytes into events; `writer` turns messages into bytes.
 """
 
-from micadeck.http.grammar import Headers, Malformed, RequestHead, ResponseHead
-from micadeck.http.reader import RequestReader, ResponseReader, Signal
-from micadeck.http.writer import CONTINUE, LAST_CHUNK, chunk, request_head, response_head
+from sidecar.http.grammar import Headers, Malformed, RequestHead, ResponseHead
+from sidecar.http.reader import RequestReader, ResponseReader, Signal
+from sidecar.http.writer import CONTINUE, LAST_CHUNK, chunk, request_head, response_head
 
 __all__ = [
     "CONTINUE",
--- a/micadeck/http/chunked.py
+++ b/sidecar/http/chunked.py
@@ -10,7 +10,7 @@
 
 from httptools import HttpParserError, HttpRequestParser
 
-from micadeck.http.grammar import MOST_HEAD, Malformed
+from sidecar.http.grammar import MOST_HEAD, Malformed
 
 MOST_BESIDE = MOST_HEAD  # bytes of chunk extensions and trailers in one body
 _PER_CHUNK = 32  # bytes of framing that each chunk may have beyond that: its size, ends of lines, a word
--- a/micadeck/http/reader.py
+++ b/sidecar/http/reader.py
@@ -10,8 +10,8 @@
 from enum import Enum, unique
 from typing import Generic, TypeVar
 
-from micadeck.http.chunked import ChunkedBody
-from micadeck.http.grammar import (
+from sidecar.http.chunked import ChunkedBody
+from sidecar.http.grammar import (
     Malformed,
     RequestHead,
     ResponseHead,
--- a/micadeck/http/writer.py
+++ b/sidecar/http/writer.py
@@ -4,7 +4,7 @@
 
 from http import HTTPStatus
 
-from micadeck.http.grammar import Headers
+from sidecar.http.grammar import Headers
 
 LAST_CHUNK = b"0\r\n\r\n"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
--- a/micadeck/listener.py
+++ b/sidecar/listener.py
@@ -8,8 +8,8 @@
 import socket
 from collections.abc import Callable
 
-from micadeck.client import Address
-from micadeck.wire import LEFT
+from sidecar.client import Address
+from sidecar.wire import LEFT
 
 _BACKLOG = 1_024
 _AT_ONCE = 8  # so many connections are accepted before those over the limit are let go
--- a/micadeck/members.py
+++ b/sidecar/members.py
@@ -1,6 +1,6 @@
 """The other sidecars, for this process: membership's datagrams, timer, log lines and figures.
 
-What is believed is `micadeck.tier`'s; here it gets its time and chance, its datagrams are carried, and who
+What is believed is `sidecar.cluster`'s; here it gets its time and chance, its datagrams are carried, and who
 wants to know is told.
 """
 
@@ -11,12 +11,12 @@
 import time
 from collections.abc import Callable
 
-from micadeck.clock import Alarm, Clock
-from micadeck.peers import Peers
-from micadeck.tier.membership import Membership
-from micadeck.tier.message import State
-from micadeck.tier.settings import MembershipSettings
-from micadeck.tier.view import Action, Datagram, Doubled, News, Size, Slept, Wake
+from sidecar.clock import Alarm, Clock
+from sidecar.cluster.membership import Membership
+from sidecar.cluster.message import State
+from sidecar.cluster.settings import MembershipSettings
+from sidecar.cluster.view import Action, Datagram, Doubled, News, Size, Slept, Wake
+from sidecar.peers import Peers
 
 _SAY_EVERY_S = 1.0  # what changed is told in one line, at most so often
 _MOST_NAMED = 8  # changes in one line; what is beyond is counted
--- a/micadeck/reload.py
+++ b/sidecar/reload.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Mapping
 from zlib import crc32
 
-from micadeck.config import ConfigError, contents, load
-from micadeck.sidecar import Sidecar
+from sidecar.config import ConfigError, contents, load
+from sidecar.sidecar import Sidecar
 
 
 class Reload:
--- a/micadeck/request.py
+++ b/sidecar/request.py
@@ -10,10 +10,10 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from magpiemux.interface import Repeat, ServiceClass
-from micadeck.client import Message
-from micadeck.http import Headers, RequestHead
-from micadeck.stream import Upload
+from balancer.interface import Repeat, ServiceClass
+from sidecar.client import Message
+from sidecar.http import Headers, RequestHead
+from sidecar.stream import Upload
 
 _REQUEST_ID = re.compile(rb"[!-~]{1,128}")
 _TIMEOUT = re.compile(rb"[0-9]{1,5}(\.[0-9]{0,9})?")
--- a/micadeck/rollout.py
+++ b/sidecar/rollout.py
@@ -1,6 +1,6 @@
 """The configuration's version, for this process: datagrams, timer, log lines and figures.
 
-What is known of the others is `micadeck.tier.rollout`'s; taking a file over stays what SIGHUP does.
+What is known of the others is `sidecar.cluster.rollout`'s; taking a file over stays what SIGHUP does.
 """
 
 from __future__ import annotations
@@ -8,15 +8,15 @@
 import random
 from collections.abc import Callable
 
-from micadeck.clock import Alarm, Clock
-from micadeck.config import Config
-from micadeck.peers import Peers
-from micadeck.tier.answer import Ambiguous, Answer, Forgotten, Look, Missing, Settled, Step
-from micadeck.tier.exchange import is_exchange
-from micadeck.tier.membership import Membership
-from micadeck.tier.rollout import Rollout
-from micadeck.tier.table import Table
-from micadeck.tier.view import Datagram, Wake
+from sidecar.clock import Alarm, Clock
+from sidecar.cluster.answer import Ambiguous, Answer, Forgotten, Look, Missing, Settled, Step
+from sidecar.cluster.exchange import is_exchange
+from sidecar.cluster.membership import Membership
+from sidecar.cluster.rollout import Rollout
+from sidecar.cluster.table import Table
+from sidecar.cluster.view import Datagram, Wake
+from sidecar.config import Config
+from sidecar.peers import Peers
 
 _LINES_PER_S = 0.1  # whatever others say, the log is filled no faster; ...
 _LINES_AT_ONCE = 20.0  # ... after so many at once
--- a/micadeck/sidecar.py
+++ b/sidecar/sidecar.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from magpiemux import Balancer
-from magpiemux.interface import (
+from balancer import Balancer
+from balancer.interface import (
     Action,
     AnswerStarted,
     AttemptEnded,
@@ -44,28 +44,28 @@
     TierSized,
     TimerFired,
 )
-from micadeck import discovery
-from micadeck.catalog import Listing
-from micadeck.client import Address, ClientConnection, Message, Response
-from micadeck.clock import Clock
-from micadeck.config import Config, ConfigError
-from micadeck.console import MOST_CALLERS, Console
-from micadeck.frontend import ClientSide, Frontend
-from micadeck.handover import Handover
-from micadeck.http import Headers
-from micadeck.listener import bound
-from micadeck.peers import Peers
-from micadeck.presence import Presence
-from micadeck.request import Incoming
-from micadeck.roles import Sink
-from micadeck.telemetry import Telemetry
-from micadeck.upstream import Call, Upstream, load_report
+from sidecar import discovery
+from sidecar.catalog import Listing
+from sidecar.client import Address, ClientConnection, Message, Response
+from sidecar.clock import Clock
+from sidecar.config import Config, ConfigError
+from sidecar.console import MOST_CALLERS, Console
+from sidecar.frontend import ClientSide, Frontend
+from sidecar.handover import Handover
+from sidecar.http import Headers
+from sidecar.listener import bound
+from sidecar.peers import Peers
+from sidecar.presence import Presence
+from sidecar.request import Incoming
+from sidecar.roles import Sink
+from sidecar.telemetry import Telemetry
+from sidecar.upstream import Call, Upstream, load_report
 
 if TYPE_CHECKING:
-    from micadeck.members import Members
-    from micadeck.rollout import Versions
-    from micadeck.tier.settings import MembershipSettings
-    from micadeck.tier.view import Size
+    from sidecar.cluster.settings import MembershipSettings
+    from sidecar.cluster.view import Size
+    from sidecar.members import Members
+    from sidecar.rollout import Versions
 
 # What a process keeps from its start to its end, whatever its file says later.  Not among them: `known` and
 # `seed`, which are new in each file and say what a start begins with.
@@ -235,7 +235,7 @@
             if not membership.on:
                 return
             # Not at the top: what it needs takes 2 MB, which a sidecar without it need not have.
-            from micadeck.members import Members
+            from sidecar.members import Members
 
             me, log, own = self._settings.me, self._log, self._config
             self._members = Members(me, own.tier, own.seed, self._clock, self._peers, log, self._tier_sized)
@@ -251,7 +251,7 @@
             if config.version is None or not config.rollout.on or membership is None:
                 return
             # Not at the top: a sidecar without it need not have what it needs.
-            from micadeck.rollout import Versions
+            from sidecar.rollout import Versions
 
             me, own = self._settings.me, self._config
             parts = (self._clock, self._peers, self._log, lambda: self.on_newer())
--- a/micadeck/stream.py
+++ b/sidecar/stream.py
@@ -10,7 +10,7 @@
 import asyncio
 from collections.abc import Callable
 
-from micadeck.roles import Outlet
+from sidecar.roles import Outlet
 
 KEPT = 64 << 10  # a message of up to this length is kept whole
 LONGEST = 32 << 20  # and none may be longer than this
--- a/micadeck/upstream.py
+++ b/sidecar/upstream.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from magpiemux.interface import Limits, ListedServer, Outcome, ServerState
-from micadeck.catalog import Listing
-from micadeck.client import Address, ClientConnection, Failure, Message, Response
-from micadeck.clock import Clock
-from micadeck.roles import Sink
-from micadeck.stream import KEPT, STALLED_S
+from balancer.interface import Limits, ListedServer, Outcome, ServerState
+from sidecar.catalog import Listing
+from sidecar.client import Address, ClientConnection, Failure, Message, Response
+from sidecar.clock import Clock
+from sidecar.roles import Sink
+from sidecar.stream import KEPT, STALLED_S
 
 _IDLE_MARGIN = 0.1  # of the idle limit: a connection this near to it may be closed at the far end by now
 # What says that this machine, not the server, had no room for a connection.
--- a/micadeck/wire.py
+++ b/sidecar/wire.py
@@ -11,7 +11,7 @@
 import sys
 import termios
 
-from micadeck.roles import Transport
+from sidecar.roles import Transport
 
 LEFT = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the other end is closed
 _LAST_DATA_RECEIVED = 52  # where struct tcp_info has how many milliseconds ago the last data came
--- a/plumtrestle/capacity/__main__.py
+++ b/testbed/capacity/__main__.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from plumtrestle.capacity.page import pictures, render
-from plumtrestle.capacity.rows import fill, read_table
-from plumtrestle.capacity.samples import FOLDER, ROOT, load_all
+from testbed.capacity.page import pictures, render
+from testbed.capacity.rows import fill, read_table
+from testbed.capacity.samples import FOLDER, ROOT, load_all
 
 PAGE = ROOT / "docs" / "CAPACITY.md"
 
--- a/plumtrestle/capacity/feeds.py
+++ b/testbed/capacity/feeds.py
@@ -6,8 +6,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-from plumtrestle.capacity.fit import Fit, FitError, fit
-from plumtrestle.capacity.samples import Run, Sample
+from testbed.capacity.fit import Fit, FitError, fit
+from testbed.capacity.samples import Run, Sample
 
 
 class NotMeasured(Exception):
--- a/plumtrestle/capacity/page.py
+++ b/testbed/capacity/page.py
@@ -8,11 +8,11 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import get_args
 
-from plumtrestle.capacity.feeds import Feed, Figure, NotMeasured, figure
-from plumtrestle.capacity.fit import Fit
-from plumtrestle.capacity.rows import Filled, Kind, Table, Unfilled, fill
-from plumtrestle.capacity.samples import Run
-from plumtrestle.report import plots
+from testbed.capacity.feeds import Feed, Figure, NotMeasured, figure
+from testbed.capacity.fit import Fit
+from testbed.capacity.rows import Filled, Kind, Table, Unfilled, fill
+from testbed.capacity.samples import Run
+from testbed.report import plots
 
 _PLACE = re.compile(r"\{(\w+)\}")
 _OPENING = """# Capacity
@@ -23,7 +23,7 @@
 control.
 
 This page is made by `make capacity` from the runs in `docs/capacity/` and the rows in
-`plumtrestle/capacity/rows.toml`; no figure of it is typed.
+`testbed/capacity/rows.toml`; no figure of it is typed.
 
 - *measured*: at that size itself, the mean over seeds, with the least and the greatest;
 - *worked out*: by a slope, or from several figures by the formula that stands with it;
--- a/plumtrestle/capacity/rows.py
+++ b/testbed/capacity/rows.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from plumtrestle.capacity.feeds import Feed, Figure, NotMeasured, figure
-from plumtrestle.capacity.samples import Run
+from testbed.capacity.feeds import Feed, Figure, NotMeasured, figure
+from testbed.capacity.samples import Run
 
 TABLE = Path(__file__).with_name("rows.toml")
 
--- a/plumtrestle/capacity/samples.py
+++ b/testbed/capacity/samples.py
@@ -58,7 +58,7 @@
     """The commit that stands here, and whether its code was changed since; `unknown` outside a checkout."""
     try:
         head = _git("rev-parse", "--short", "HEAD")
-        changed = _git("status", "--porcelain", "--", "magpiemux", "micadeck", "plumtrestle", "bench")
+        changed = _git("status", "--porcelain", "--", "balancer", "sidecar", "testbed", "bench")
     except (OSError, subprocess.CalledProcessError):
         return "unknown"
     return f"{head}+" if changed else head
--- a/plumtrestle/cli.py
+++ b/testbed/cli.py
@@ -1,4 +1,4 @@
-"""The command line: `plumtrestle`.
+"""The command line: `sidecar-testbed`.
 
 Exit codes: 0 the rules held, 1 one was broken, 2 what was asked for can't be done, 3 the day says nothing
 (cut off, or the ground itself was late), 130 after Ctrl-C.
@@ -19,25 +19,25 @@
 from rich.console import Console
 from rich.progress import Progress
 
-from plumtrestle import events as log
-from plumtrestle.emulator.copies import PlayError, built, deployed
-from plumtrestle.emulator.play import Ground
-from plumtrestle.emulator.play import play as play_real
-from plumtrestle.experiment.compare import compared, knee
-from plumtrestle.experiment.grid import Grid
-from plumtrestle.experiment.grid import play as play_grid
-from plumtrestle.experiment.store import Key, Store, StoreError
-from plumtrestle.experiment.variants import HELP, Variant, variant
-from plumtrestle.model.play import play as play_model
-from plumtrestle.model.policies import POLICIES
-from plumtrestle.report import tables
-from plumtrestle.report.page import of_one_day, page
-from plumtrestle.rules import account, judge
-from plumtrestle.rules.history import History, gather
-from plumtrestle.scale.keep import kept
-from plumtrestle.scale.plan import Event, Plan, check, fitted
-from plumtrestle.scale.play import play as play_scale
-from plumtrestle.world import WorldError, draw, read, shipped, shipped_worlds, text_of
+from testbed import events as log
+from testbed.emulator.copies import PlayError, built, deployed
+from testbed.emulator.play import Ground
+from testbed.emulator.play import play as play_real
+from testbed.experiment.compare import compared, knee
+from testbed.experiment.grid import Grid
+from testbed.experiment.grid import play as play_grid
+from testbed.experiment.store import Key, Store, StoreError
+from testbed.experiment.variants import HELP, Variant, variant
+from testbed.model.play import play as play_model
+from testbed.model.policies import POLICIES
+from testbed.report import tables
+from testbed.report.page import of_one_day, page
+from testbed.rules import account, judge
+from testbed.rules.history import History, gather
+from testbed.scale.keep import kept
+from testbed.scale.plan import Event, Plan, check, fitted
+from testbed.scale.play import play as play_scale
+from testbed.world import WorldError, draw, read, shipped, shipped_worlds, text_of
 
 EXIT_CODES = {"kept": 0, "broken": 1}
 USER_ERROR, SAYS_NOTHING, INTERRUPTED = 2, 3, 130
@@ -69,17 +69,17 @@
         app()
     except WorldError as fault:
         for each in fault.faults:
-            print(f"plumtrestle: {fault.source}: {each}", file=sys.stderr)
+            print(f"sidecar-testbed: {fault.source}: {each}", file=sys.stderr)
         sys.exit(USER_ERROR)
     except (PlayError, StoreError, log.LogError) as fault:
-        print(f"plumtrestle: {fault}", file=sys.stderr)
+        print(f"sidecar-testbed: {fault}", file=sys.stderr)
         sys.exit(USER_ERROR)
     except KeyboardInterrupt:
-        print("plumtrestle: interrupted; what was played so far can be judged", file=sys.stderr)
+        print("sidecar-testbed: interrupted; what was played so far can be judged", file=sys.stderr)
         sys.exit(INTERRUPTED)
 
 
-@app.command(epilog="Example: plumtrestle run three-copies --seed 1")
+@app.command(epilog="Example: sidecar-testbed run three-copies --seed 1")
 def run(
     world: World,
     seed: Seed = 1,
@@ -103,7 +103,7 @@
     tell(gather(log.load(path)), as_json, path.with_name("report.html"))
 
 
-@app.command(epilog="Example: plumtrestle model zone-lost --seed 3 --policy best-of-2")
+@app.command(epilog="Example: sidecar-testbed model zone-lost --seed 3 --policy best-of-2")
 def model(
     world: World,
     seed: Seed = 1,
@@ -126,7 +126,7 @@
     tell(gather(events), as_json)
 
 
-@app.command("judge", epilog="Example: plumtrestle judge build/days/three-copies-1-20261201T120000")
+@app.command("judge", epilog="Example: sidecar-testbed judge build/days/three-copies-1-20261201T120000")
 def judge_again(
     played: Annotated[Path, typer.Argument(metavar="LOG", help="A log, or the folder of a day.")],
     as_json: AsJson = False,
@@ -142,7 +142,7 @@
 Results = Annotated[Path, typer.Option("--db", help="The SQLite file of results; what it has is not played.")]
 
 
-@app.command(epilog="Example: plumtrestle compare zone-lost rolling -v module -v best-of-2 --seeds 8")
+@app.command(epilog="Example: sidecar-testbed compare zone-lost rolling -v module -v best-of-2 --seeds 8")
 def compare(
     worlds: Worlds,
     variants: Variants = ["module", "best-of-2", "random"],  # noqa: B006 - typer's form of a default
@@ -163,7 +163,7 @@
     raise typer.Exit(1 if any(each.broken for each in given) else 0)
 
 
-@app.command(epilog="Example: plumtrestle sweep calm -v module -v random --low 1 --high 8")
+@app.command(epilog="Example: sidecar-testbed sweep calm -v module -v random --low 1 --high 8")
 def sweep(
     worlds: Worlds,
     variants: Variants = ["module"],  # noqa: B006 - typer's form of a default
@@ -191,7 +191,7 @@
         console.print(f"{world}, {name}: at least {least:g} is served {upto}")
 
 
-@app.command(epilog="Example: plumtrestle report build/experiments/compare.sqlite --out report.html")
+@app.command(epilog="Example: sidecar-testbed report build/experiments/compare.sqlite --out report.html")
 def report(
     db: Annotated[Path, typer.Argument(help="The SQLite file of an experiment.")],
     out: Annotated[Path, typer.Option(help="The page to write.")] = Path("build/report.html"),
@@ -229,7 +229,7 @@
 
             failed = asyncio.run(play_grid(grid, store, jobs, tell))
         for key, why in failed:
-            print(f"plumtrestle: {key.world}, seed {key.seed}, {key.variant}: {why}", file=sys.stderr)
+            print(f"sidecar-testbed: {key.world}, seed {key.seed}, {key.variant}: {why}", file=sys.stderr)
         if failed:
             raise PlayError(f"{len(failed)} days could not be played; run it again for what is left")
         names = {name for name, _ in grid.worlds}
@@ -255,7 +255,7 @@
         store.close()
 
 
-@app.command(epilog="Example: plumtrestle scale --members 200 --event rest --event cut --save")
+@app.command(epilog="Example: sidecar-testbed scale --members 200 --event rest --event cut --save")
 def scale(
     members: Annotated[int, typer.Option("--members", "-n", min=2, help="The tier's size.")] = 50,
     event: Annotated[
@@ -305,7 +305,7 @@
     root = root.resolve()
     if build:
         built(root)
-    command = "plumtrestle " + " ".join(sys.argv[1:])
+    command = "sidecar-testbed " + " ".join(sys.argv[1:])
     figures = asyncio.run(play_scale(plan, root, deployed(root), lambda text: print(text, file=sys.stderr)))
     if save:
         for path in kept(figures, command):
@@ -316,7 +316,7 @@
     else:
         tables.samples(Console(highlight=False), figures.usable)
     for text in (*figures.notes, *figures.faults):
-        print(f"plumtrestle: {text}", file=sys.stderr)
+        print(f"sidecar-testbed: {text}", file=sys.stderr)
     raise typer.Exit(SAYS_NOTHING if figures.faults else 0)
 
 
--- a/plumtrestle/clock.py
+++ b/testbed/clock.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from plumtrestle.events import Late, Writer
+from testbed.events import Late, Writer
 
 _AHEAD_NS = 3_600_000_000_000
 _LOOK_S = 0.05
--- a/plumtrestle/emulator/copies.py
+++ b/testbed/emulator/copies.py
@@ -17,10 +17,10 @@
 from pathlib import Path
 from typing import Any
 
-from plumtrestle import events as log
-from plumtrestle.clock import DayClock
-from plumtrestle.world.day import Copy, Day
-from plumtrestle.world.settings import killed_after_us, settings
+from testbed import events as log
+from testbed.clock import DayClock
+from testbed.world.day import Copy, Day
+from testbed.world.settings import killed_after_us, settings
 
 _LOOK_S = 0.02
 _MOST_LOG = 4 << 20  # bytes kept of what one copy writes
@@ -253,9 +253,9 @@
     def _worded(self) -> str:
         if not self._ahead_s:
             return self._command
-        if "-m micadeck" not in self._command:
-            raise PlayError(f"a clock that differs needs `-m micadeck` in `run`: {self._command}")
-        return self._command.replace("-m micadeck", "-m plumtrestle.emulator.shifted micadeck")
+        if "-m sidecar" not in self._command:
+            raise PlayError(f"a clock that differs needs `-m sidecar` in `run`: {self._command}")
+        return self._command.replace("-m sidecar", "-m testbed.emulator.shifted sidecar")
 
     async def _until_ready(self, process: Process, door: tuple[str, int] | None) -> None:
         address, path = (self.listen, "/_health") if door is None else (door, "/api/ready")
--- a/plumtrestle/emulator/datagrams.py
+++ b/testbed/emulator/datagrams.py
@@ -6,9 +6,9 @@
 import random
 from typing import cast
 
-from plumtrestle import events as log
-from plumtrestle.clock import DayClock
-from plumtrestle.links import Links
+from testbed import events as log
+from testbed.clock import DayClock
+from testbed.links import Links
 
 MOST_BYTES = 256
 _MOST_WAITING = 20_000  # datagrams on their way; more are lost
--- a/plumtrestle/emulator/discovery.py
+++ b/testbed/emulator/discovery.py
@@ -8,12 +8,12 @@
 import re
 from collections.abc import Callable
 
-from plumtrestle import events as log
-from plumtrestle.catalog import Catalog, Change
-from plumtrestle.clock import DayClock
-from plumtrestle.emulator.message import Requests, Unreadable, answer
-from plumtrestle.emulator.switch import Handler, Passage
-from plumtrestle.world.day import Day
+from testbed import events as log
+from testbed.catalog import Catalog, Change
+from testbed.clock import DayClock
+from testbed.emulator.message import Requests, Unreadable, answer
+from testbed.emulator.switch import Handler, Passage
+from testbed.world.day import Day
 
 _WATCH = re.compile(rb"[?&]after=([0-9]+)&wait_ms=([0-9]+)")
 _LONGEST_MS = 60_000
--- a/plumtrestle/emulator/play.py
+++ b/testbed/emulator/play.py
@@ -15,17 +15,17 @@
 
 import msgspec
 
-from plumtrestle import events as log
-from plumtrestle.clock import DayClock, watch_lateness
-from plumtrestle.emulator import shard as shards
-from plumtrestle.emulator.copies import PlayError, Sidecar, deployed
-from plumtrestle.emulator.datagrams import Relay
-from plumtrestle.emulator.discovery import StandInDiscovery
-from plumtrestle.emulator.switch import Gate
-from plumtrestle.links import Links
-from plumtrestle.load import worker as loads
-from plumtrestle.streams import MOST_LINE, seeded
-from plumtrestle.world.day import DISCOVERY, Copy, Day, Trouble
+from testbed import events as log
+from testbed.clock import DayClock, watch_lateness
+from testbed.emulator import shard as shards
+from testbed.emulator.copies import PlayError, Sidecar, deployed
+from testbed.emulator.datagrams import Relay
+from testbed.emulator.discovery import StandInDiscovery
+from testbed.emulator.switch import Gate
+from testbed.links import Links
+from testbed.load import worker as loads
+from testbed.streams import MOST_LINE, seeded
+from testbed.world.day import DISCOVERY, Copy, Day, Trouble
 
 __all__ = ["Ground", "PlayError", "play"]
 
@@ -157,7 +157,7 @@
         count = min(self._ground.shards, len(self._day.servers))
         for number in range(count):
             plan = shards.Plan(self._day, number, count, self._part(f"servers-{number}"))
-            child = await _Child.start("plumtrestle.emulator.shard", plan, f"servers {number}")
+            child = await _Child.start("testbed.emulator.shard", plan, f"servers {number}")
             self._children.append(child)
         addresses: list[list[str]] = [[""] * len(self._day.servers) for _ in self._day.copies]
         for child in self._children:
@@ -184,7 +184,7 @@
             listen = [each.listen for each in self._copies]
             part = self._part(f"load-{number}")
             load = loads.Plan(self._day, number, workers, listen, part, self._ground.grace_us)
-            self._loads.append(await _Child.start("plumtrestle.load.worker", load, f"load {number}"))
+            self._loads.append(await _Child.start("testbed.load.worker", load, f"load {number}"))
         for child in self._loads:
             await child.hear()
 
--- a/plumtrestle/emulator/servers.py
+++ b/testbed/emulator/servers.py
@@ -7,12 +7,12 @@
 import re
 from collections.abc import Callable
 
-from plumtrestle import events as log
-from plumtrestle.clock import DayClock
-from plumtrestle.emulator.message import Requests, Unreadable, answer, header
-from plumtrestle.emulator.switch import Gate, Handler, Passage
-from plumtrestle.station import Job, Place, Station
-from plumtrestle.world.day import Server, Trouble
+from testbed import events as log
+from testbed.clock import DayClock
+from testbed.emulator.message import Requests, Unreadable, answer, header
+from testbed.emulator.switch import Gate, Handler, Passage
+from testbed.station import Job, Place, Station
+from testbed.world.day import Server, Trouble
 
 _WORK = re.compile(rb"[?&]work=([0-9]{1,12})")
 _ID = re.compile(rb"[0-9a-f]{16}")
--- a/plumtrestle/emulator/shard.py
+++ b/testbed/emulator/shard.py
@@ -1,4 +1,4 @@
-"""A process of stand-in servers: `python -m plumtrestle.emulator.shard`, told what to do on its input.
+"""A process of stand-in servers: `python -m testbed.emulator.shard`, told what to do on its input.
 
 First line: a `Plan` as JSON; it answers with `{server: [address for each copy]}`.  Second line: when the day
 begins, by the monotonic clock in nanoseconds.  It plays until its input ends.
@@ -14,14 +14,14 @@
 import msgspec
 import uvloop
 
-from plumtrestle import events as log
-from plumtrestle.catalog import server_lives
-from plumtrestle.clock import DayClock, watch_lateness
-from plumtrestle.emulator.servers import StandIn
-from plumtrestle.emulator.switch import Gate
-from plumtrestle.links import Links
-from plumtrestle.streams import lines_of_input, seeded
-from plumtrestle.world import Day
+from testbed import events as log
+from testbed.catalog import server_lives
+from testbed.clock import DayClock, watch_lateness
+from testbed.emulator.servers import StandIn
+from testbed.emulator.switch import Gate
+from testbed.links import Links
+from testbed.streams import lines_of_input, seeded
+from testbed.world import Day
 
 
 class Plan(msgspec.Struct, frozen=True):
--- a/plumtrestle/emulator/switch.py
+++ b/testbed/emulator/switch.py
@@ -16,8 +16,8 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from plumtrestle.clock import DayClock
-from plumtrestle.links import NEVER, Link
+from testbed.clock import DayClock
+from testbed.links import NEVER, Link
 
 _BACKLOG = 512
 _MOST_WAITING = 1 << 20  # bytes on their way in one direction; more are not read
--- a/plumtrestle/experiment/cell.py
+++ b/testbed/experiment/cell.py
@@ -1,4 +1,4 @@
-"""One cell of an experiment, in a process of its own: `python -m plumtrestle.experiment.cell`.
+"""One cell of an experiment, in a process of its own: `python -m testbed.experiment.cell`.
 
 Its input is a `Cell` as JSON; its output what the day came to.  A process of its own since variants differ in
 what is imported, and in constants.
@@ -16,17 +16,17 @@
 import msgspec
 from msgspec.structs import replace
 
-import magpiemux.balancer as module
-from plumtrestle import events as log
-from plumtrestle.emulator.play import Ground
-from plumtrestle.emulator.play import play as play_real
-from plumtrestle.experiment.variants import PARTS
-from plumtrestle.model.play import play as play_model
-from plumtrestle.report import tables
-from plumtrestle.rules import account, judge, series
-from plumtrestle.rules.history import gather
-from plumtrestle.world import Day, draw
-from plumtrestle.world.read import parse
+import balancer.balancer as module
+from testbed import events as log
+from testbed.emulator.play import Ground
+from testbed.emulator.play import play as play_real
+from testbed.experiment.variants import PARTS
+from testbed.model.play import play as play_model
+from testbed.report import tables
+from testbed.rules import account, judge, series
+from testbed.rules.history import gather
+from testbed.world import Day, draw
+from testbed.world.read import parse
 
 
 class Cell(msgspec.Struct, frozen=True):
@@ -62,7 +62,7 @@
     """The log of a cell."""
     day = drawn(cell)
     if cell.engine == "emulator":
-        with tempfile.TemporaryDirectory(prefix="plumtrestle-") as folder:
+        with tempfile.TemporaryDirectory(prefix="testbed-") as folder:
             ground = Ground(Path(folder) / "day", Path(cell.root), variant=cell.variant)
             return log.load(asyncio.run(play_real(day, ground)))
     events: list[log.Event] = []
--- a/plumtrestle/experiment/compare.py
+++ b/testbed/experiment/compare.py
@@ -8,8 +8,8 @@
 
 import numpy as np
 
-from plumtrestle.experiment.store import Key
-from plumtrestle.world.draw import stream
+from testbed.experiment.store import Key
+from testbed.world.draw import stream
 
 RESAMPLES = 2_000
 LEVEL = 0.95
--- a/plumtrestle/experiment/grid.py
+++ b/testbed/experiment/grid.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
-from plumtrestle.emulator.copies import PlayError, built
-from plumtrestle.experiment.cell import Cell
-from plumtrestle.experiment.store import Key, Store
-from plumtrestle.experiment.variants import Variant, checked_out, digest
+from testbed.emulator.copies import PlayError, built
+from testbed.experiment.cell import Cell
+from testbed.experiment.store import Key, Store
+from testbed.experiment.variants import Variant, checked_out, digest
 
 HERE = Path(__file__).resolve().parent.parent.parent
 
@@ -85,8 +85,8 @@
     if variant.commit is None:
         return tree, (str(HERE),), digest(HERE)
     # Its module with this ground: a folder that holds that package alone comes first.
-    folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="plumtrestle-")))
-    (folder / "magpiemux").symlink_to(tree / "magpiemux")
+    folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="testbed-")))
+    (folder / "balancer").symlink_to(tree / "balancer")
     return tree, (str(folder), str(HERE)), digest(HERE) + digest(tree)
 
 
@@ -125,7 +125,7 @@
         sys.executable,
         "-P",
         "-m",
-        "plumtrestle.experiment.cell",
+        "testbed.experiment.cell",
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
--- a/plumtrestle/experiment/variants.py
+++ b/testbed/experiment/variants.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from plumtrestle.emulator.copies import PlayError
-from plumtrestle.model.policies import POLICIES
+from testbed.emulator.copies import PlayError
+from testbed.model.policies import POLICIES
 
 NEVER = 1e9
 # Each part of the module with the constants that take it away.
@@ -82,7 +82,7 @@
 def digest(root: Path) -> str:
     """One name for everything that decides how a day is played: the module, the sidecar and the ground."""
     whole = hashlib.sha256()
-    for name in ("magpiemux", "micadeck", "plumtrestle"):
+    for name in ("balancer", "sidecar", "testbed"):
         for each in sorted((root / name).rglob("*.py")):
             whole.update(str(each.relative_to(root)).encode() + b"\0" + each.read_bytes())
     return whole.hexdigest()[:16]
--- a/plumtrestle/load/client.py
+++ b/testbed/load/client.py
@@ -10,10 +10,10 @@
 
 import httptools
 
-from plumtrestle import events as log
-from plumtrestle.clock import DayClock
-from plumtrestle.load.habits import MOST_RETRIES, Habits
-from plumtrestle.world import Arrival, Day
+from testbed import events as log
+from testbed.clock import DayClock
+from testbed.load.habits import MOST_RETRIES, Habits
+from testbed.world import Arrival, Day
 
 
 class Ask:
--- a/plumtrestle/load/worker.py
+++ b/testbed/load/worker.py
@@ -1,4 +1,4 @@
-"""A process of the load: `python -m plumtrestle.load.worker`, told what to do on its standard input.
+"""A process of the load: `python -m testbed.load.worker`, told what to do on its standard input.
 
 First line: a `Plan` as JSON; it answers `ready`.  Second line: when the day begins, by the monotonic clock in
 nanoseconds; it plays and answers `done`.  It ends when its input does.
@@ -13,11 +13,11 @@
 import msgspec
 import uvloop
 
-from plumtrestle import events as log
-from plumtrestle.clock import DayClock, watch_lateness
-from plumtrestle.load.client import Application
-from plumtrestle.streams import lines_of_input, seeded
-from plumtrestle.world import Day, arrivals
+from testbed import events as log
+from testbed.clock import DayClock, watch_lateness
+from testbed.load.client import Application
+from testbed.streams import lines_of_input, seeded
+from testbed.world import Day, arrivals
 
 
 class Plan(msgspec.Struct, frozen=True):
--- a/plumtrestle/model/clients.py
+++ b/testbed/model/clients.py
@@ -7,13 +7,13 @@
 from collections import deque
 from collections.abc import Callable
 
-from magpiemux.interface import RequestArrived
-from plumtrestle import events as log
-from plumtrestle.load.habits import MOST_RETRIES, Habits
-from plumtrestle.model.queue import Queue
-from plumtrestle.model.servers import Sink
-from plumtrestle.world.arrivals import Arrival
-from plumtrestle.world.day import Day
+from balancer.interface import RequestArrived
+from testbed import events as log
+from testbed.load.habits import MOST_RETRIES, Habits
+from testbed.model.queue import Queue
+from testbed.model.servers import Sink
+from testbed.world.arrivals import Arrival
+from testbed.world.day import Day
 
 Take = Callable[[int, RequestArrived, int], bool]  # whether somebody is there to take it
 
--- a/plumtrestle/model/discovery.py
+++ b/testbed/model/discovery.py
@@ -5,13 +5,13 @@
 import random
 from collections.abc import Callable
 
-from magpiemux.interface import ListedServer, ListKind, ServersListed, ServerState
-from plumtrestle import events as log
-from plumtrestle.catalog import Catalog, Change
-from plumtrestle.links import NEVER, Links
-from plumtrestle.model.queue import Queue
-from plumtrestle.model.servers import Sink
-from plumtrestle.world.day import DISCOVERY, Day
+from balancer.interface import ListedServer, ListKind, ServersListed, ServerState
+from testbed import events as log
+from testbed.catalog import Catalog, Change
+from testbed.links import NEVER, Links
+from testbed.model.queue import Queue
+from testbed.model.servers import Sink
+from testbed.world.day import DISCOVERY, Day
 
 WATCH_US = 20_000_000  # how long a sidecar's watch may wait for news
 _ANSWER_WITHIN_US = 5_000_000  # and how long it waits for an answer that is owed at once
--- a/plumtrestle/model/play.py
+++ b/testbed/model/play.py
@@ -6,23 +6,23 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-from magpiemux import Settings
-from magpiemux.adapter import settings_from_wire
-from magpiemux.interface import RequestArrived
-from plumtrestle import events as log
-from plumtrestle.catalog import server_lives
-from plumtrestle.links import NEVER, Link, Links
-from plumtrestle.load.habits import MOST_RETRIES
-from plumtrestle.model.clients import Clients
-from plumtrestle.model.discovery import ModelDiscovery
-from plumtrestle.model.policies import POLICIES, Policy, SeesTrueState
-from plumtrestle.model.queue import Queue
-from plumtrestle.model.servers import ModelServer, Sink
-from plumtrestle.model.sidecar import EPOCH_US, Sidecar
-from plumtrestle.streams import seeded
-from plumtrestle.world.arrivals import Arrival, arrivals
-from plumtrestle.world.day import Day, Trouble
-from plumtrestle.world.settings import killed_after_us, settings
+from balancer import Settings
+from balancer.adapter import settings_from_wire
+from balancer.interface import RequestArrived
+from testbed import events as log
+from testbed.catalog import server_lives
+from testbed.links import NEVER, Link, Links
+from testbed.load.habits import MOST_RETRIES
+from testbed.model.clients import Clients
+from testbed.model.discovery import ModelDiscovery
+from testbed.model.policies import POLICIES, Policy, SeesTrueState
+from testbed.model.queue import Queue
+from testbed.model.servers import ModelServer, Sink
+from testbed.model.sidecar import EPOCH_US, Sidecar
+from testbed.streams import seeded
+from testbed.world.arrivals import Arrival, arrivals
+from testbed.world.day import Day, Trouble
+from testbed.world.settings import killed_after_us, settings
 
 START_US = 150_000  # from a process's start to its readiness, as real ones take on a quiet machine
 _LISTENS_ON_US = 400_000  # after SIGTERM
--- a/plumtrestle/model/policies.py
+++ b/testbed/model/policies.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from magpiemux import Balancer, Settings
-from magpiemux.interface import (
+from balancer import Balancer, Settings
+from balancer.interface import (
     Action,
     AttemptEnded,
     Discovery,
--- a/plumtrestle/model/servers.py
+++ b/testbed/model/servers.py
@@ -5,11 +5,11 @@
 import random
 from collections.abc import Callable
 
-from plumtrestle import events as log
-from plumtrestle.links import NEVER, Links
-from plumtrestle.model.queue import Queue
-from plumtrestle.station import Job, Place, Station
-from plumtrestle.world.day import Day, Server
+from testbed import events as log
+from testbed.links import NEVER, Links
+from testbed.model.queue import Queue
+from testbed.station import Job, Place, Station
+from testbed.world.day import Day, Server
 
 Sink = Callable[[log.Event], None]
 # Told at the copy: how the attempt ended there (served, error, full, lost, refused, cut off).
--- a/plumtrestle/model/sidecar.py
+++ b/testbed/model/sidecar.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from magpiemux import Balancer
-from magpiemux.interface import (
+from balancer import Balancer
+from balancer.interface import (
     AnswerStarted,
     AttemptEnded,
     Cancel,
@@ -29,14 +29,14 @@
     Tell,
     TimerFired,
 )
-from plumtrestle.catalog import Change
-from plumtrestle.links import NEVER, Link
-from plumtrestle.model.clients import Clients
-from plumtrestle.model.discovery import WATCH_US, ModelDiscovery
-from plumtrestle.model.policies import Policy
-from plumtrestle.model.queue import Queue
-from plumtrestle.model.servers import ModelServer
-from plumtrestle.world.day import Day
+from testbed.catalog import Change
+from testbed.links import NEVER, Link
+from testbed.model.clients import Clients
+from testbed.model.discovery import WATCH_US, ModelDiscovery
+from testbed.model.policies import Policy
+from testbed.model.queue import Queue
+from testbed.model.servers import ModelServer
+from testbed.world.day import Day
 
 EPOCH_US = 1_700_000_000_000_000  # the module's clock at the day's beginning
 _IDLE_MARGIN = 0.9  # of the idle limit, after which a connection is not used again
--- a/plumtrestle/model/wire.py
+++ b/testbed/model/wire.py
@@ -1,11 +1,11 @@
-"""A policy on the simulator's wire, in place of `sim`: `python -m plumtrestle.model.wire POLICY`."""
+"""A policy on the simulator's wire, in place of `sim`: `python -m testbed.model.wire POLICY`."""
 
 from __future__ import annotations
 
 import sys
 
-from magpiemux import adapter
-from plumtrestle.model.policies import POLICIES
+from balancer import adapter
+from testbed.model.policies import POLICIES
 
 
 def main() -> int:
--- a/plumtrestle/report/page.py
+++ b/testbed/report/page.py
@@ -8,12 +8,12 @@
 from jinja2 import Environment, PackageLoader, select_autoescape
 from msgspec import to_builtins
 
-from plumtrestle.experiment.compare import Row, compared
-from plumtrestle.experiment.store import Key
-from plumtrestle.report import plots
-from plumtrestle.report.tables import plain
-from plumtrestle.rules import Account, Verdict, series
-from plumtrestle.rules.history import History
+from testbed.experiment.compare import Row, compared
+from testbed.experiment.store import Key
+from testbed.report import plots
+from testbed.report.tables import plain
+from testbed.rules import Account, Verdict, series
+from testbed.rules.history import History
 
 _MOST_BREACHES = 3
 _ONE_DAY = "one day"  # in a digest's place, where nothing is compared
@@ -38,7 +38,7 @@
 
 def page(results: Results, title: str) -> str:
     """The page as text."""
-    loader = PackageLoader("plumtrestle.report", ".")
+    loader = PackageLoader("testbed.report", ".")
     template = Environment(loader=loader, autoescape=select_autoescape()).get_template("page.html")
     worlds = [
         _world(name, engine, [each for each in results if (each[0].world, each[0].engine) == (name, engine)])
--- a/plumtrestle/report/tables.py
+++ b/testbed/report/tables.py
@@ -10,11 +10,11 @@
 from rich.markup import escape
 from rich.table import Table
 
-from plumtrestle.capacity.samples import Sample
-from plumtrestle.experiment.compare import Row
-from plumtrestle.rules import Account, Verdict
-from plumtrestle.rules.history import History
-from plumtrestle.world.day import US
+from testbed.capacity.samples import Sample
+from testbed.experiment.compare import Row
+from testbed.rules import Account, Verdict
+from testbed.rules.history import History
+from testbed.world.day import US
 
 _MOST_BREACHES = 10
 _COLOURS = {"kept": "green", "broken": "red"}
--- a/plumtrestle/rules/history.py
+++ b/testbed/rules/history.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from plumtrestle import events as log
-from plumtrestle.world.day import Day
+from testbed import events as log
+from testbed.world.day import Day
 
 _ENDS = ("killed", "ended")
 
--- a/plumtrestle/rules/judge.py
+++ b/testbed/rules/judge.py
@@ -8,10 +8,10 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from plumtrestle.events import Event, Told
-from plumtrestle.rules.history import Attempt, History, Request, gather
-from plumtrestle.world.day import US, Server
-from plumtrestle.world.settings import (
+from testbed.events import Event, Told
+from testbed.rules.history import Attempt, History, Request, gather
+from testbed.world.day import US, Server
+from testbed.world.settings import (
     ANSWER_SLACK_US,
     DRAIN_GRACE_US,
     FALL_MULTIPLE,
--- a/plumtrestle/rules/tier.py
+++ b/testbed/rules/tier.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from plumtrestle.rules.history import History
+from testbed.rules.history import History
 
 PRESENT, DEAD, LEFT = "p", "d", "l"
 BELIEFS = {
--- a/plumtrestle/scale/crew.py
+++ b/testbed/scale/crew.py
@@ -11,15 +11,15 @@
 
 import msgspec
 
-from plumtrestle import events as log
-from plumtrestle.clock import DayClock
-from plumtrestle.emulator.copies import PlayError, end_with_parent
-from plumtrestle.scale.discovery import Discovery
-from plumtrestle.scale.lag import Lag
-from plumtrestle.scale.plan import Plan, configuration, day_of
-from plumtrestle.scale.real import Real, Usage, is_true
-from plumtrestle.scale.worker import Order, Reply, Share
-from plumtrestle.streams import MOST_LINE
+from testbed import events as log
+from testbed.clock import DayClock
+from testbed.emulator.copies import PlayError, end_with_parent
+from testbed.scale.discovery import Discovery
+from testbed.scale.lag import Lag
+from testbed.scale.plan import Plan, configuration, day_of
+from testbed.scale.real import Real, Usage, is_true
+from testbed.scale.worker import Order, Reply, Share
+from testbed.streams import MOST_LINE
 
 _ANSWER_WITHIN_S = 60.0
 _ENDS_WITHIN_S = 10.0
@@ -107,9 +107,9 @@
 
     async def prepare(self) -> None:
         """Bind everybody's address, and tell all of them; nobody lives yet."""
-        if "-m micadeck" not in self._command:
-            raise PlayError(f"hollow members need `-m micadeck` in `run`: {self._command}")
-        worded = self._command.replace("-m micadeck", "-m plumtrestle.scale.worker")
+        if "-m sidecar" not in self._command:
+            raise PlayError(f"hollow members need `-m sidecar` in `run`: {self._command}")
+        worded = self._command.replace("-m sidecar", "-m testbed.scale.worker")
         self.discovery.start()
         self._lagging = asyncio.create_task(self._lag.watch())
         for number, share in enumerate(self.plan.shares()):
--- a/plumtrestle/scale/discovery.py
+++ b/testbed/scale/discovery.py
@@ -6,13 +6,13 @@
 import time
 from pathlib import Path
 
-from plumtrestle import events as log
-from plumtrestle.clock import DayClock
-from plumtrestle.emulator.discovery import StandInDiscovery
-from plumtrestle.emulator.switch import Gate
-from plumtrestle.links import Links
-from plumtrestle.streams import seeded
-from plumtrestle.world.day import DISCOVERY, Day
+from testbed import events as log
+from testbed.clock import DayClock
+from testbed.emulator.discovery import StandInDiscovery
+from testbed.emulator.switch import Gate
+from testbed.links import Links
+from testbed.streams import seeded
+from testbed.world.day import DISCOVERY, Day
 
 
 class _Counting(log.Writer):
--- a/plumtrestle/scale/figures.py
+++ b/testbed/scale/figures.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 from statistics import fmean, median
 
-from plumtrestle.capacity.samples import Sample
-from plumtrestle.scale.crew import Snapshot
-from plumtrestle.scale.plan import Plan
+from testbed.capacity.samples import Sample
+from testbed.scale.crew import Snapshot
+from testbed.scale.plan import Plan
 
 AGREES_WITHIN = 1.3  # hollow and real members' means at rest, one by the other, either way
 LAG_P99_MS, LAG_MOST_MS = (
--- a/plumtrestle/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -13,15 +13,15 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from micadeck.catalog import Listing
-from micadeck.client import Address
-from micadeck.config import Config
-from micadeck.members import Members
-from micadeck.peers import Peers
-from micadeck.sidecar import Sidecar
-from micadeck.tier.message import State
-from micadeck.tier.settings import MembershipSettings
-from micadeck.tier.view import Action, News
+from sidecar.catalog import Listing
+from sidecar.client import Address
+from sidecar.cluster.message import State
+from sidecar.cluster.settings import MembershipSettings
+from sidecar.cluster.view import Action, News
+from sidecar.config import Config
+from sidecar.members import Members
+from sidecar.peers import Peers
+from sidecar.sidecar import Sidecar
 
 _DRAINED_BYTES = 1 << 16
 
--- a/plumtrestle/scale/keep.py
+++ b/testbed/scale/keep.py
@@ -4,8 +4,8 @@
 
 from pathlib import Path
 
-from plumtrestle.capacity.samples import FOLDER, save
-from plumtrestle.scale.figures import Figures
+from testbed.capacity.samples import FOLDER, save
+from testbed.scale.figures import Figures
 
 
 def kept(figures: Figures, command: str, folder: Path = FOLDER) -> list[Path]:
--- a/plumtrestle/scale/plan.py
+++ b/testbed/scale/plan.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from plumtrestle.emulator.copies import PlayError
-from plumtrestle.world.day import Day
-from plumtrestle.world.draw import draw
-from plumtrestle.world.read import parse
-from plumtrestle.world.settings import settings
+from testbed.emulator.copies import PlayError
+from testbed.world.day import Day
+from testbed.world.draw import draw
+from testbed.world.read import parse
+from testbed.world.settings import settings
 
 MOST_PROCESSES = 200
 MOST_MEMORY_PART = 0.5  # of the machine's
--- a/plumtrestle/scale/play.py
+++ b/testbed/scale/play.py
@@ -10,10 +10,10 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from plumtrestle.scale.crew import Crew, Snapshot
-from plumtrestle.scale.figures import Case, Figures
-from plumtrestle.scale.plan import Event, Plan, check
-from plumtrestle.scale.real import knows_gone
+from testbed.scale.crew import Crew, Snapshot
+from testbed.scale.figures import Case, Figures
+from testbed.scale.plan import Event, Plan, check
+from testbed.scale.real import knows_gone
 
 _LOOK_S = 0.25  # how often it is looked whether all agree or know
 _DISCOVERY_WITHIN_S = 120.0  # that an answer is waited for after discovery's return
--- a/plumtrestle/scale/real.py
+++ b/testbed/scale/real.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any
 
-from plumtrestle import events as log
-from plumtrestle.clock import DayClock
-from plumtrestle.emulator.copies import Sidecar, _asked
-from plumtrestle.world.day import Day
+from testbed import events as log
+from testbed.clock import DayClock
+from testbed.emulator.copies import Sidecar, _asked
+from testbed.world.day import Day
 
 _GONE = "dl"  # letters of a view
 
--- a/plumtrestle/scale/worker.py
+++ b/testbed/scale/worker.py
@@ -1,4 +1,4 @@
-"""A process of hollow members: `python -m plumtrestle.scale.worker`, told what to do on its standard input.
+"""A process of hollow members: `python -m testbed.scale.worker`, told what to do on its standard input.
 
 Each line in is an `Order`, the first with a `Share`; each is answered by one `Reply`.  It ends when its input
 does, so that nothing outlives the run.
@@ -20,13 +20,13 @@
 import msgspec
 import uvloop
 
-from micadeck.config import load
-from micadeck.reload import Reload
-from micadeck.tier.membership import Membership, life_at
-from micadeck.tier.message import State
-from plumtrestle.scale.hollow import Counts, Ground, Hollow, Watch, unheard
-from plumtrestle.scale.lag import Lag
-from plumtrestle.streams import lines_of_input
+from sidecar.cluster.membership import Membership, life_at
+from sidecar.cluster.message import State
+from sidecar.config import load
+from sidecar.reload import Reload
+from testbed.scale.hollow import Counts, Ground, Hollow, Watch, unheard
+from testbed.scale.lag import Lag
+from testbed.streams import lines_of_input
 
 
 class Share(msgspec.Struct, frozen=True):
--- a/plumtrestle/tier/explore.py
+++ b/testbed/tier/explore.py
@@ -14,11 +14,11 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from micadeck.tier.membership import Membership
-from micadeck.tier.message import State
-from micadeck.tier.settings import MembershipSettings
-from micadeck.tier.view import Action, Datagram, Wake
-from plumtrestle.tier.virtual import agreed
+from sidecar.cluster.membership import Membership
+from sidecar.cluster.message import State
+from sidecar.cluster.settings import MembershipSettings
+from sidecar.cluster.view import Action, Datagram, Wake
+from testbed.tier.virtual import agreed
 
 MEMBERS = 3
 _UNIX_S = 1_780_000_000.0
--- a/plumtrestle/tier/line.py
+++ b/testbed/tier/line.py
@@ -1,7 +1,7 @@
 """Discovery's line after an outage: how soon all of a tier have an answer again; `make line`, as data.
 
-The sidecars' waits are those of the module itself (`magpiemux.Balancer`), their calls those of
-`micadeck.discovery`: a watch that broke is called anew when the module says so, and keeps its place in the
+The sidecars' waits are those of the module itself (`balancer.Balancer`), their calls those of
+`sidecar.discovery`: a watch that broke is called anew when the module says so, and keeps its place in the
 line when it is asked for again.  Modelled is discovery: it refuses while it is down; later it serves calls
 one after another, each for so long, and gives up (an answer without a list) what has stood in line for 3 s.
 Times are microseconds.
@@ -14,8 +14,8 @@
 
 import numpy as np
 
-from magpiemux import Balancer, Settings
-from magpiemux.interface import (
+from balancer import Balancer, Settings
+from balancer.interface import (
     Event,
     Follow,
     ListedServer,
@@ -24,8 +24,8 @@
     SetTimer,
     TimerFired,
 )
-from plumtrestle.capacity.samples import Sample, save
-from plumtrestle.model.queue import Queue
+from testbed.capacity.samples import Sample, save
+from testbed.model.queue import Queue
 
 SIZES = (50, 100, 200, 400, 750, 1_000)
 CALLS_MS = (1, 2, 5, 10, 20, 50)
--- a/plumtrestle/tier/measure.py
+++ b/testbed/tier/measure.py
@@ -12,9 +12,9 @@
 
 import numpy as np
 
-from micadeck.tier.message import State
-from plumtrestle.report import plots
-from plumtrestle.tier.virtual import VirtualTier
+from sidecar.cluster.message import State
+from testbed.report import plots
+from testbed.tier.virtual import VirtualTier
 
 T = TypeVar("T")
 SIZES = (5, 10, 30, 100, 300, 1_000)
--- a/plumtrestle/tier/rollouts.py
+++ b/testbed/tier/rollouts.py
@@ -14,16 +14,16 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from micadeck.tier.answer import Settled
-from micadeck.tier.exchange import Kind, write
-from micadeck.tier.message import tier_number
-from micadeck.tier.rollout import Rollout
-from micadeck.tier.settings import RolloutSettings
-from micadeck.tier.table import Table
-from micadeck.tier.tally import Tally
-from plumtrestle.capacity.samples import Sample, save
-from plumtrestle.tier.measure import many
-from plumtrestle.tier.versions import VersionedTier
+from sidecar.cluster.answer import Settled
+from sidecar.cluster.exchange import Kind, write
+from sidecar.cluster.message import tier_number
+from sidecar.cluster.rollout import Rollout
+from sidecar.cluster.settings import RolloutSettings
+from sidecar.cluster.table import Table
+from sidecar.cluster.tally import Tally
+from testbed.capacity.samples import Sample, save
+from testbed.tier.measure import many
+from testbed.tier.versions import VersionedTier
 
 SIZES = (50, 100, 200, 400, 750, 1_000)
 SEEDS = range(11, 16)  # 1 to 5 were used in tuning
--- a/plumtrestle/tier/slopes.py
+++ b/testbed/tier/slopes.py
@@ -10,8 +10,8 @@
 from concurrent.futures import Future, ProcessPoolExecutor
 from dataclasses import dataclass
 
-from plumtrestle.capacity.samples import Sample, save
-from plumtrestle.tier.trial import BACK_AFTER_S, REQUESTS_PER_S, Overdue, Trial
+from testbed.capacity.samples import Sample, save
+from testbed.tier.trial import BACK_AFTER_S, REQUESTS_PER_S, Overdue, Trial
 
 JOBS = 4
 SIZES = (50, 100, 200, 400, 750)
--- a/plumtrestle/tier/trial.py
+++ b/testbed/tier/trial.py
@@ -6,10 +6,10 @@
 
 import numpy as np
 
-from micadeck.tier.message import State
-from micadeck.tier.view import News
-from plumtrestle.capacity.samples import Sample
-from plumtrestle.tier.virtual import Process, S, Told, VirtualTier
+from sidecar.cluster.message import State
+from sidecar.cluster.view import News
+from testbed.capacity.samples import Sample
+from testbed.tier.virtual import Process, S, Told, VirtualTier
 
 REQUESTS_PER_S = 293  # 220,000 calls a second over 750 sidecars
 BACK_AFTER_S = 5.0  # a member that was restarted
--- a/plumtrestle/tier/versions.py
+++ b/testbed/tier/versions.py
@@ -1,6 +1,6 @@
 """Members in virtual time that compare their configuration's version, each with a file of its own.
 
-Every member runs `micadeck.tier` as the sidecar does; a look at the file takes no time.
+Every member runs `sidecar.cluster` as the sidecar does; a look at the file takes no time.
 """
 
 from __future__ import annotations
@@ -8,12 +8,12 @@
 import random
 from dataclasses import dataclass
 
-from micadeck.tier.answer import Ambiguous, Answer, Forgotten, Look, Missing, Settled, Step
-from micadeck.tier.exchange import is_exchange
-from micadeck.tier.rollout import Rollout
-from micadeck.tier.settings import MembershipSettings, RolloutSettings
-from micadeck.tier.view import Action, Datagram, Wake
-from plumtrestle.tier.virtual import Process, VirtualTier
+from sidecar.cluster.answer import Ambiguous, Answer, Forgotten, Look, Missing, Settled, Step
+from sidecar.cluster.exchange import is_exchange
+from sidecar.cluster.rollout import Rollout
+from sidecar.cluster.settings import MembershipSettings, RolloutSettings
+from sidecar.cluster.view import Action, Datagram, Wake
+from testbed.tier.virtual import Process, VirtualTier
 
 _NEVER = 1 << 62
 Said = Settled | Ambiguous | Missing | Forgotten
--- a/plumtrestle/tier/virtual.py
+++ b/testbed/tier/virtual.py
@@ -1,6 +1,6 @@
 """Members over a network of datagrams in virtual time: lost, late, doubled, held, cut; and who is gone.
 
-Every member runs `micadeck.tier` as the sidecar does; nothing of it is modelled.  Times are microseconds.
+Every member runs `sidecar.cluster` as the sidecar does; nothing of it is modelled.  Times are microseconds.
 """
 
 from __future__ import annotations
@@ -8,12 +8,12 @@
 import random
 from collections.abc import Callable, Iterable, Mapping, Sequence
 
-from micadeck.tier.membership import Membership
-from micadeck.tier.message import Claim, State
-from micadeck.tier.settings import MembershipSettings
-from micadeck.tier.table import Table
-from micadeck.tier.view import Action, Datagram, Doubled, News, Slept, Wake
-from plumtrestle.model.queue import Queue
+from sidecar.cluster.membership import Membership
+from sidecar.cluster.message import Claim, State
+from sidecar.cluster.settings import MembershipSettings
+from sidecar.cluster.table import Table
+from sidecar.cluster.view import Action, Datagram, Doubled, News, Slept, Wake
+from testbed.model.queue import Queue
 
 S = 1_000_000
 UNIX_S = 1_780_000_000.0  # the wall clock when virtual time begins
--- a/plumtrestle/world/arrivals.py
+++ b/testbed/world/arrivals.py
@@ -5,8 +5,8 @@
 import msgspec
 import numpy as np
 
-from plumtrestle.world.day import US, Day
-from plumtrestle.world.draw import stream
+from testbed.world.day import US, Day
+from testbed.world.draw import stream
 
 
 class Arrival(msgspec.Struct, frozen=True, array_like=True):
--- a/plumtrestle/world/draw.py
+++ b/testbed/world/draw.py
@@ -8,8 +8,8 @@
 import numpy as np
 from msgspec.structs import replace
 
-from plumtrestle.world import day, schema
-from plumtrestle.world.day import DISCOVERY, Day
+from testbed.world import day, schema
+from testbed.world.day import DISCOVERY, Day
 
 
 def stream(seed: int, subject: str) -> np.random.Generator:
--- a/plumtrestle/world/read.py
+++ b/testbed/world/read.py
@@ -9,9 +9,9 @@
 
 from pydantic import ValidationError
 
-from plumtrestle.world.schema import World
+from testbed.world.schema import World
 
-_SHIPPED = resources.files("plumtrestle.world") / "worlds"
+_SHIPPED = resources.files("testbed.world") / "worlds"
 
 
 class WorldError(Exception):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from typing import Any, TypeVar
 
-from magpiemux import Balancer, Settings
-from magpiemux.interface import (
+from balancer import Balancer, Settings
+from balancer.interface import (
     Action,
     AttemptEnded,
     Event,
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,11 +12,11 @@
 
 import uvloop
 
-from micadeck.client import Address
-from micadeck.config import parse
-from micadeck.roles import Transport
-from micadeck.sidecar import Sidecar
-from micadeck.wire import Wire
+from sidecar.client import Address
+from sidecar.config import parse
+from sidecar.roles import Transport
+from sidecar.sidecar import Sidecar
+from sidecar.wire import Wire
 
 HOST = "127.0.0.1"
 PATIENCE_S = 20.0  # how long a test waits for what must come; never what it measures
--- a/tests/oracle.py
+++ b/tests/oracle.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from micadeck.http import Malformed, RequestHead, RequestReader, ResponseHead, ResponseReader, Signal
+from sidecar.http import Malformed, RequestHead, RequestReader, ResponseHead, ResponseReader, Signal
 
 _ENDED = (h11.DONE, h11._state.MIGHT_SWITCH_PROTOCOL)
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -15,7 +15,7 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from magpiemux.adapter import run, settings_from_wire
+from balancer.adapter import run, settings_from_wire
 
 BOOT: dict[str, Any] = {
     "bounds": {"sendCap": 3, "secondCopies": True, "mayCancel": True, "streamsPerConn": 1},
@@ -159,7 +159,7 @@
     text = "".join(json.dumps(each) + "\n" for each in script)
     replies = [
         subprocess.run(
-            [sys.executable, "-m", "magpiemux.adapter"],
+            [sys.executable, "-m", "balancer.adapter"],
             input=text,
             capture_output=True,
             text=True,
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -10,9 +10,9 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from magpiemux import Balancer
-from magpiemux.interface import AttemptEnded as Ended
-from magpiemux.interface import (
+from balancer import Balancer
+from balancer.interface import AttemptEnded as Ended
+from balancer.interface import (
     Cancel,
     CloseIdle,
     Event,
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -9,11 +9,11 @@
 import msgspec
 import pytest
 
-from plumtrestle.capacity.__main__ import PAGE
-from plumtrestle.capacity.feeds import Feed, NotMeasured, figure
-from plumtrestle.capacity.fit import LAWS, FitError, fit
-from plumtrestle.capacity.page import number, pictures, render
-from plumtrestle.capacity.rows import (
+from testbed.capacity.__main__ import PAGE
+from testbed.capacity.feeds import Feed, NotMeasured, figure
+from testbed.capacity.fit import LAWS, FitError, fit
+from testbed.capacity.page import number, pictures, render
+from testbed.capacity.rows import (
     TABLE,
     Budget,
     Row,
@@ -24,7 +24,7 @@
     names_in,
     read_table,
 )
-from plumtrestle.capacity.samples import FOLDER, ROOT, Run, Sample, load_all
+from testbed.capacity.samples import FOLDER, ROOT, Run, Sample, load_all
 
 SIZES = (50, 100, 200, 400, 750)
 COST = "member.cost | rest | mean | virtual"
@@ -38,7 +38,7 @@
 
 def table(figure: str = "cost", missing: str = "", before: str = "") -> Table:
     own = {"figure": figure, "budget": "cost", "missing": missing, "before": before}
-    row = Row("member", "peace", "its cost", "time", "micadeck/members.py", **own)
+    row = Row("member", "peace", "its cost", "time", "sidecar/members.py", **own)
     budget = {"cost": Budget(100.0, "B/s", "somebody")}
     return Table({"sidecars": 750.0, "calls_per_s": 7_500.0}, budget, {"cost": COST}, [row], [])
 
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 from loopback import line
 
-from magpiemux.interface import ServerState
-from micadeck.catalog import Catalog, Inconsistent, Listing, parse_listing
+from balancer.interface import ServerState
+from sidecar.catalog import Catalog, Inconsistent, Listing, parse_listing
 
 ADDRESS = "127.0.0.1:80"
 STARTED_MS = 1_700_000_000_000
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -13,10 +13,10 @@
 from test_emulator import read_small, running_below
 from test_world import SMALL
 
-from plumtrestle import events as log
+from testbed import events as log
 
 ROOT = Path(__file__).parent.parent
-COMMAND = [sys.executable, "-m", "plumtrestle"]
+COMMAND = [sys.executable, "-m", "testbed"]
 
 
 def ran(*arguments: str | Path) -> subprocess.CompletedProcess[str]:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -13,7 +13,7 @@
 from loopback import ERROR, HOST, OK, Heard, ScriptedServer, Stage, play, request, soon, stage, until
 from test_program import GOOD, program, started
 
-from micadeck.frontend import NEXT_PHASES, ClientSide, Phase
+from sidecar.frontend import NEXT_PHASES, ClientSide, Phase
 
 
 class Raw:
@@ -297,7 +297,7 @@
                 await until(lambda: scene.sidecar.frontend.is_deserted and scene.sidecar.open_requests == 0)
             assert len(scene.heard) == 20 and scene.sidecar._owed == 0
             assert not [each for each in scene.log if "internal" in each]
-        assert not [each for each in faults if "micadeck" in repr(each)]
+        assert not [each for each in faults if "sidecar" in repr(each)]
 
     play(work)
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -11,8 +11,8 @@
 import pytest
 from helpers import MS, S, settings
 
-from magpiemux import Balancer
-from magpiemux.interface import (
+from balancer import Balancer
+from balancer.interface import (
     AttemptEnded,
     Cancel,
     Event,
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -7,8 +7,8 @@
 import pytest
 from loopback import ERROR, OK, Heard, play, soon, stage, until
 
-from micadeck import console
-from micadeck.telemetry import Telemetry
+from sidecar import console
+from sidecar.telemetry import Telemetry
 
 
 def test_it_is_ready_as_soon_as_clients_are_taken() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,9 +17,9 @@
 import pytest
 from loopback import ERROR, FULL, HOST, OK, Heard, Stage, line, play, request, stage, until
 
-from micadeck.client import ClientConnection
-from micadeck.frontend import ClientSide
-from micadeck.upstream import Call, Upstream
+from sidecar.client import ClientConnection
+from sidecar.frontend import ClientSide
+from sidecar.upstream import Call, Upstream
 
 STEPS = 120
 KINDS = ("check", "amend", "lodge")
@@ -275,10 +275,10 @@
             assert not [each for each in scene.log if "internal" in each]
             for _, answer in here.held:
                 answer.cancel()
-        await until(lambda: not [each for each in asyncio.all_tasks() if "/micadeck/" in repr(each)])
+        await until(lambda: not [each for each in asyncio.all_tasks() if "/sidecar/" in repr(each)])
         gc.collect()
         await until(lambda: sockets() <= before)
-        assert not [each for each in internal if "micadeck" in repr(each) or "protocol." in each["message"]]
+        assert not [each for each in internal if "sidecar" in repr(each) or "protocol." in each["message"]]
 
     play(work)
     assert against == []
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -9,10 +9,10 @@
 import pytest
 from loopback import HOST, OK, line, play, request, stage, until
 
-import micadeck.sidecar
-from micadeck.client import Address
-from micadeck.listener import bound
-from micadeck.sidecar import Sidecar
+import sidecar.sidecar
+from sidecar.client import Address
+from sidecar.listener import bound
+from sidecar.sidecar import Sidecar
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
         crowded.append(Crowded(own.family, own.type, own.proto, own.detach()))
         return crowded[0]
 
-    monkeypatch.setattr(micadeck.sidecar, "bound", crowd)
+    monkeypatch.setattr(sidecar.sidecar, "bound", crowd)
 
     async def work() -> None:
         async with stage(OK) as scene:
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -9,9 +9,9 @@
 import pytest
 from helpers import MS, S, Stage, names, settings
 
-from magpiemux import balancer
-from magpiemux.balancer import Server
-from magpiemux.interface import (
+from balancer import balancer
+from balancer.balancer import Server
+from balancer.interface import (
     Cancel,
     CloseIdle,
     ListedServer,
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -17,18 +17,18 @@
 from loopback import PATIENCE_S, play, soon, until
 from test_ground import a_day, trouble
 
-from plumtrestle import events as log
-from plumtrestle.clock import DayClock
-from plumtrestle.emulator.copies import PlayError, Sidecar
-from plumtrestle.emulator.play import Ground
-from plumtrestle.emulator.play import play as play_day
-from plumtrestle.emulator.switch import Gate, Handler, Passage
-from plumtrestle.links import Links
-from plumtrestle.rules import judge
-from plumtrestle.world import Day, arrivals, draw, read
+from testbed import events as log
+from testbed.clock import DayClock
+from testbed.emulator.copies import PlayError, Sidecar
+from testbed.emulator.play import Ground
+from testbed.emulator.play import play as play_day
+from testbed.emulator.switch import Gate, Handler, Passage
+from testbed.links import Links
+from testbed.rules import judge
+from testbed.world import Day, arrivals, draw, read
 
 ROOT = Path(__file__).parent.parent
-PROGRAM = f"exec {sys.executable} -m micadeck"
+PROGRAM = f"exec {sys.executable} -m sidecar"
 GENEROUS_US = 15_000_000  # how long past its time an answer may come on a busy machine
 S = 1_000_000
 
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -8,7 +8,7 @@
 from helpers import MS, START, S, Stage, names, settings
 from loopback import OK, Heard, line, play, stage, until
 
-from magpiemux.interface import (
+from balancer.interface import (
     CloseIdle,
     ListedServer,
     ListKind,
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -12,15 +12,15 @@
 from test_cli import ran
 from test_emulator import read_small
 
-from plumtrestle.emulator.copies import PlayError
-from plumtrestle.experiment.cell import Cell, drawn
-from plumtrestle.experiment.compare import compared, interval, knee
-from plumtrestle.experiment.grid import Grid, play
-from plumtrestle.experiment.store import Key, Store
-from plumtrestle.experiment.variants import PARTS, variant
-from plumtrestle.report.page import page
-from plumtrestle.world import draw, read
-from plumtrestle.world.settings import settings
+from testbed.emulator.copies import PlayError
+from testbed.experiment.cell import Cell, drawn
+from testbed.experiment.compare import compared, interval, knee
+from testbed.experiment.grid import Grid, play
+from testbed.experiment.store import Key, Store
+from testbed.experiment.variants import PARTS, variant
+from testbed.report.page import page
+from testbed.world import draw, read
+from testbed.world.settings import settings
 
 MODULE, RANDOM = variant("module"), variant("random")
 
@@ -118,7 +118,7 @@
 
 
 def test_every_part_that_can_be_switched_off_is_there() -> None:
-    import magpiemux.balancer as module
+    import balancer.balancer as module
 
     assert [name for part in PARTS.values() for name in part if not hasattr(module, name)] == []
 
@@ -158,13 +158,13 @@
 
 def test_an_earlier_commit_brings_its_own_module(tmp_path: Path) -> None:
     root = tmp_path / "repo"
-    (root / "magpiemux").mkdir(parents=True)
+    (root / "balancer").mkdir(parents=True)
 
     def git(*words: str) -> None:
         subprocess.run(["git", "-c", "user.name=t", "-c", "user.email=t@t", *words], cwd=root, check=True)
 
     git("init", "-q")
-    (root / "magpiemux" / "__init__.py").write_text("raise SystemExit('the earlier module')\n")
+    (root / "balancer" / "__init__.py").write_text("raise SystemExit('the earlier module')\n")
     git("add", "-A")
     git("commit", "-q", "-m", "x")
     grid = Grid((("small", read_small()),), (1,), (variant("commit:HEAD"),), root=root)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -10,12 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from micadeck.tier.membership import Membership
-from micadeck.tier.message import MOST_BYTES, Claim, Kind, Message, State, tier_number
-from micadeck.tier.settings import MembershipSettings
-from micadeck.tier.table import Table
-from micadeck.tier.view import Datagram
-from plumtrestle.tier.explore import Broken, World, explore
+from sidecar.cluster.membership import Membership
+from sidecar.cluster.message import MOST_BYTES, Claim, Kind, Message, State, tier_number
+from sidecar.cluster.settings import MembershipSettings
+from sidecar.cluster.table import Table
+from sidecar.cluster.view import Datagram
+from testbed.tier.explore import Broken, World, explore
 
 SIZE = 4
 PACK = msgspec.msgpack.encode
--- a/tests/test_ground.py
+++ b/tests/test_ground.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from plumtrestle.catalog import Catalog
-from plumtrestle.links import NEVER, Links
-from plumtrestle.station import Job, Place, Station
-from plumtrestle.world import Day, draw
-from plumtrestle.world.read import parse
+from testbed.catalog import Catalog
+from testbed.links import NEVER, Links
+from testbed.station import Job, Place, Station
+from testbed.world import Day, draw
+from testbed.world.read import parse
 
 S = 1_000_000
 BASE = """
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from micadeck.http import (
+from sidecar.http import (
     Malformed,
     RequestHead,
     RequestReader,
@@ -15,8 +15,8 @@
     request_head,
     response_head,
 )
-from micadeck.http.chunked import MOST_BESIDE
-from micadeck.http.grammar import HEAD_RULES, MOST_FIELDS, MOST_HEAD
+from sidecar.http.chunked import MOST_BESIDE
+from sidecar.http.grammar import HEAD_RULES, MOST_FIELDS, MOST_HEAD
 
 CHUNKED = b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from plumtrestle import events as log
-from plumtrestle.rules import account, judge
-from plumtrestle.world import Day, draw
-from plumtrestle.world.read import parse
+from testbed import events as log
+from testbed.rules import account, judge
+from testbed.world import Day, draw
+from testbed.world.read import parse
 
 WORLD = """
 name = "judged"
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -28,11 +28,11 @@
     until,
 )
 
-from magpiemux.interface import Limits, Outcome, Send
-from micadeck.catalog import parse_listing
-from micadeck.client import Message
-from micadeck.clock import Clock
-from micadeck.upstream import Call, Upstream
+from balancer.interface import Limits, Outcome, Send
+from sidecar.catalog import parse_listing
+from sidecar.client import Message
+from sidecar.clock import Clock
+from sidecar.upstream import Call, Upstream
 
 LONG = {"dialTimeoutUs": 60_000_000}  # far longer than a test waits
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -8,8 +8,8 @@
 import pytest
 from loopback import CLASSES, HOST, OK, Heard, ScriptedServer, line, play, reply, request, soon, stage, until
 
-from micadeck.config import parse
-from micadeck.sidecar import Sidecar
+from sidecar.config import parse
+from sidecar.sidecar import Sidecar
 
 Script = bytes | None
 
@@ -68,9 +68,9 @@
 ) -> None:
     async def work() -> None:
         if agent_is == "silent":
-            monkeypatch.setattr("micadeck.sidecar._FIRST_WORD_S", 0.05)
+            monkeypatch.setattr("sidecar.sidecar._FIRST_WORD_S", 0.05)
         else:
-            monkeypatch.setattr("micadeck.sidecar._FIRST_WORD_S", 3_600.0)  # a "no" is not waited out
+            monkeypatch.setattr("sidecar.sidecar._FIRST_WORD_S", 3_600.0)  # a "no" is not waited out
         script: Script = reply(b"", "503 Busy") if agent_is == "busy" else None
         server, agent = await ScriptedServer(OK).start(), await ScriptedServer(script).start()
         address = agent.address
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,10 +12,10 @@
 from loopback import play, soon, until
 from test_ground import a_day
 
-from plumtrestle import events as log
-from plumtrestle.clock import DayClock
-from plumtrestle.load.client import Application, Ask, Connection
-from plumtrestle.world import Arrival
+from testbed import events as log
+from testbed.clock import DayClock
+from testbed.load.client import Application, Ask, Connection
+from testbed.world import Arrival
 
 ARRIVAL = Arrival(0, 0, 0, 0, -1, 7, 1_000)
 Act = Callable[[Application, Connection, socket.socket], Awaitable[None]]
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,12 +7,12 @@
 
 from loopback import free_for_datagrams, play, until
 
-from micadeck.client import Address
-from micadeck.clock import Clock
-from micadeck.members import Members
-from micadeck.peers import Peers
-from micadeck.tier.settings import MembershipSettings
-from micadeck.tier.view import Size
+from sidecar.client import Address
+from sidecar.clock import Clock
+from sidecar.cluster.settings import MembershipSettings
+from sidecar.cluster.view import Size
+from sidecar.members import Members
+from sidecar.peers import Peers
 
 QUICK = MembershipSettings(least_period_ms=200)
 
--- a/tests/test_members_real.py
+++ b/tests/test_members_real.py
@@ -8,12 +8,12 @@
 from test_emulator import GENEROUS_US, ground, read_small
 from test_ground import a_day, trouble
 
-from plumtrestle import events as log
-from plumtrestle.emulator.play import play as play_day
-from plumtrestle.rules import judge
-from plumtrestle.rules.history import History, gather
-from plumtrestle.rules.tier import Agreement, agreement, looks
-from plumtrestle.world import Day, draw, read
+from testbed import events as log
+from testbed.emulator.play import play as play_day
+from testbed.rules import judge
+from testbed.rules.history import History, gather
+from testbed.rules.tier import Agreement, agreement, looks
+from testbed.world import Day, draw, read
 
 QUICK = "\n[sidecars.membership]\nleast_period_ms = 200\nsuspicion_periods = 1.0\n"
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,11 +5,11 @@
 import msgspec
 import pytest
 
-from micadeck.tier.membership import Membership
-from micadeck.tier.message import MOST_BYTES, Claim, Kind, Message, State, tier_number, write
-from micadeck.tier.settings import MembershipSettings
-from micadeck.tier.view import Datagram, Doubled, News, Slept
-from plumtrestle.tier.virtual import VirtualTier
+from sidecar.cluster.membership import Membership
+from sidecar.cluster.message import MOST_BYTES, Claim, Kind, Message, State, tier_number, write
+from sidecar.cluster.settings import MembershipSettings
+from sidecar.cluster.view import Datagram, Doubled, News, Slept
+from testbed.tier.virtual import VirtualTier
 
 HEALED_S = 60.0  # the bound that docs/membership.md states for tiers of up to 20, at rest
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -11,8 +11,8 @@
 from test_ground import trouble
 from test_judge import WORLD, judged_day
 
-from magpiemux.adapter import settings_from_wire
-from magpiemux.interface import (
+from balancer.adapter import settings_from_wire
+from balancer.interface import (
     AttemptEnded,
     ListedServer,
     ListKind,
@@ -21,13 +21,13 @@
     Send,
     ServersListed,
 )
-from plumtrestle import events as log
-from plumtrestle.model.play import play, play_into
-from plumtrestle.model.policies import POLICIES, SeesTrueState
-from plumtrestle.rules import account, judge
-from plumtrestle.world import Day, draw, read, shipped_worlds
-from plumtrestle.world.read import parse
-from plumtrestle.world.settings import settings
+from testbed import events as log
+from testbed.model.play import play, play_into
+from testbed.model.policies import POLICIES, SeesTrueState
+from testbed.rules import account, judge
+from testbed.world import Day, draw, read, shipped_worlds
+from testbed.world.read import parse
+from testbed.world.settings import settings
 
 
 def modelled(day: Day, policy: str = "module") -> list[log.Event]:
@@ -125,7 +125,7 @@
 
 
 def test_a_baseline_speaks_on_the_simulators_wire() -> None:
-    command = [sys.executable, "-m", "plumtrestle.model.wire"]
+    command = [sys.executable, "-m", "testbed.model.wire"]
     batch = '["FRAME",1]\n["COMMIT"]\n'
     done = subprocess.run([*command, "best-of-2"], input=batch, capture_output=True, text=True, check=False)
     assert (done.returncode, done.stdout) == (0, '["DONE"]\n')
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -19,7 +19,7 @@
     assert found is not None and found.loader is not None
     module = importlib.util.module_from_spec(found)
     found.loader.exec_module(module)
-    for name in ("magpiemux", "micadeck"):
+    for name in ("balancer", "sidecar"):
         (tmp_path / name).mkdir()
         (tmp_path / name / "one.py").write_text("VALUE = 1\n")
     (tmp_path / "tools.txt").write_text("")
@@ -28,7 +28,7 @@
         NATIVE=tmp_path / "build" / "native",
         KEPT=tmp_path / "build" / "compiled",
         TOOLS=tmp_path / "tools.txt",
-        COMPILED=("magpiemux/one.py",),
+        COMPILED=("balancer/one.py",),
     )
     return module
 
@@ -38,9 +38,9 @@
     calls: list[str] = []
 
     def compile_into(kept: Path) -> None:
-        calls.append((native.ROOT / "magpiemux" / "one.py").read_text())
-        (kept / "magpiemux").mkdir(parents=True)
-        (kept / "magpiemux" / "one.so").write_text(calls[-1])
+        calls.append((native.ROOT / "balancer" / "one.py").read_text())
+        (kept / "balancer").mkdir(parents=True)
+        (kept / "balancer" / "one.so").write_text(calls[-1])
 
     monkeypatch.setattr(native, "compile_into", compile_into)
     return calls
@@ -52,13 +52,13 @@
     # Guards against a library that is older than the source it stands before.
     calls = compiled(native, monkeypatch)
     assert native.main() == native.main() == 0
-    (native.ROOT / "micadeck" / "one.py").write_text("VALUE = 2\n")
+    (native.ROOT / "sidecar" / "one.py").write_text("VALUE = 2\n")
     assert native.main() == 0
-    assert len(calls) == 1 and (native.NATIVE / "micadeck" / "one.py").read_text() == "VALUE = 2\n"
-    (native.ROOT / "magpiemux" / "one.py").write_text("VALUE = 3\n")
+    assert len(calls) == 1 and (native.NATIVE / "sidecar" / "one.py").read_text() == "VALUE = 2\n"
+    (native.ROOT / "balancer" / "one.py").write_text("VALUE = 3\n")
     assert native.main() == 0
     assert calls[1:] == ["VALUE = 3\n"]
-    assert (native.NATIVE / "magpiemux" / "one.so").read_text() == "VALUE = 3\n"
+    assert (native.NATIVE / "balancer" / "one.so").read_text() == "VALUE = 3\n"
 
 
 def test_where_the_compiler_fails_the_sources_serve(
@@ -71,8 +71,8 @@
         raise subprocess.CalledProcessError(1, "mypyc")
 
     monkeypatch.setattr(native, "compile_into", broken)
-    (native.ROOT / "magpiemux" / "one.py").write_text("VALUE = 4\n")
+    (native.ROOT / "balancer" / "one.py").write_text("VALUE = 4\n")
     assert native.main() == 0
-    assert (native.NATIVE / "magpiemux" / "one.py").read_text() == "VALUE = 4\n"
-    assert not (native.NATIVE / "magpiemux" / "one.so").exists()
+    assert (native.NATIVE / "balancer" / "one.py").read_text() == "VALUE = 4\n"
+    assert not (native.NATIVE / "balancer" / "one.so").exists()
     assert "not compiled" in capsys.readouterr().err
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -5,10 +5,10 @@
 import re
 from pathlib import Path
 
-from magpiemux.interface import Outcome
+from balancer.interface import Outcome
 
 ROOT = Path(__file__).parent.parent
-MODULE = (ROOT / "magpiemux" / "balancer.py").read_text(encoding="utf-8")
+MODULE = (ROOT / "balancer" / "balancer.py").read_text(encoding="utf-8")
 
 
 def test_every_log_line_stands_on_the_on_call_page() -> None:
@@ -39,7 +39,7 @@
 
 def test_every_line_of_the_sidecar_stands_on_the_on_call_page() -> None:
     page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
-    source = "".join(each.read_text(encoding="utf-8") for each in (ROOT / "micadeck").glob("*.py"))
+    source = "".join(each.read_text(encoding="utf-8") for each in (ROOT / "sidecar").glob("*.py"))
     written = re.findall(r'(?:log|print)\(\s*f?"([^"]*)"', source)
     assert len(written) >= 8
     for text in written:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,7 +7,7 @@
 
 from loopback import free_for_datagrams, play, soon
 
-from micadeck.peers import Peers
+from sidecar.peers import Peers
 
 
 def test_peers_hear_one_another_and_nobody_else() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -73,7 +73,7 @@
     path = tmp_path / "config.json"
     path.write_text(given if isinstance(given, str) else json.dumps(given))
     done = subprocess.run(
-        [sys.executable, "-m", "micadeck"],
+        [sys.executable, "-m", "sidecar"],
         cwd=ROOT,
         env={**os.environ, "BALANCER_CONFIG": str(path)},
         capture_output=True,
@@ -83,7 +83,7 @@
     )
     assert done.returncode == 2
     assert done.stdout == "" and done.stderr.count("\n") == 1
-    assert done.stderr.startswith(f"micadeck: config: {key}")
+    assert done.stderr.startswith(f"sidecar: config: {key}")
 
 
 class Program:
@@ -102,7 +102,7 @@
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "micadeck",
+        "sidecar",
         cwd=ROOT,
         env={**os.environ, "BALANCER_CONFIG": str(config), **(environ or {})},
         stderr=asyncio.subprocess.PIPE,
@@ -221,6 +221,6 @@
             second = await started(path)
             _, told = await soon(second.communicate())
             assert second.returncode == 1
-            assert told.startswith(b"micadeck: can't listen: ") and told.count(b"\n") == 1
+            assert told.startswith(b"sidecar: can't listen: ") and told.count(b"\n") == 1
 
     play(work)
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -12,8 +12,8 @@
 import pytest
 from loopback import CLASSES, HOST, OK, ScriptedServer, free_for_datagrams, line, play, request
 
-from micadeck.config import parse
-from micadeck.sidecar import Sidecar
+from sidecar.config import parse
+from sidecar.sidecar import Sidecar
 
 WITHIN_S = 10.0  # nine in ten restarted processes have to be ready by then
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,10 +14,10 @@
 from loopback import ScriptedServer as Server
 from test_program import GOOD, program
 
-from micadeck.config import parse
-from micadeck.handover import Handover
-from micadeck.listener import inherited
-from micadeck.sidecar import Sidecar
+from sidecar.config import parse
+from sidecar.handover import Handover
+from sidecar.listener import inherited
+from sidecar.sidecar import Sidecar
 
 
 def test_a_reload_that_carries_other_settings_takes_none_of_them_and_says_so(tmp_path: Path) -> None:
@@ -79,7 +79,7 @@
 ) -> None:
     # Guards against new work to an excluded server in the tenth of a second between two looks at the file.
     async def work() -> None:
-        monkeypatch.setattr("micadeck.handover._LOOK_EVERY_S", 3_600.0)
+        monkeypatch.setattr("sidecar.handover._LOOK_EVERY_S", 3_600.0)
         servers = [await Server(OK).start() for _ in range(2)]
         lines = [line(f"s-{index}", each.address) for index, each in enumerate(servers)]
         given = {
@@ -192,6 +192,6 @@
                 assert answer.status in (200, 502, 503, 504)
             await until(lambda: scene.sidecar.open_requests == 0)
             assert not [each for each in scene.log if "internal" in each]
-        assert not [each for each in internal if "micadeck" in repr(each)]
+        assert not [each for each in internal if "sidecar" in repr(each)]
 
     play(work)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from micadeck.tier.answer import MOST_NAMED, Ambiguous, Forgotten, Look, Missing, Settled
-from micadeck.tier.exchange import LAST_VERSION, LAST_WAVE, Kind, is_exchange, write
-from micadeck.tier.message import tier_number
-from micadeck.tier.rollout import Rollout
-from micadeck.tier.settings import RolloutSettings
-from micadeck.tier.table import Table
-from micadeck.tier.tally import Tally, bit
-from micadeck.tier.view import Datagram
-from plumtrestle.tier.versions import File, Versioned, VersionedTier
-from plumtrestle.tier.virtual import Process
+from sidecar.cluster.answer import MOST_NAMED, Ambiguous, Forgotten, Look, Missing, Settled
+from sidecar.cluster.exchange import LAST_VERSION, LAST_WAVE, Kind, is_exchange, write
+from sidecar.cluster.message import tier_number
+from sidecar.cluster.rollout import Rollout
+from sidecar.cluster.settings import RolloutSettings
+from sidecar.cluster.table import Table
+from sidecar.cluster.tally import Tally, bit
+from sidecar.cluster.view import Datagram
+from testbed.tier.versions import File, Versioned, VersionedTier
+from testbed.tier.virtual import Process
 
 IN_FORCE_S = 6.0  # the bound with its margin of two
 S = 1_000_000
@@ -284,7 +284,7 @@
 
 def test_more_members_than_one_datagram_holds(monkeypatch: pytest.MonkeyPatch) -> None:
     for name, value in (("tally.PIECE", 8), ("tally._PIECE_MASK", 0xFF), ("rollout.PIECE", 8)):
-        monkeypatch.setattr(f"micadeck.tier.{name}", value)
+        monkeypatch.setattr(f"sidecar.cluster.{name}", value)
     tier = VersionedTier(41, is_membership_on=False)  # six pieces, the last of one member
     assert tier.until_known(60.0) is not None
     tier.publish(2, first=40, members=range(40, 41))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
 import pytest
 from helpers import MS, START, S, Stage, names, settings
 
-from magpiemux.interface import (
+from balancer.interface import (
     AttemptEnded,
     Cancel,
     CloseIdle,
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from plumtrestle.capacity.samples import Sample, SampleError, load, load_all, save
+from testbed.capacity.samples import Sample, SampleError, load, load_all, save
 
 
 def test_what_is_saved_is_read_again(tmp_path: Path) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,17 +16,17 @@
 from msgspec.structs import replace
 from test_emulator import PROGRAM, ROOT, running_below
 
-from micadeck.tier.message import State
-from micadeck.tier.view import News
-from plumtrestle import cli
-from plumtrestle.capacity.samples import load_all
-from plumtrestle.emulator.copies import PlayError
-from plumtrestle.scale.crew import Snapshot
-from plumtrestle.scale.figures import Figures
-from plumtrestle.scale.hollow import Ground, Watch, drain
-from plumtrestle.scale.keep import kept
-from plumtrestle.scale.plan import RACK, Event, Plan, check, fitted
-from plumtrestle.scale.play import play
+from sidecar.cluster.message import State
+from sidecar.cluster.view import News
+from testbed import cli
+from testbed.capacity.samples import load_all
+from testbed.emulator.copies import PlayError
+from testbed.scale.crew import Snapshot
+from testbed.scale.figures import Figures
+from testbed.scale.hollow import Ground, Watch, drain
+from testbed.scale.keep import kept
+from testbed.scale.plan import RACK, Event, Plan, check, fitted
+from testbed.scale.play import play
 
 GENEROUS_S = 120.0  # that an event's end is waited for; never what is measured
 SMALL = Plan(
@@ -83,8 +83,8 @@
 _ENDED = """
 import asyncio, sys
 from pathlib import Path
-from plumtrestle.scale.plan import Event, Plan
-from plumtrestle.scale.play import play
+from testbed.scale.plan import Event, Plan
+from testbed.scale.play import play
 plan = Plan(members=8, real=2, off=1, workers=2, events=(Event.REST,), rest_s=600.0)
 asyncio.run(play(plan, Path(sys.argv[1]), sys.argv[2], print, Path(sys.argv[3])))
 """
@@ -133,7 +133,7 @@
 def test_the_command_refuses_with_the_code_for_what_cannot_be_done(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(sys, "argv", ["plumtrestle", "scale", "-n", "20000", "--workers", "180"])
+    monkeypatch.setattr(sys, "argv", ["sidecar-testbed", "scale", "-n", "20000", "--workers", "180"])
     with pytest.raises(SystemExit) as ended:
         cli.main()
     assert ended.value.code == cli.USER_ERROR
@@ -220,7 +220,7 @@
     figures.between(figures.case("kill"), first, _snapshot(10.0, 10, (80.0, 90.0)), set())
     figures.between(figures.case("zone"), first, _snapshot(10.0, 10, (4.0, 20.0), cpu_s=9.9), set())
     assert {each.case for each in figures.usable} == {"rest"}
-    kept(figures, "plumtrestle scale", tmp_path)
+    kept(figures, "sidecar-testbed scale", tmp_path)
     usable, unusable = sorted(load_all(tmp_path), key=lambda each: not each.valid)
     assert (usable.valid, unusable.valid) == (True, False)
     assert {each.case for each in unusable.samples} == {"kill", "zone"}
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,8 +9,8 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from magpiemux import Balancer, Settings
-from magpiemux.interface import Discovery, Repeat, RequestArrived
+from balancer import Balancer, Settings
+from balancer.interface import Discovery, Repeat, RequestArrived
 
 LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -10,8 +10,8 @@
 import pytest
 from loopback import HOST, OK, Heard, play, request, stage, until
 
-from magpiemux import Settings
-from magpiemux.interface import (
+from balancer import Settings
+from balancer.interface import (
     Action,
     AttemptEnded,
     Cancel,
@@ -69,7 +69,7 @@
 def scripted(monkeypatch: pytest.MonkeyPatch) -> Callable[[Callable[[Event], list[Action]]], Scripted]:
     def use(decide: Callable[[Event], list[Action]]) -> Scripted:
         balancer = Scripted(decide)
-        monkeypatch.setattr("micadeck.sidecar.Balancer", balancer)
+        monkeypatch.setattr("sidecar.sidecar.Balancer", balancer)
         return balancer
 
     return use
@@ -131,7 +131,7 @@
     # Guards against windows that shut, and servers held for slow, because this process is busy.
     async def work() -> None:
         balancer = scripted(on_arrival(lambda number: Send(number, "s-0", FAR)))
-        monkeypatch.setattr("micadeck.wire.Wire.unread_us", lambda wire: 3_600_000_000)
+        monkeypatch.setattr("sidecar.wire.Wire.unread_us", lambda wire: 3_600_000_000)
         async with stage(OK) as scene:
             assert (await scene.ask()).status == 200
             (ended,) = balancer.heard(AttemptEnded)
@@ -318,6 +318,6 @@
             client = await scene.client()
             client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await client.answer()).status == 200
-        assert [each for each in faults if "micadeck" in repr(each) or "protocol." in each["message"]] == []
+        assert [each for each in faults if "sidecar" in repr(each) or "protocol." in each["message"]] == []
 
     play(work)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from plumtrestle.capacity.samples import Sample
-from plumtrestle.tier.slopes import CASES, played
-from plumtrestle.tier.trial import Overdue, Trial
+from testbed.capacity.samples import Sample
+from testbed.tier.slopes import CASES, played
+from testbed.tier.trial import Overdue, Trial
 
 SIZE = 20
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -11,7 +11,7 @@
 from loopback import Stage as Scene
 from test_evacuation import health
 
-from magpiemux.interface import (
+from balancer.interface import (
     AnswerStarted,
     AttemptEnded,
     Cancel,
@@ -22,8 +22,8 @@
     RequestComplete,
     RequestGone,
 )
-from micadeck import client, sidecar, stream, upstream
-from micadeck.stream import Upload, part_of_budget
+from sidecar import client, sidecar, stream, upstream
+from sidecar.stream import Upload, part_of_budget
 
 LONG = 3 << 20
 
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -11,8 +11,8 @@
 from hypothesis import settings as how
 from hypothesis import strategies as st
 
-from micadeck.tier import message
-from micadeck.tier.exchange import (
+from sidecar.cluster import message
+from sidecar.cluster.exchange import (
     LAST_VERSION,
     LAST_WAVE,
     MOST_AGE,
@@ -22,13 +22,13 @@
     read,
     write,
 )
-from micadeck.tier.message import MOST_BYTES, MOST_MEMBERS, Unfit, tier_number
-from micadeck.tier.rollout import Rollout
-from micadeck.tier.settings import RolloutSettings
-from micadeck.tier.table import Table
-from micadeck.tier.tally import NO_DIGEST, PIECE, Tally, bit, members, unpacked
-from micadeck.tier.view import Datagram
-from plumtrestle.tier.versions import File, VersionedTier
+from sidecar.cluster.message import MOST_BYTES, MOST_MEMBERS, Unfit, tier_number
+from sidecar.cluster.rollout import Rollout
+from sidecar.cluster.settings import RolloutSettings
+from sidecar.cluster.table import Table
+from sidecar.cluster.tally import NO_DIGEST, PIECE, Tally, bit, members, unpacked
+from sidecar.cluster.view import Datagram
+from testbed.tier.versions import File, VersionedTier
 
 SIZE = 5
 TIER = tier_number("a")
--- a/tests/test_tier_sized.py
+++ b/tests/test_tier_sized.py
@@ -6,7 +6,7 @@
 
 from helpers import MS, Stage, names, settings
 
-from magpiemux.interface import Follow, ListedServer, ListKind, Outcome, ServersListed, TierSized
+from balancer.interface import Follow, ListedServer, ListKind, Outcome, ServersListed, TierSized
 
 TIER = 16  # from twice as many on, waits are as long as being told in time allows
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -29,11 +29,11 @@
 )
 from test_program import GOOD, ended, started
 
-from micadeck.config import parse
-from micadeck.handover import Handover
-from micadeck.listener import inherited
-from micadeck.presence import Presence
-from micadeck.sidecar import Sidecar
+from sidecar.config import parse
+from sidecar.handover import Handover
+from sidecar.listener import inherited
+from sidecar.presence import Presence
+from sidecar.sidecar import Sidecar
 
 
 @dataclass
@@ -174,7 +174,7 @@
                 process = await started(tmp_path / "config.json", environ, passed)
                 _, told = await soon(process.communicate())
                 assert process.returncode == 2
-                assert told.startswith(b"micadeck: config: BALANCER_SOCKET_FD: ") and told.count(b"\n") == 1
+                assert told.startswith(b"sidecar: config: BALANCER_SOCKET_FD: ") and told.count(b"\n") == 1
 
     play(work)
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -18,11 +18,11 @@
     until,
 )
 
-from magpiemux.interface import Limits, Outcome
-from micadeck.catalog import parse_listing
-from micadeck.client import Message
-from micadeck.clock import Clock
-from micadeck.upstream import Call, Upstream
+from balancer.interface import Limits, Outcome
+from sidecar.catalog import parse_listing
+from sidecar.client import Message
+from sidecar.clock import Clock
+from sidecar.upstream import Call, Upstream
 
 
 def at_the_sidecar(scene: Stage) -> int:
@@ -193,8 +193,8 @@
 
 
 def test_load_reports_reach_the_decisions_and_nonsense_does_not() -> None:
-    from micadeck.client import Response
-    from micadeck.upstream import load_report
+    from sidecar.client import Response
+    from sidecar.upstream import load_report
 
     def read(text: bytes) -> dict[str, float] | None:
         return load_report(Response(200, [(b"server-load", text)], b""), ("qps", "util"))
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -19,19 +19,19 @@
 from test_ground import a_day, trouble
 from test_program import GOOD
 
-from micadeck.client import Address
-from micadeck.config import Config, ConfigError, parse
-from micadeck.sidecar import Sidecar
-from micadeck.tier.exchange import Kind, write
-from micadeck.tier.message import tier_number
-from micadeck.tier.settings import RolloutSettings
-from micadeck.tier.tally import Tally
-from plumtrestle import events as log
-from plumtrestle.clock import DayClock
-from plumtrestle.emulator.copies import Sidecar as Copy
-from plumtrestle.emulator.copies import _asked
-from plumtrestle.emulator.datagrams import Relay
-from plumtrestle.links import Links
+from sidecar.client import Address
+from sidecar.cluster.exchange import Kind, write
+from sidecar.cluster.message import tier_number
+from sidecar.cluster.settings import RolloutSettings
+from sidecar.cluster.tally import Tally
+from sidecar.config import Config, ConfigError, parse
+from sidecar.sidecar import Sidecar
+from testbed import events as log
+from testbed.clock import DayClock
+from testbed.emulator.copies import Sidecar as Copy
+from testbed.emulator.copies import _asked
+from testbed.emulator.datagrams import Relay
+from testbed.links import Links
 
 QUICK = {"rollout": {"wave_s": 5, "datagrams_per_s": 5, "spread_s": 0, "digest_of": ["peers", "membership"]}}
 
@@ -193,12 +193,12 @@
     own, other = free_for_datagrams(2)
     program = f"""
 import asyncio, sys
-from micadeck.config import parse
-from micadeck.sidecar import Sidecar
+from sidecar.config import parse
+from sidecar.sidecar import Sidecar
 async def work():
     sidecar = Sidecar(parse({given(own, other)!r}), print)
     await sidecar.start()
-    assert "micadeck.tier.membership" in sys.modules
+    assert "sidecar.cluster.membership" in sys.modules
     assert not [name for name in sys.modules if "rollout" in name or "tally" in name or "exchange" in name]
     sidecar.close()
 asyncio.run(work())
@@ -330,7 +330,7 @@
 
 def test_every_line_about_versions_stands_on_the_on_call_page() -> None:
     page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
-    source = (ROOT / "micadeck" / "rollout.py").read_text(encoding="utf-8")
+    source = (ROOT / "sidecar" / "rollout.py").read_text(encoding="utf-8")
     written = re.findall(r'f"(configuration: [^"]*)"', source) + re.findall(r'f"\{version\}([^"]*)"', source)
     assert len(written) == 6
     for text in written:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from micadeck.roles import Transport
-from micadeck.wire import Wire
+from sidecar.roles import Transport
+from sidecar.wire import Wire
 
 
 class Lent:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from plumtrestle.world import Arrival, Day, WorldError, arrivals, draw, read, shipped_worlds
-from plumtrestle.world.read import parse
+from testbed.world import Arrival, Day, WorldError, arrivals, draw, read, shipped_worlds
+from testbed.world.read import parse
 
 SMALL = """
 name = "small"
