--- a/testbed/capacity/fit.py
+++ b/testbed/capacity/fit.py
@@ -9,6 +9,7 @@
 import numpy as np
 
 LEAST_SIZES = 4
+_ROUNDING = 1e-12  # part of the largest value; a smaller residual depends on the linear algebra library
 _TIE = 0.98  # a law with a slope has to leave less than this part of what a flat one leaves
 # Law: what its slope is multiplied by.  The first that leaves as little as any is taken.
 LAWS: dict[str, Callable[[float], float]] = {
@@ -67,6 +68,8 @@
     found = np.linalg.lstsq(matrix, values, rcond=None)[0]
     left = values - matrix @ found
     residual = math.sqrt(float(left @ left) / max(len(points) - len(columns), 1))
+    if residual < _ROUNDING * float(np.max(np.abs(values))):
+        residual = 0.0
     weights = [float(each) / scale for each, scale in zip(found, scales, strict=True)]
     slope = weights[1] if law != "flat" else 0.0
     return Fit(law, weights[0], slope, residual, sizes, len(points), _widest(points, sizes))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -71,6 +71,10 @@
     assert found.stretch(100) == 1.0
 
 
+def test_a_residual_of_rounding_errors_is_zero() -> None:
+    assert fit([(size, 41.0 + 146.0 * size) for size in SIZES]).residual == 0.0
+
+
 def test_what_does_not_grow_is_flat() -> None:
     found = fit([(size, 25.0) for size in SIZES])
     assert (found.law, found.slope, found.widest) == ("flat", 0.0, 0.0)
