--- a/balancer/adapter.py
+++ b/balancer/adapter.py
@@ -241,10 +241,10 @@
     return EndpointEntry(
         server=_text(line[0]),
         zone=_text(line[1]),
-        kind=_text(line[2]),
+        machine_type=_text(line[2]),
         cell=_whole(line[3]),
         state=_word(line[4], _STATES),
-        nominal=float(nominal),
+        nominal_capacity=float(nominal),
         started_at=started or None,
     )
 
@@ -258,8 +258,8 @@
         key=_optional_whole(m[5]),
         remaining_us=_whole(m[6]),
         cost_us=_optional_whole(m[7]) if flags & _HINT_VALID else None,
-        client_retry=bool(flags & _CLIENT_RETRY),
-        write=bool(flags & _WRITE),
+        is_client_retry=bool(flags & _CLIENT_RETRY),
+        is_write=bool(flags & _WRITE),
     )
 
 
@@ -274,8 +274,8 @@
         server=_text(m[4]),
         outcome=_word(m[5], _OUTCOMES),
         elapsed_us=_whole(m[6]),
-        answered=_flag(m[7]),
-        report=_report(m[8]) if len(m) > 8 else None,
+        is_request_answered=_flag(m[7]),
+        load_report=_report(m[8]) if len(m) > 8 else None,
     )
 
 
@@ -297,15 +297,15 @@
 
 # Action type -> how to write it, after the instance's name.
 _ACTIONS: dict[type[Any], tuple[str, Callable[[Any], list[Any]]]] = {
-    SendAttempt: ("ASSIGN", lambda a: [a.request, a.server, a.until]),
+    SendAttempt: ("ASSIGN", lambda a: [a.request, a.server, a.deadline]),
     Reject: ("NOT_NOW", lambda a: [a.request, a.retry_after_us]),
     Fail: ("SURRENDER", lambda a: [a.request]),
     CancelAttempt: ("ABORT_ATTEMPT", lambda a: [a.request, a.attempt]),
-    SetTimer: ("REMIND", lambda a: [a.in_us, a.token]),
+    SetTimer: ("REMIND", lambda a: [a.delay_us, a.token]),
     HealthCheck: ("CHECK", lambda a: [a.server]),
     CloseIdleConnections: ("SHUT_IDLE", lambda a: [a.server]),
     SendPeerMessage: ("POST", lambda a: [_EVERY_PEER if a.receiver is None else a.receiver, a.payload.hex()]),
-    WatchEndpoints: ("FOLLOW", lambda a: [a.wanted]),
+    WatchEndpoints: ("FOLLOW", lambda a: [a.is_enabled]),
     PollEndpoints: ("REFRESH", lambda a: []),
     Log: ("REMARK", lambda a: [a.text]),
 }
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -282,8 +282,8 @@
         self._random = random.Random(seed)
         self._classes = {each.name: each for each in settings.classes}
         self._tenants = {each.name: each for each in settings.tenants}
-        self._all_shares = sum(each.share for each in settings.tenants) or 1.0
-        self._longest_aim = max(each.aim_us for each in settings.classes)
+        self._all_shares = sum(each.quota_share for each in settings.tenants) or 1.0
+        self._longest_aim = max(each.latency_objective_us for each in settings.classes)
         self._now = 0
         self._actions: list[Action] = []
         self._servers: dict[str, Server] = {}  # every server ever listed
@@ -317,9 +317,9 @@
         self._extra = EXTRA_PER_REQUEST * EXTRA_SAVED / 2
         self._trials = TRIALS_SAVED
         self._mean_cost: dict[str, float] = {}
-        self._arrivals = Rate(RATE_SPANS * settings.rules.fall_us)
-        self._served_warm = Rate(RATE_SPANS * settings.rules.fall_us)
-        self._sent = Rate(RATE_SPANS * settings.rules.fall_us)
+        self._arrivals = Rate(RATE_SPANS * settings.guarantees.overload_window_us)
+        self._served_warm = Rate(RATE_SPANS * settings.guarantees.overload_window_us)
+        self._sent = Rate(RATE_SPANS * settings.guarantees.overload_window_us)
         self._norms: dict[tuple[str, int], float] = {}  # usual time of a class and size, over all servers
         self._spent = 0.0  # the part of its aim that the typical answer takes
         self._cores: float | None = None  # how busy servers report their cores, on average; None: not at all
@@ -387,7 +387,7 @@
         """
         if self._settings.discovery is DiscoveryMode.ON_REQUEST:
             self._actions.append(WatchEndpoints(True))
-            self._ask_in(ASK_AGAIN_MOST * self._settings.rules.ask_within_us)
+            self._ask_in(ASK_AGAIN_MOST * self._settings.guarantees.max_poll_interval_us)
 
     def _ask_in(self, wait: float) -> None:
         """Ask after this wait, in place of any earlier plan."""
@@ -400,9 +400,9 @@
         A tier calls one service, which serves calls one after another: the larger the tier, the longer the
         waits.  The first is by chance, since calls fail together; later ones hardly differ, to stay spread.
         """
-        first = max(ASK_AGAIN, ASK_AGAIN_EACH * self._settings.group_size * self._present)
+        first = max(ASK_AGAIN, ASK_AGAIN_EACH * self._settings.cluster_size * self._present)
         wait = min(first * 2**self._failed_calls, max(ASK_AGAIN_MOST, 2.0 * first))
-        wait = min(wait * self._settings.rules.ask_within_us, ASK_AGAIN_LONGEST * TOLD_US)
+        wait = min(wait * self._settings.guarantees.max_poll_interval_us, ASK_AGAIN_LONGEST * TOLD_US)
         self._ask_in(wait * self._random.uniform(0.8 if self._failed_calls else 0.0, 1.0))
         self._failed_calls = min(self._failed_calls + 1, 8)
 
@@ -414,11 +414,11 @@
             self._failed_calls = 0
             self._ask_due = None
         if event.kind is not EndpointListKind.CHANGES:
-            listed = {line.server for line in event.servers}
+            listed = {line.server for line in event.entries}
             for server in self._servers.values():
                 if server.name not in listed:
                     self._state_heard(server, EndpointState.GONE)
-        for line in event.servers:
+        for line in event.entries:
             self._server_listed(line)
         self._take_stock()
 
@@ -438,9 +438,9 @@
         server = self._known(line.server)
         server.zone = line.zone
         server.cell = line.cell
-        if server.state is EndpointState.GONE or line.nominal != server.nominal:
+        if server.state is EndpointState.GONE or line.nominal_capacity != server.nominal:
             server.pace = 0.0  # to be set by its nominal size
-        server.nominal = max(line.nominal, 0.0)
+        server.nominal = max(line.nominal_capacity, 0.0)
         self._state_heard(server, line.state)
         if line.started_at is not None and line.started_at != server.started_at:
             server.started_at = line.started_at
@@ -504,7 +504,7 @@
 
         On hearing of it, and again whenever an attempt still out there ends and leaves its connection idle.
         """
-        if self._settings.rules.close_idle_within_us is not None and not server.is_wanted:
+        if self._settings.guarantees.close_idle_within_us is not None and not server.is_wanted:
             self._actions.append(CloseIdleConnections(server.name))
 
     # -----------------------------------------------------------------------------------------------
@@ -519,9 +519,9 @@
         self._extra = min(self._extra + EXTRA_PER_REQUEST, EXTRA_PER_REQUEST * EXTRA_SAVED)
         self._trials = min(self._trials + TRIALS_PER_REQUEST / self._present, TRIALS_SAVED)
         cost = self._relative_cost(kind, event.cost_us)
-        request = Request(event.request, kind, self._now + ARRIVAL_US, cost, event.arriving)
+        request = Request(event.request, kind, self._now + ARRIVAL_US, cost, event.is_body_streaming)
         self._requests[event.request] = request
-        if not event.arriving:
+        if not event.is_body_streaming:
             self._begin_time(request, event.remaining_us)
         if self._overloaded_for(kind, event.tenant):
             self._finish(request)
@@ -529,7 +529,7 @@
             self._place(request)
 
     def _begin_time(self, request: Request, remaining_us: int) -> None:
-        request.answer_by = self._now + remaining_us - TICKS_EARLY * self._settings.tick_us
+        request.answer_by = self._now + remaining_us - TICKS_EARLY * self._settings.clock_resolution_us
         self._schedule(request.answer_by, request.ident, _WHOLE)
 
     def _complete(self, event: RequestBodyCompleted) -> None:
@@ -595,7 +595,7 @@
         self._served(request, attempt, min(event.elapsed_us, self._now - attempt.sent_at))
         self._judge(attempt, Outcome.DELIVERED)
         for other in request.attempts:
-            if other.pending and not other.started and self._settings.limits.may_cancel:
+            if other.pending and not other.started and self._settings.limits.may_cancel_attempts:
                 self._actions.append(CancelAttempt(request.ident, other.index))
 
     # -----------------------------------------------------------------------------------------------
@@ -729,9 +729,9 @@
     def _worth(self, mix: Mix, asked: float, all_asked: float) -> float:
         tenant = self._tenants.get(mix.tenant or "")
         if tenant is None or asked <= 0.0:
-            return mix.kind.worth
-        inside = min(1.0, all_asked * tenant.share / self._all_shares / asked)
-        return mix.kind.worth * (inside + (1.0 - inside) * self._settings.over_share_worth)
+            return mix.kind.priority_weight
+        inside = min(1.0, all_asked * tenant.quota_share / self._all_shares / asked)
+        return mix.kind.priority_weight * (inside + (1.0 - inside) * self._settings.over_quota_weight)
 
     # -----------------------------------------------------------------------------------------------
     # The draw
@@ -766,7 +766,7 @@
         """
         reach = self._reach()
         slots = {True: reach, False: reach}  # for servers of the own zone, and for others
-        if self._settings.prices.cross_zone > 0.0:
+        if self._settings.costs.cross_zone > 0.0:
             slots[False] = max(round(reach * self._remote_odds() * self._far_part), 1)
             slots[True] = reach - slots[False]
         first = dict(slots)
@@ -849,7 +849,7 @@
         return self._remote
 
     def _weigh_zones(self) -> float:
-        if self._settings.prices.cross_zone <= 0.0 or self._late >= LATE_ALLOWED or self._fill() > FREE:
+        if self._settings.costs.cross_zone <= 0.0 or self._late >= LATE_ALLOWED or self._fill() > FREE:
             return 1.0  # room anywhere is worth more than a crossing
         if self._zones is None:
             self._zones = {True: [0.0, 0.0], False: [0.0, 0.0]}
@@ -886,7 +886,7 @@
             return False  # rules 1 and 2: not after the final answer, nor later than it helps or is allowed
         if len(request.attempts) >= limits.max_attempts:
             return False
-        if (not limits.second_copies and request.is_out()) or not self._in_group(request, server):
+        if (not limits.hedged_requests and request.is_out()) or not self._in_group(request, server):
             return False  # rule 2
         if not server.is_wanted:
             return False  # rule 3: at once on hearing, without use of the grace
@@ -911,20 +911,27 @@
         if request.spent:
             return 0
         first_maybe = next((each for each in request.attempts if each.may_have_run), None)
-        if first_maybe is None or request.kind.repeat is Idempotency.IDEMPOTENT:
+        if first_maybe is None or request.kind.idempotency is Idempotency.IDEMPOTENT:
             return ANY_TIME
-        if request.kind.repeat is Idempotency.NOT_IDEMPOTENT:
+        if request.kind.idempotency is Idempotency.NOT_IDEMPOTENT:
             return 0
         # Keyed: servers forget; one tick less, since the clock is read once a tick.
-        return first_maybe.sent_at + request.kind.memory_us - self._settings.tick_us
+        return first_maybe.sent_at + request.kind.idempotency_window_us - self._settings.clock_resolution_us
 
     @staticmethod
     def _in_group(request: Request, server: Server) -> bool:
         """Whether a keyed request that may have run would have its repeat dropped at this server."""
-        if request.kind.repeat is not Idempotency.WITH_KEY or request.kind.group is IdempotencyScope.ALL:
+        if (
+            request.kind.idempotency is not Idempotency.WITH_KEY
+            or request.kind.idempotency_scope is IdempotencyScope.ALL
+        ):
             return True
         for zone, cell in (each.place for each in request.attempts if each.may_have_run):
-            return zone == server.zone if request.kind.group is IdempotencyScope.ZONE else cell == server.cell
+            return (
+                zone == server.zone
+                if request.kind.idempotency_scope is IdempotencyScope.ZONE
+                else cell == server.cell
+            )
         return True
 
     # -----------------------------------------------------------------------------------------------
@@ -934,10 +941,13 @@
         """The one way out for an answer that is not a server's: a refusal where legal, else a failure."""
         if request.answered:
             return
-        harmless = request.kind.repeat is Idempotency.IDEMPOTENT or not any(
+        harmless = request.kind.idempotency is Idempotency.IDEMPOTENT or not any(
             a.may_have_run for a in request.attempts
         )
-        if request.kind.repeat is Idempotency.WITH_KEY and request.kind.group is IdempotencyScope.ALL:
+        if (
+            request.kind.idempotency is Idempotency.WITH_KEY
+            and request.kind.idempotency_scope is IdempotencyScope.ALL
+        ):
             harmless = True
         self._actions.append(
             Reject(request.ident, self._stay_away(request)) if harmless else Fail(request.ident)
@@ -953,13 +963,13 @@
         if not limits.retry_after:
             return 0
         aims = RETRY_AIMS * (0.5 + self._random.random())
-        return min(int(aims * request.kind.aim_us), limits.max_retry_after_us)
+        return min(int(aims * request.kind.latency_objective_us), limits.max_retry_after_us)
 
     def _close(self, request: Request) -> None:
         """Nothing is owed any more; attempts still out are called off where that is permitted."""
         request.answered = True
         for attempt in request.attempts:
-            if attempt.pending and not attempt.started and self._settings.limits.may_cancel:
+            if attempt.pending and not attempt.started and self._settings.limits.may_cancel_attempts:
                 self._actions.append(CancelAttempt(request.ident, attempt.index))
         self._forget_if_over(request)
 
@@ -978,16 +988,18 @@
         if not attempt.pending:
             return
         attempt.pending = False
-        attempt.may_have_run = not self._settings.rules.never_ran(event.outcome)
+        attempt.may_have_run = not self._settings.guarantees.proves_not_executed(event.outcome)
         was_at_work = self._put_down(attempt)
-        request.spent |= event.spent
+        request.spent |= event.is_body_consumed
         self._close_if_leaving(attempt.server)
         took = min(event.elapsed_us, self._now - attempt.sent_at)
-        given_up = event.outcome is Outcome.CANCELLED and took >= request.kind.aim_us and was_at_work
+        given_up = (
+            event.outcome is Outcome.CANCELLED and took >= request.kind.latency_objective_us and was_at_work
+        )
         if not attempt.started or event.outcome is not Outcome.DELIVERED:
             self._judge(attempt, Outcome.TIMED_OUT if given_up else event.outcome)
-        if event.report and "util" in event.report:
-            self._follow_cores(min(max(event.report["util"], 0.0), 1.0))
+        if event.load_report and "util" in event.load_report:
+            self._follow_cores(min(max(event.load_report["util"], 0.0), 1.0))
         if event.outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED) and was_at_work:
             until = self._now + int(GHOST_LIFE * took)
             attempt.server.ghosts.append(until)
@@ -1002,7 +1014,7 @@
             self._full_heard(attempt.server, request.kind.name)
         if event.outcome is Outcome.DELIVERED and not attempt.started:
             self._served(request, attempt, took)
-        if event.answered:
+        if event.is_request_answered:
             if not request.answered:
                 self._close(request)
         elif not request.answered and not request.is_streaming():
@@ -1023,17 +1035,19 @@
 
     def _served(self, request: Request, attempt: Attempt, took: int) -> None:
         attempt.server.shy.pop(request.kind.name, None)
-        self._served_aims.add(self._now, request.kind.aim_us)
+        self._served_aims.add(self._now, request.kind.latency_objective_us)
         self._time(attempt.server, request, took)
         if not attempt.felt:
-            self._feel(took / request.kind.aim_us)
+            self._feel(took / request.kind.latency_objective_us)
 
     # -----------------------------------------------------------------------------------------------
     # Pace: how long a server takes, relative to the usual for such requests
 
     def _usual(self, request: Request) -> float:
         """The usual time of such a request, over all servers."""
-        return self._norms.get((request.kind.name, request.size), UNSEEN_AIMS * request.kind.aim_us)
+        return self._norms.get(
+            (request.kind.name, request.size), UNSEEN_AIMS * request.kind.latency_objective_us
+        )
 
     def _pace(self, server: Server, request: Request, elapsed_us: int) -> None:
         ratio = min(elapsed_us / max(self._usual(request), 1.0), PACE_CLIP)
@@ -1053,7 +1067,9 @@
 
     def _patience(self, request: Request, server: Server) -> int:
         usual = PATIENCE * self._usual(request) * max(server.pace, 1.0)
-        return int(max(usual, PATIENCE_AIMS * request.kind.aim_us, self._settings.tick_us))
+        return int(
+            max(usual, PATIENCE_AIMS * request.kind.latency_objective_us, self._settings.clock_resolution_us)
+        )
 
     def _overdue(self, request: Request, attempt: Attempt) -> None:
         """An attempt takes far longer than usual.
@@ -1064,8 +1080,8 @@
         server = attempt.server
         silent = server.last_answer_at <= attempt.sent_at
         waited = self._now - attempt.sent_at
-        if waited < request.kind.aim_us:
-            self._schedule(attempt.sent_at + request.kind.aim_us, request.ident, attempt.index)
+        if waited < request.kind.latency_objective_us:
+            self._schedule(attempt.sent_at + request.kind.latency_objective_us, request.ident, attempt.index)
         elif not attempt.felt and server.ejected_until is None and not attempt.blames_idle:
             # Late already, though no answer says so yet: waiting for one would see a surge too late.
             attempt.felt = True
@@ -1073,7 +1089,9 @@
                 self._follow_cores(1.0)  # no answer, no report: reports alone flatter
             self._feel(LOST_SPENT)
         # Whole microseconds: of a fraction, the timer set for it fell due before it, and again at once.
-        enough = math.ceil(max(SILENCE * self._patience(request, server), SILENT_AIMS * request.kind.aim_us))
+        enough = math.ceil(
+            max(SILENCE * self._patience(request, server), SILENT_AIMS * request.kind.latency_objective_us)
+        )
         if silent and waited < enough:
             self._schedule(attempt.sent_at + enough, request.ident, attempt.index)
         elif (
@@ -1086,11 +1104,11 @@
         is_last = self._now >= self._begin_by(request) or len(request.attempts) >= limits.max_attempts
         if request.once or is_last:
             return  # waiting is all that is left
-        if limits.second_copies:
+        if limits.hedged_requests:
             if silent and self._extra >= 1.0:
                 self._extra -= 1.0
                 self._place(request)
-        elif silent and limits.may_cancel and self._extra >= 1.0:
+        elif silent and limits.may_cancel_attempts and self._extra >= 1.0:
             self._actions.append(CancelAttempt(request.ident, attempt.index))  # its end draws again
 
     # -----------------------------------------------------------------------------------------------
@@ -1105,7 +1123,7 @@
         """
         since, server.idle_since = server.idle_since, None
         idle = 0 if since is None else self._now - since
-        if idle < IDLE_LEAST * self._longest_aim or idle >= self._settings.limits.idle_close_us:
+        if idle < IDLE_LEAST * self._longest_aim or idle >= self._settings.limits.idle_timeout_us:
             return 0
         if self._stale_odds() >= STALE_ODDS and 2 * idle >= self._stale_idle:
             self._actions.append(CloseIdleConnections(server.name))
@@ -1217,7 +1235,7 @@
         All ejected ones together get a part of the traffic: with a zone lost, a trial for each would take
         most requests of a small balancer.
         """
-        if request.kind.repeat is not Idempotency.IDEMPOTENT or request.attempts or self._trials < 1.0:
+        if request.kind.idempotency is not Idempotency.IDEMPOTENT or request.attempts or self._trials < 1.0:
             return None
         for server in self._ejected:
             waited = server.ejected_until is not None and self._now >= server.ejected_until
@@ -1234,15 +1252,21 @@
         server.allowance_at = self._now
 
     def _is_cold(self, server: Server) -> bool:
-        return server.cold_since is not None and self._now < server.cold_since + self._settings.rules.cold_us
+        return (
+            server.cold_since is not None
+            and self._now < server.cold_since + self._settings.guarantees.slow_start_us
+        )
 
     def _warmth(self, server: Server) -> float:
         """The least share of its capacity that the server has by now."""
-        rules = self._settings.rules
+        rules = self._settings.guarantees
         if server.cold_since is None or not self._is_cold(server):
             return 1.0
         age = max(self._now - server.cold_since, 0)
-        return rules.cold_from + (1.0 - rules.cold_from) * age / rules.cold_us
+        return (
+            rules.slow_start_initial_capacity
+            + (1.0 - rules.slow_start_initial_capacity) * age / rules.slow_start_us
+        )
 
     def _cold_room(self, server: Server, cost: float) -> bool:
         """Whether a cold server's budget has room for a request of this cost.
@@ -1252,12 +1276,12 @@
         """
         if not self._is_cold(server):
             return True
-        rules = self._settings.rules
+        rules = self._settings.guarantees
         bearable = self._bearable_by_mean()
         if self._mean_size > 0.0:
             bearable *= min(server.nominal / self._mean_size, 1.0)
-        limit = rules.fall_multiple * self._warmth(server) * bearable
-        most = max(1.0, COLD_BURST * limit * rules.fall_us)
+        limit = rules.overload_multiple * self._warmth(server) * bearable
+        most = max(1.0, COLD_BURST * limit * rules.overload_window_us)
         filled = COLD_SHARE * limit * max(self._now - server.allowance_at, 0)
         server.allowance = min(server.allowance + filled, most)
         server.allowance_at = self._now
--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -114,14 +114,14 @@
 
     name: str
     deadline_us: int
-    aim_us: int
-    worth: float = 1.0
-    late_worth: float = 0.0
-    repeat: Idempotency = Idempotency.NOT_IDEMPOTENT
-    group: IdempotencyScope = IdempotencyScope.CELL
-    memory_us: int = 0
+    latency_objective_us: int
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
+    idempotency_scope: IdempotencyScope = IdempotencyScope.CELL
+    idempotency_window_us: int = 0
     streaming: bool = False
-    aim_stretch: float = 0.0
+    latency_objective_stretch: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,7 +129,7 @@
     """One tenant and what it may ask of the whole fleet."""
 
     name: str
-    share: float = 1.0
+    quota_share: float = 1.0
     quota_per_s: float = 0.0
 
 
@@ -138,16 +138,16 @@
     """What the deployment permits."""
 
     max_attempts: int = 1
-    second_copies: bool = False
-    may_cancel: bool = False
-    may_probe: bool = False
-    may_message: bool = False
+    hedged_requests: bool = False
+    may_cancel_attempts: bool = False
+    may_health_check: bool = False
+    may_message_peers: bool = False
     retry_after: bool = False
     max_retry_after_us: int = 0
-    dial_timeout_us: int = 250_000
-    idle_close_us: int = 15_000_000
+    connect_timeout_us: int = 250_000
+    idle_timeout_us: int = 15_000_000
     streams_per_connection: int = 1
-    max_open: int | None = None  # requests held at once, kept by the sidecar; None: no limit
+    max_open_requests: int | None = None  # requests held at once, kept by the sidecar; None: no limit
     cpu_us_per_s: int | None = None  # of CPU, for the whole instance
     cpu_us_per_request: float = 0.0  # of CPU, for a request with its outcomes, on average; 0: no limit
 
@@ -156,20 +156,20 @@
 class Guarantees:
     """The figures of the rules.  The defaults are the cautious ends."""
 
-    answer_slack_us: int = 0
-    ask_within_us: int = 10_000_000
+    response_slack_us: int = 0
+    max_poll_interval_us: int = 10_000_000
     drain_grace_us: int = 0
-    cold_from: float = 0.1
-    cold_us: int = 30_000_000
-    fall_multiple: float = 1.0
-    fall_us: int = 2_000_000
-    full_may_have_run: bool = False  # servers may answer full for work that they had begun
+    slow_start_initial_capacity: float = 0.1
+    slow_start_us: int = 30_000_000
+    overload_multiple: float = 1.0
+    overload_window_us: int = 2_000_000
+    full_may_have_executed: bool = False  # servers may answer full for work that they had begun
     close_idle_within_us: int | None = None  # idle connections to draining servers go; None: no such rule
 
-    def never_ran(self, outcome: Outcome) -> bool:
+    def proves_not_executed(self, outcome: Outcome) -> bool:
         """Whether the outcome proves that the server did nothing of the request: the one place to ask."""
         if outcome is Outcome.FULL:
-            return not self.full_may_have_run
+            return not self.full_may_have_executed
         return outcome in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
@@ -178,20 +178,20 @@
     """What extra traffic costs, as a part of all service, mostly for one a request."""
 
     cross_zone: float = 0.0
-    probe: float = 0.0
-    message: float = 0.0  # for 256 bytes a request, delivered
-    waste: float = 0.0  # for server work without an answer, as much as was asked for
+    health_check: float = 0.0
+    peer_message: float = 0.0  # for 256 bytes a request, delivered
+    wasted_work: float = 0.0  # for server work without an answer, as much as was asked for
     handshake: float = 0.0
     connection: float = 0.0  # for a hundred open connections a server
     discovery: float = 0.0  # for a hundred list lines a request
-    late_fail: float = 0.0  # for all worth ending unserved after its aim
+    late_failure: float = 0.0  # for all worth ending unserved after its aim
 
 
 @dataclass(frozen=True, slots=True)
 class Objective:
     """What counts how much of the whole; all zero: not told."""
 
-    whole: float = 0.0
+    total: float = 0.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
@@ -206,20 +206,20 @@
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: str = ""
-    me: int = 0
-    group_size: int = 1
-    tick_us: int = 1_000
+    instance_index: int = 0
+    cluster_size: int = 1
+    clock_resolution_us: int = 1_000
     discovery: DiscoveryMode = DiscoveryMode.ON_REQUEST
-    weights: CapacityHint = CapacityHint.NONE
-    worth_by: PriorityWeightUnit = PriorityWeightUnit.REQUEST
-    over_share_worth: float = 1.0
-    report_source: LoadReportSource = LoadReportSource.NONE
-    report_columns: tuple[str, ...] = ()
+    capacity_hint: CapacityHint = CapacityHint.NONE
+    priority_weight_unit: PriorityWeightUnit = PriorityWeightUnit.REQUEST
+    over_quota_weight: float = 1.0
+    load_report_source: LoadReportSource = LoadReportSource.NONE
+    load_report_columns: tuple[str, ...] = ()
     limits: Limits = field(default_factory=Limits)
-    rules: Guarantees = field(default_factory=Guarantees)
-    prices: Costs = field(default_factory=Costs)
-    goal: Objective = field(default_factory=Objective)
-    kinds: tuple[str, ...] = ()  # the kinds of machines that lists may name
+    guarantees: Guarantees = field(default_factory=Guarantees)
+    costs: Costs = field(default_factory=Costs)
+    objective: Objective = field(default_factory=Objective)
+    machine_types: tuple[str, ...] = ()  # the kinds of machines that lists may name
     clients_mark_retries: bool = False
     warm_keys: bool = False  # a server that met a key lately needs less work for it
 
@@ -244,60 +244,60 @@
             classes=classes,
             tenants=tenants,
             zone=top.text("zone", ""),
-            me=top.whole("me", 0),
-            group_size=top.whole("group_size", 1, low=1),
-            tick_us=top.whole("tick_us", 1_000, low=1),
+            instance_index=top.whole("me", 0),
+            cluster_size=top.whole("group_size", 1, low=1),
+            clock_resolution_us=top.whole("tick_us", 1_000, low=1),
             discovery=top.choice("discovery", DiscoveryMode, DiscoveryMode.ON_REQUEST),
-            weights=top.choice("weights", CapacityHint, CapacityHint.NONE),
-            worth_by=top.choice("worth_by", PriorityWeightUnit, PriorityWeightUnit.REQUEST),
-            over_share_worth=top.number("over_share_worth", 1.0, high=1.0),
-            report_source=report.choice("source", LoadReportSource, LoadReportSource.NONE),
-            report_columns=report.texts("columns"),
+            capacity_hint=top.choice("weights", CapacityHint, CapacityHint.NONE),
+            priority_weight_unit=top.choice("worth_by", PriorityWeightUnit, PriorityWeightUnit.REQUEST),
+            over_quota_weight=top.number("over_share_worth", 1.0, high=1.0),
+            load_report_source=report.choice("source", LoadReportSource, LoadReportSource.NONE),
+            load_report_columns=report.texts("columns"),
             limits=Limits(
                 max_attempts=limits.whole("max_attempts", 1),
-                second_copies=limits.flag("second_copies", False),
-                may_cancel=limits.flag("may_cancel", False),
-                may_probe=limits.flag("may_probe", False),
-                may_message=limits.flag("may_message", False),
+                hedged_requests=limits.flag("second_copies", False),
+                may_cancel_attempts=limits.flag("may_cancel", False),
+                may_health_check=limits.flag("may_probe", False),
+                may_message_peers=limits.flag("may_message", False),
                 retry_after=limits.flag("retry_after", False),
                 max_retry_after_us=limits.whole("max_retry_after_us", 0),
-                dial_timeout_us=limits.whole("dial_timeout_us", 250_000),
-                idle_close_us=limits.whole("idle_close_us", 15_000_000),
+                connect_timeout_us=limits.whole("dial_timeout_us", 250_000),
+                idle_timeout_us=limits.whole("idle_close_us", 15_000_000),
                 streams_per_connection=limits.whole("streams_per_connection", 1, low=1),
-                max_open=limits.optional_whole("max_open"),
+                max_open_requests=limits.optional_whole("max_open"),
                 cpu_us_per_s=limits.optional_whole("cpu_us_per_s"),
                 cpu_us_per_request=limits.number("cpu_us_per_request", 0.0),
             ),
-            rules=Guarantees(
-                answer_slack_us=rules.whole("answer_slack_us", 0),
-                ask_within_us=rules.whole("ask_within_us", 10_000_000, low=1),
+            guarantees=Guarantees(
+                response_slack_us=rules.whole("answer_slack_us", 0),
+                max_poll_interval_us=rules.whole("ask_within_us", 10_000_000, low=1),
                 drain_grace_us=rules.whole("drain_grace_us", 0),
-                cold_from=rules.number("cold_from", 0.1, low=0.001, high=1.0),
-                cold_us=rules.whole("cold_us", 30_000_000),
-                fall_multiple=rules.number("fall_multiple", 1.0, low=0.001),
-                fall_us=rules.whole("fall_us", 2_000_000, low=1),
-                full_may_have_run=rules.flag("full_may_have_run", False),
+                slow_start_initial_capacity=rules.number("cold_from", 0.1, low=0.001, high=1.0),
+                slow_start_us=rules.whole("cold_us", 30_000_000),
+                overload_multiple=rules.number("fall_multiple", 1.0, low=0.001),
+                overload_window_us=rules.whole("fall_us", 2_000_000, low=1),
+                full_may_have_executed=rules.flag("full_may_have_run", False),
                 close_idle_within_us=rules.optional_whole("close_idle_within_us"),
             ),
-            prices=Costs(
+            costs=Costs(
                 cross_zone=prices.number("cross_zone", 0.0),
-                probe=prices.number("probe", 0.0),
-                message=prices.number("message", 0.0),
-                waste=prices.number("waste", 0.0),
+                health_check=prices.number("probe", 0.0),
+                peer_message=prices.number("message", 0.0),
+                wasted_work=prices.number("waste", 0.0),
                 handshake=prices.number("handshake", 0.0),
                 connection=prices.number("connection", 0.0),
                 discovery=prices.number("discovery", 0.0),
-                late_fail=prices.number("late_fail", 0.0),
+                late_failure=prices.number("late_fail", 0.0),
             ),
-            goal=Objective(
-                whole=goal.number("whole", 0.0),
+            objective=Objective(
+                total=goal.number("whole", 0.0),
                 worst_window=goal.number("worst_window", 0.0),
                 worst_class=goal.number("worst_class", 0.0),
                 worst_tenant=goal.number("worst_tenant", 0.0),
                 tail=goal.number("tail", 0.0),
                 tail_slack=goal.number("tail_slack", 0.0, high=1.0),
             ),
-            kinds=top.texts("kinds"),
+            machine_types=top.texts("kinds"),
             clients_mark_retries=habits.flag("mark_retries", False),
             warm_keys=domain.flag("warm_keys", False),
         )
@@ -308,14 +308,14 @@
     return ServiceClass(
         name=each.text("name"),
         deadline_us=deadline,
-        aim_us=min(each.whole("aim_us", deadline, low=1), deadline),
-        worth=each.number("worth", 1.0),
-        late_worth=each.number("late_worth", 0.0),
-        repeat=each.choice("repeat", Idempotency, Idempotency.NOT_IDEMPOTENT),
-        group=each.choice("group", IdempotencyScope, IdempotencyScope.CELL),
-        memory_us=each.whole("memory_us", 0),
+        latency_objective_us=min(each.whole("aim_us", deadline, low=1), deadline),
+        priority_weight=each.number("worth", 1.0),
+        late_priority_weight=each.number("late_worth", 0.0),
+        idempotency=each.choice("repeat", Idempotency, Idempotency.NOT_IDEMPOTENT),
+        idempotency_scope=each.choice("group", IdempotencyScope, IdempotencyScope.CELL),
+        idempotency_window_us=each.whole("memory_us", 0),
         streaming=each.flag("streaming", False),
-        aim_stretch=each.number("aim_stretch", 0.0),
+        latency_objective_stretch=each.number("aim_stretch", 0.0),
     )
 
 
@@ -417,10 +417,10 @@
 
     server: str
     zone: str = ""
-    kind: str = ""
+    machine_type: str = ""
     cell: int = 0
     state: EndpointState = EndpointState.READY
-    nominal: float = 1.0
+    nominal_capacity: float = 1.0
     started_at: int | None = None  # None: long ago
 
 
@@ -429,7 +429,7 @@
     """The server list was heard, or a call for it failed."""
 
     kind: EndpointListKind
-    servers: Sequence[EndpointEntry] = ()
+    entries: Sequence[EndpointEntry] = ()
     version: int = 0
 
 
@@ -443,9 +443,9 @@
     key: int | None
     remaining_us: int
     cost_us: int | None = None  # a hint of the work, where the client gave one
-    client_retry: bool = False
-    write: bool = False
-    arriving: bool = (
+    is_client_retry: bool = False
+    is_write: bool = False
+    is_body_streaming: bool = (
         False  # its body is still coming, and passes through: RequestBodyCompleted begins its time
     )
 
@@ -477,9 +477,11 @@
     server: str
     outcome: Outcome
     elapsed_us: int
-    answered: bool
-    report: Mapping[str, float] | None = None
-    spent: bool = False  # of the request's body some was sent on and not kept: it can't be sent again
+    is_request_answered: bool
+    load_report: Mapping[str, float] | None = None
+    is_body_consumed: bool = (
+        False  # of the request's body some was sent on and not kept: it can't be sent again
+    )
 
 
 @dataclass(slots=True)
@@ -503,7 +505,7 @@
     server: str
     outcome: Outcome
     elapsed_us: int
-    report: Mapping[str, float] | None = None
+    load_report: Mapping[str, float] | None = None
 
 
 @dataclass(slots=True)
@@ -567,8 +569,8 @@
 
     request: int
     server: str
-    until: int  # clock time at which the attempt is abandoned
-    begin_by: int | None = None  # and by which its first byte has to leave, or it stays unsent; None: `until`
+    deadline: int  # clock time at which the attempt is abandoned
+    send_by: int | None = None  # and by which its first byte has to leave, or it stays unsent; None: `until`
 
 
 @dataclass(slots=True)
@@ -598,7 +600,7 @@
 class SetTimer:
     """Ask for a TimerFired."""
 
-    in_us: int
+    delay_us: int
     token: str
 
 
@@ -628,7 +630,7 @@
 class WatchEndpoints:
     """Subscribe to changes of the server list, or end that."""
 
-    wanted: bool = True
+    is_enabled: bool = True
 
 
 @dataclass(slots=True)
--- a/bench/decide.py
+++ b/bench/decide.py
@@ -119,7 +119,7 @@
                 at = self._now + int(self._answer_us * self._random.uniform(0.8, 1.2))
                 heapq.heappush(self._due, (at, action.request, action.server))
             elif isinstance(action, SetTimer):
-                heapq.heappush(self._due, (self._now + action.in_us, 0, action.token))
+                heapq.heappush(self._due, (self._now + action.delay_us, 0, action.token))
             elif isinstance(action, Reject | Fail):
                 self.refused += 1
 
--- a/bench/staged.py
+++ b/bench/staged.py
@@ -70,7 +70,7 @@
                 sent = action.server
             elif isinstance(action, SetTimer):
                 loop = asyncio.get_running_loop()
-                loop.call_later(action.in_us / 1e6, self._play, TimerFired(action.token))
+                loop.call_later(action.delay_us / 1e6, self._play, TimerFired(action.token))
         return sent
 
 
--- a/sidecar/discovery/catalog.py
+++ b/sidecar/discovery/catalog.py
@@ -66,10 +66,10 @@
     listed = EndpointEntry(
         server=name,
         zone=_text(given, "zone"),
-        kind=_text(given, "kind"),
+        machine_type=_text(given, "kind"),
         cell=int(_number(given, "cell", 0)),
         state=state,
-        nominal=_number(given, "weight", 1.0),
+        nominal_capacity=_number(given, "weight", 1.0),
         started_at=int(started_ms * 1_000) or None,
     )
     return Entry(listed, address)
--- a/sidecar/downstream/request.py
+++ b/sidecar/downstream/request.py
@@ -91,9 +91,9 @@
     if remaining_us <= 0:
         raise BadRequest("request-timeout is nonsense")
     is_get = head.method == b"GET"
-    if (head.method not in (b"GET", b"POST")) or is_get != (kind.repeat is Idempotency.IDEMPOTENT):
+    if (head.method not in (b"GET", b"POST")) or is_get != (kind.idempotency is Idempotency.IDEMPOTENT):
         raise BadRequest("the method is not that of the class")
-    if (b"idempotency-key" in own) != (kind.repeat is Idempotency.WITH_KEY) or own.get(
+    if (b"idempotency-key" in own) != (kind.idempotency is Idempotency.WITH_KEY) or own.get(
         b"idempotency-key"
     ) == b"":
         raise BadRequest("idempotency-key does not go with the class")
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -147,7 +147,7 @@
         self._peers = Peers(
             config.peers,
             config.peers_all,
-            config.settings.me,
+            config.settings.instance_index,
             self._message_received,
         )
         self._told_size: ClusterSizeChanged | None = None
@@ -178,7 +178,7 @@
 
     async def start(self) -> None:
         """Take up the last known list, then listen."""
-        if self._settings.limits.may_message and self._config.peer_listen is not None:
+        if self._settings.limits.may_message_peers and self._config.peer_listen is not None:
             await self._hear_peers(self._config.peer_listen)
         if self.console is not None and self._config.console is not None:
             await self.console.listen(self._config.console)
@@ -237,7 +237,7 @@
             # Not at the top: what it needs takes 2 MB, which a sidecar without it need not have.
             from sidecar.members import Members
 
-            me, log, own = self._settings.me, self._log, self._config
+            me, log, own = self._settings.instance_index, self._log, self._config
             self._members = Members(me, own.tier, own.seed, self._clock, self._peers, log, self._tier_sized)
         self._members.configure(membership)
 
@@ -253,7 +253,7 @@
             # Not at the top: a sidecar without it need not have what it needs.
             from sidecar.rollout import Versions
 
-            me, own = self._settings.me, self._config
+            me, own = self._settings.instance_index, self._config
             parts = (self._clock, self._peers, self._log, lambda: self.on_newer())
             self._versions = Versions(me, own.tier, own.seed, *parts)
         self._versions.configure(membership, config, is_whole)
@@ -407,7 +407,7 @@
             while self._events:
                 event = self._events.popleft()
                 if isinstance(event, AttemptEnded):
-                    event.answered = self._is_answered(event.request)
+                    event.is_request_answered = self._is_answered(event.request)
                 try:
                     for action in self._balancer.handle(self._clock.now(), event):
                         self._carry_out(action)
@@ -436,7 +436,7 @@
         self._post(listing.event())
 
     def _arrived(self, client: ClientSide, incoming: Incoming) -> int | None:
-        most = self._settings.limits.max_open
+        most = self._settings.limits.max_open_requests
         now = self._clock.now()
         if self._stop_by is not None:
             incoming.remaining_us = max(min(incoming.remaining_us, self._stop_by - now), 1)
@@ -457,9 +457,9 @@
                 key=incoming.key,
                 remaining_us=incoming.remaining_us,
                 cost_us=incoming.cost_us,
-                client_retry=incoming.client_retry,
-                write=incoming.method != b"GET",
-                arriving=incoming.upload is not None,
+                is_client_retry=incoming.client_retry,
+                is_write=incoming.method != b"GET",
+                is_body_streaming=incoming.upload is not None,
             )
         )
         return number if not self._is_answered(number) else None
@@ -514,7 +514,7 @@
             self._streamed(request, outcome)
         elif outcome is Outcome.DELIVERED and response is not None and held.streaming is None:
             self._answer(request, 200, _passed_back(response), response.body)
-        report = load_report(response, self._settings.report_columns)
+        report = load_report(response, self._settings.load_report_columns)
         # The server's time: a busy event loop reads answers late, which is no fault of any server.
         unread_us = response.unread_us if response is not None else 0
         elapsed = max(self._clock.now() - unread_us - sent_at, 0)
@@ -541,7 +541,7 @@
             case SendAttempt():
                 self._send(action)
             case SetTimer():
-                self._set_timer(self._clock.now() + action.in_us, action.token)
+                self._set_timer(self._clock.now() + action.delay_us, action.token)
             case Reject():
                 self._refuse(action)
             case Fail():
@@ -555,7 +555,7 @@
             case CloseIdleConnections():
                 self._upstream.close_idle(action.server)
             case WatchEndpoints():
-                self._discovery.follow(action.wanted)
+                self._discovery.follow(action.is_enabled)
             case PollEndpoints():
                 self._discovery.fetch()
             case HealthCheck():
@@ -581,7 +581,7 @@
             return held.client is not None and not held.client.has_left()
 
         call = Call(
-            action.server, action.until, held.incoming.message, done, begun, action.begin_by, is_wanted
+            action.server, action.deadline, held.incoming.message, done, begun, action.send_by, is_wanted
         )
         call.sent_at = sent_at
         held.calls.append(call)
@@ -590,10 +590,10 @@
 
     def _probe(self, server: str) -> None:
         sent_at = self._clock.now()
-        in_body = self._settings.report_source is not LoadReportSource.NONE
+        in_body = self._settings.load_report_source is not LoadReportSource.NONE
 
         def done(outcome: Outcome, response: Response | None) -> None:
-            report = load_report(response, self._settings.report_columns, in_body=in_body)
+            report = load_report(response, self._settings.load_report_columns, in_body=in_body)
             self._post(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
 
         message = Message(b"GET", b"/_load" if in_body else b"/ping", [(b"host", server.encode())])
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -106,8 +106,8 @@
         self._clock = clock
         self._before_writing = before_writing  # hears what could forbid it
         self._on_written = on_written  # a request's last byte left for a server
-        self._dial_within_s = limits.dial_timeout_us / 1e6
-        self._use_within_us = int(limits.idle_close_us * (1.0 - _IDLE_MARGIN))
+        self._dial_within_s = limits.connect_timeout_us / 1e6
+        self._use_within_us = int(limits.idle_timeout_us * (1.0 - _IDLE_MARGIN))
         self._most = most
         self._servers: dict[str, _Server] = {}
         self._excluded: set[str] = set()  # also of servers that are not listed now
--- a/testbed/model/clients.py
+++ b/testbed/model/clients.py
@@ -47,8 +47,8 @@
             tenant=self._day.tenants[arrival.tenant].name if arrival.tenant >= 0 else None,
             key=zlib.crc32(b"%x" % arrival.key),
             remaining_us=due - now,
-            client_retry=place > 0,
-            write=kind.repeat != "read_like",
+            is_client_retry=place > 0,
+            is_write=kind.repeat != "read_like",
         )
         self._out[number] = arrival
         if due <= now or not self._take(number, event, arrival.work_us):
--- a/testbed/model/discovery.py
+++ b/testbed/model/discovery.py
@@ -122,7 +122,7 @@
         return EndpointEntry(
             server=f"s-{server.number}",
             zone=server.zone,
-            kind="m",
+            machine_type="m",
             cell=server.cell,
             state=_STATES[change.state],
             started_at=started,
--- a/testbed/model/policies.py
+++ b/testbed/model/policies.py
@@ -99,7 +99,7 @@
             return [SetTimer(_ASK_AGAIN_US, "ask")]
         if event.kind is not EndpointListKind.CHANGES:
             self._listed = {}
-        self._listed.update({each.server: each.state for each in event.servers})
+        self._listed.update({each.server: each.state for each in event.entries})
         self.ready = sorted(name for name, state in self._listed.items() if state is EndpointState.READY)
         return []
 
@@ -125,13 +125,13 @@
     def _ended(self, now: int, event: AttemptEnded) -> list[Action]:
         self.in_flight[event.server] -= 1
         request = self._open.get(event.request)
-        if request is None or event.answered:
+        if request is None or event.is_request_answered:
             self._open.pop(event.request, None)
             return []
-        never_ran = self._settings.rules.never_ran(event.outcome)
+        never_ran = self._settings.guarantees.proves_not_executed(event.outcome)
         request.may_have_run = request.may_have_run or not never_ran
         kind = self._classes[request.class_name]
-        may_again = not request.may_have_run or kind.repeat is Idempotency.IDEMPOTENT
+        may_again = not request.may_have_run or kind.idempotency is Idempotency.IDEMPOTENT
         most = min(self._settings.limits.max_attempts, 1 + self.redraws)
         if may_again and request.attempts < most:
             return self._send(now, event.request, request)
--- a/testbed/model/sidecar.py
+++ b/testbed/model/sidecar.py
@@ -172,7 +172,7 @@
                 event = self._events.popleft()
                 if isinstance(event, AttemptEnded):
                     held = self._held.get(event.request)
-                    event.answered = held is None or held.answered
+                    event.is_request_answered = held is None or held.answered
                 for action in self._policy.handle(EPOCH_US + self._queue.now, event):
                     self._carry_out(action)
                 if isinstance(event, (AttemptEnded, ResponseStarted)):
@@ -185,7 +185,7 @@
             case SendAttempt():
                 self._send(action)
             case SetTimer():
-                self._queue.after(max(action.in_us, 0), self._fired, action.token)
+                self._queue.after(max(action.delay_us, 0), self._fired, action.token)
             case Reject():
                 self._answer(action.request, 503, after_us=action.retry_after_us)
             case Fail():
@@ -197,7 +197,7 @@
             case CloseIdleConnections():
                 self._close_idle(int(action.server[2:]))
             case WatchEndpoints():
-                self._follow(action.wanted)
+                self._follow(action.is_enabled)
             case PollEndpoints():
                 self._place.discovery.call(self._place.number, None, 0, self._fetched)
             case SendPeerMessage():
@@ -270,7 +270,7 @@
         held = self._held[action.request]
         server = int(action.server[2:])
         now = self._queue.now
-        until = action.until - EPOCH_US
+        until = action.deadline - EPOCH_US
         number = self._place.next_attempt()
         attempt = _Attempt(action.request, len(held.attempts), number, server, now, until)
         held.attempts.append(attempt)
@@ -289,7 +289,7 @@
     def _idle_connection(self, server: int) -> int | None:
         """The epoch that the most recently used good connection goes to."""
         idle = self._idle.get(server)
-        use_within = self._place.settings.limits.idle_close_us * _IDLE_MARGIN
+        use_within = self._place.settings.limits.idle_timeout_us * _IDLE_MARGIN
         while idle:
             epoch, since = idle.pop()
             if epoch == self._place.servers[server].epoch or self._place.link(server).is_cut(self._queue.now):
@@ -303,7 +303,7 @@
         now, link = self._queue.now, self._place.link(attempt.server)
         there = link.arrival(now)
         if link.is_cut(now) or there >= NEVER:
-            within = self._place.settings.limits.dial_timeout_us
+            within = self._place.settings.limits.connect_timeout_us
             self._queue.at(now + within, self._ends, attempt, Outcome.CONNECT_FAILED)
             return
         self._queue.at(there + (there - now), self._dialled, attempt)
--- a/testbed/tier/line.py
+++ b/testbed/tier/line.py
@@ -84,8 +84,8 @@
         for action in self._balancer.handle(self._queue.now, event):
             match action:
                 case SetTimer():
-                    self._queue.after(action.in_us, self._play, TimerFired(action.token))
-                case WatchEndpoints(wanted=True) if not self._is_calling and self.answered_at is None:
+                    self._queue.after(action.delay_us, self._play, TimerFired(action.token))
+                case WatchEndpoints(is_enabled=True) if not self._is_calling and self.answered_at is None:
                     self._is_calling = True
                     self._queue.after(_ONE_WAY_US, self._arrive)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -80,7 +80,7 @@
         for action in actions:
             self.log.append((self.now, action))
             if isinstance(action, SetTimer):
-                self._timers.append((self.now + action.in_us, action.token))
+                self._timers.append((self.now + action.delay_us, action.token))
         return actions
 
     def servers(
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -211,10 +211,18 @@
             "domain": {"warmKeys": True},
         }
     )
-    assert (given.limits.max_open, given.limits.cpu_us_per_s, given.limits.cpu_us_per_request) == (9, 8, 0.5)
-    assert given.rules.close_idle_within_us == 7 and given.rules.full_may_have_run
-    assert given.rules.drain_grace_us == 50_000 and given.rules.fall_multiple == 1.5
-    assert given.prices.late_fail == 0.05 and given.prices.discovery == 0.01
-    assert given.prices.connection == 0.02 and given.prices.handshake == 0.03
-    assert given.goal.tail == 0.2 and given.goal.tail_slack == 0.02 and given.goal.worst_tenant == 0.1
-    assert given.kinds == ("a", "b") and given.clients_mark_retries and given.warm_keys
+    assert (given.limits.max_open_requests, given.limits.cpu_us_per_s, given.limits.cpu_us_per_request) == (
+        9,
+        8,
+        0.5,
+    )
+    assert given.guarantees.close_idle_within_us == 7 and given.guarantees.full_may_have_executed
+    assert given.guarantees.drain_grace_us == 50_000 and given.guarantees.overload_multiple == 1.5
+    assert given.costs.late_failure == 0.05 and given.costs.discovery == 0.01
+    assert given.costs.connection == 0.02 and given.costs.handshake == 0.03
+    assert (
+        given.objective.tail == 0.2
+        and given.objective.tail_slack == 0.02
+        and given.objective.worst_tenant == 0.1
+    )
+    assert given.machine_types == ("a", "b") and given.clients_mark_retries and given.warm_keys
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -87,7 +87,7 @@
                 case CloseIdleConnections():
                     self.to_close.pop(action.server, None)
                 case SetTimer():
-                    self.timers.append((self.now + action.in_us, action.token))
+                    self.timers.append((self.now + action.delay_us, action.token))
                 case _:
                     pass
         self.check_counts()
@@ -101,16 +101,20 @@
         assert line.state is EndpointState.READY, "sent to a draining or gone server"
         earlier = request["attempts"]
         assert len(earlier) < self.settings.limits.max_attempts, "more attempts than allowed"
-        if not self.settings.limits.second_copies:
+        if not self.settings.limits.hedged_requests:
             assert not any(each["pending"] for each in earlier), "two copies out at once"
         maybe = [each for each in earlier if each["pending"] or each["outcome"] not in self.never_ran]
-        if maybe and kind.repeat is Idempotency.NOT_IDEMPOTENT:
+        if maybe and kind.idempotency is Idempotency.NOT_IDEMPOTENT:
             raise AssertionError("an unsafe request was sent again")
-        if maybe and kind.repeat is Idempotency.WITH_KEY:
-            assert self.now < maybe[0]["at"] + kind.memory_us, "sent after servers forgot"
+        if maybe and kind.idempotency is Idempotency.WITH_KEY:
+            assert self.now < maybe[0]["at"] + kind.idempotency_window_us, "sent after servers forgot"
             for each in maybe:
-                assert kind.group.value != "zone" or each["line"].zone == line.zone, "left the zone"
-                assert kind.group.value != "cell" or each["line"].cell == line.cell, "left the cell"
+                assert kind.idempotency_scope.value != "zone" or each["line"].zone == line.zone, (
+                    "left the zone"
+                )
+                assert kind.idempotency_scope.value != "cell" or each["line"].cell == line.cell, (
+                    "left the cell"
+                )
         earlier.append(
             {"server": action.server, "line": line, "at": self.now, "pending": True, "outcome": None}
         )
@@ -119,13 +123,16 @@
         request = self.requests[action.request]
         assert not request["over"], "two final answers"
         assert self.now < request["deadline"] or request["late"], "answered after the deadline"
-        if isinstance(action, Reject) and request["kind"].repeat is not Idempotency.IDEMPOTENT:
+        if isinstance(action, Reject) and request["kind"].idempotency is not Idempotency.IDEMPOTENT:
             maybe = [
                 each
                 for each in request["attempts"]
                 if each["pending"] or each["outcome"] not in self.never_ran
             ]
-            whole = request["kind"].repeat is Idempotency.WITH_KEY and request["kind"].group.value == "all"
+            whole = (
+                request["kind"].idempotency is Idempotency.WITH_KEY
+                and request["kind"].idempotency_scope.value == "all"
+            )
             assert not maybe or whole, "a refusal that may have run"
         request["over"] = True
 
@@ -169,7 +176,10 @@
 
     def used(self, server: str) -> None:
         """Told of a drain or gone, or used since: what is idle there is to be closed."""
-        if self.settings.rules.close_idle_within_us and self.listed[server].state is not EndpointState.READY:
+        if (
+            self.settings.guarantees.close_idle_within_us
+            and self.listed[server].state is not EndpointState.READY
+        ):
             self.to_close[server] = self.now + CLOSE_WITHIN
         else:
             self.to_close.pop(server, None)
@@ -215,12 +225,12 @@
     EndpointEntry,
     server=st.sampled_from(SERVERS),
     zone=st.sampled_from(ZONES),
-    kind=st.just("box"),
+    machine_type=st.just("box"),
     cell=st.integers(0, 2),
     state=st.sampled_from(
         [EndpointState.READY, EndpointState.READY, EndpointState.DRAINING, EndpointState.GONE]
     ),
-    nominal=st.sampled_from([0.0, 1.0, 3.0]),
+    nominal_capacity=st.sampled_from([0.0, 1.0, 3.0]),
     started_at=st.sampled_from([None, START - 5 * S, START, START + 2 * S]),
 )
 arrivals = st.tuples(
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -145,7 +145,7 @@
             if isinstance(action, SendAttempt):
                 self._send(index, action)
             elif isinstance(action, SetTimer):
-                self._at(self.now + action.in_us, index, action.token)
+                self._at(self.now + action.delay_us, index, action.token)
             elif isinstance(action, CancelAttempt):
                 self._at(self.now, Outcome.CANCELLED, (index, action.request, action.attempt))
 
@@ -156,7 +156,7 @@
         self._out[attempt] = self.now, action.server
         station = self.stations[action.server]
         station.got.append((self.now, work / WORK_US))  # what is turned away counts as well
-        self._at(action.until, Outcome.TIMED_OUT, attempt)
+        self._at(action.deadline, Outcome.TIMED_OUT, attempt)
         if station.busy < SLOTS:
             self._begin(station, attempt, work)
         elif len(station.queue) < QUEUED:
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -63,7 +63,10 @@
 def test_nominal_size_stands_in_for_pace_until_answers_tell() -> None:
     stage = Stage()
     stage.servers(
-        [EndpointEntry(name, "east", nominal=4.0 if name == names(8)[0] else 1.0) for name in names(8)]
+        [
+            EndpointEntry(name, "east", nominal_capacity=4.0 if name == names(8)[0] else 1.0)
+            for name in names(8)
+        ]
     )
     for _ in range(200):
         request = stage.request()
@@ -358,7 +361,10 @@
 def test_heavy_requests_draw_slow_servers_less_than_light_ones_do(monkeypatch: pytest.MonkeyPatch) -> None:
     stage = Stage()
     stage.servers(
-        [EndpointEntry(name, "east", nominal=0.5 if name == names(5)[0] else 1.0) for name in names(5)]
+        [
+            EndpointEntry(name, "east", nominal_capacity=0.5 if name == names(5)[0] else 1.0)
+            for name in names(5)
+        ]
     )
     seen: list[float] = []
     drawn = stage.balancer._drawn
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -115,7 +115,7 @@
     slow = SlowToAccept()
     await slow.fill()
     clock = Clock()
-    pool = Pool(Upstream(clock, Limits(dial_timeout_us=60_000_000), most, lambda: None), clock, slow, [])
+    pool = Pool(Upstream(clock, Limits(connect_timeout_us=60_000_000), most, lambda: None), clock, slow, [])
     pool.listed()
     try:
         yield pool
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -232,15 +232,15 @@
     ):
         request = stage.request(kind)
         sent_at, first = stage.sends(request)[0]
-        assert first.begin_by is not None and first.begin_by >= first.until  # no limit of its own
+        assert first.send_by is not None and first.send_by >= first.deadline  # no limit of its own
         stage.wait(100 * MS)
         stage.end(request, outcome)
         _, repeat = stage.sends(request)[1]
-        assert repeat.begin_by is not None
+        assert repeat.send_by is not None
         if window is None:
-            assert repeat.begin_by >= repeat.until
+            assert repeat.send_by >= repeat.deadline
         else:
-            assert repeat.begin_by == sent_at + window - 5 * MS
+            assert repeat.send_by == sent_at + window - 5 * MS
 
 
 def test_a_keyed_repeat_stays_in_the_cell_that_its_first_attempt_was_sent_to() -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -17,11 +17,11 @@
 
 def test_absent_keys_get_the_cautious_default() -> None:
     given = Settings.from_mapping(LEAST)
-    assert given.classes[0].repeat is Idempotency.NOT_IDEMPOTENT
-    assert given.classes[0].aim_us == 1_000_000
+    assert given.classes[0].idempotency is Idempotency.NOT_IDEMPOTENT
+    assert given.classes[0].latency_objective_us == 1_000_000
     assert given.discovery is DiscoveryMode.ON_REQUEST
-    assert not given.limits.second_copies and given.limits.max_attempts == 1
-    assert given.rules.drain_grace_us == 0
+    assert not given.limits.hedged_requests and given.limits.max_attempts == 1
+    assert given.guarantees.drain_grace_us == 0
 
 
 def test_unknown_keys_are_skipped_and_null_counts_as_absent() -> None:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -117,7 +117,11 @@
         async with stage(None) as scene:
             assert (await scene.ask("lodge")).status == 502
             (ended,) = balancer.heard(AttemptEnded)
-            assert (ended.outcome, ended.answered, ended.server) == (Outcome.CANCELLED, False, "s-0")
+            assert (ended.outcome, ended.is_request_answered, ended.server) == (
+                Outcome.CANCELLED,
+                False,
+                "s-0",
+            )
             await until(lambda: scene.servers[0].closed == [0])
             assert balancer.heard(TimerFired)[0].token == "later"
             assert balancer.times == sorted(balancer.times)
@@ -160,7 +164,7 @@
                 Outcome.NOT_SENT,
                 Outcome.NOT_SENT,
             ]
-            assert all(each.answered for each in (ended[0], ended[1]))
+            assert all(each.is_request_answered for each in (ended[0], ended[1]))
             assert scene.sidecar.open_requests == 0
 
     play(work)
@@ -183,7 +187,7 @@
             await until(lambda: balancer.heard(ClientDisconnected) == [ClientDisconnected(1)])
             release.set()
             await until(lambda: len(balancer.heard(AttemptEnded)) == 1)
-            assert balancer.heard(AttemptEnded)[0].answered
+            assert balancer.heard(AttemptEnded)[0].is_request_answered
 
     play(work)
 
@@ -203,7 +207,7 @@
             await until(lambda: len(balancer.heard(HealthCheckEnded)) == 1)
             ended = balancer.heard(HealthCheckEnded)[0]
             assert (ended.server, ended.outcome) == ("s-0", Outcome.DELIVERED)
-            assert ended.report == {"qps": 7.0, "util": 0.5}
+            assert ended.load_report == {"qps": 7.0, "util": 0.5}
             assert scene.heard[0].target == "/_load" and "request-id" not in scene.heard[0].headers
 
     play(work)
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -31,7 +31,7 @@
 
 
 def arrive(stage_: Stage, number: int = 900, name: str = "pay") -> int:
-    stage_.play(RequestArrived(number, name, None, None, S, arriving=True))
+    stage_.play(RequestArrived(number, name, None, None, S, is_body_streaming=True))
     return number
 
 
