--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -1,7 +1,7 @@
 """Magpiemux: the decisions of a sidecar balancer, by best-of-k with redraw."""
 
 from balancer.balancer import Balancer
-from balancer.interface import Settings
+from balancer.settings import Settings
 
 __all__ = ["Balancer", "Settings"]
 __version__ = "0.1.0"
--- a/balancer/adapter.py
+++ b/balancer/adapter.py
@@ -11,42 +11,44 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, TextIO
 
-from balancer.balancer import Balancer
-from balancer.interface import (
+from balancer.actions import (
     Action,
-    AttemptEnded,
     CancelAttempt,
-    ClientDisconnected,
     CloseIdleConnections,
+    Fail,
+    HealthCheck,
+    Log,
+    PollEndpoints,
+    Reject,
+    SendAttempt,
+    SendPeerMessage,
+    SetTimer,
+    WatchEndpoints,
+)
+from balancer.balancer import Balancer
+from balancer.events import (
+    AttemptEnded,
+    ClientDisconnected,
     EndpointEntry,
     EndpointListKind,
     EndpointListReceived,
     EndpointState,
     Event,
-    Fail,
-    HealthCheck,
     HealthCheckEnded,
-    Log,
     Outcome,
     PeerMessageReceived,
-    PollEndpoints,
-    Reject,
     RequestArrived,
     ResponseStarted,
-    SendAttempt,
-    SendPeerMessage,
-    SetTimer,
-    Settings,
     TimerFired,
-    WatchEndpoints,
 )
+from balancer.settings import Settings
 
 
 class WireError(Exception):
     """A line that the wire does not allow."""
 
 
-# Settings: wire name -> name in interface.py; what has no entry is passed over.
+# Settings: wire name -> key of Settings.from_mapping; what has no entry is passed over.
 _TOP = {
     "lanes": "classes",
     "realms": "tenants",
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,6 +1,6 @@
 """All decisions of a sidecar balancer, by best-of-k with redraw.
 
-Types, events and actions: balancer/interface.py.  The reasons for each departure: docs/design.md.
+Settings, events and actions: the modules of these names.  The reasons for each departure: docs/design.md.
 
 Per request: draw k random distinct ready servers and send to the one with the fewest of this balancer's own
 requests in flight; on a full answer draw again, wider.  Every attempt leaves through `_send` and every final
@@ -13,14 +13,21 @@
 import math
 import random
 
-from balancer.interface import (
+from balancer.actions import (
     Action,
-    AttemptEnded,
     CancelAttempt,
-    ClientDisconnected,
     CloseIdleConnections,
+    Fail,
+    Log,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
+from balancer.events import (
+    AttemptEnded,
+    ClientDisconnected,
     ClusterSizeChanged,
-    DiscoveryMode,
     EndpointEntry,
     EndpointExcluded,
     EndpointIncluded,
@@ -28,22 +35,13 @@
     EndpointListReceived,
     EndpointState,
     Event,
-    Fail,
-    Idempotency,
-    IdempotencyScope,
-    Log,
     Outcome,
-    Reject,
     RequestArrived,
     RequestBodyCompleted,
     ResponseStarted,
-    SendAttempt,
-    ServiceClass,
-    SetTimer,
-    Settings,
     TimerFired,
-    WatchEndpoints,
 )
+from balancer.settings import DiscoveryMode, Idempotency, IdempotencyScope, ServiceClass, Settings
 
 # ---------------------------------------------------------------------------------------------------
 # Constants: ratios of what the settings give or of what was observed
--- a/balancer/interface.py
+++ b/balancer/settings.py
@@ -1,21 +1,19 @@
-"""What goes into the balancer and what comes out of it: settings, events and actions.
+"""Typed settings of the balancer and how they are read from plain mappings.
 
-Times are whole microseconds.  Events and actions are plain slotted dataclasses; treat them as values.
-
-Settings carry what a decision, or the program around the balancer, can act on; the balancer itself does not
-read all of them.  Left out on purpose: the names of zones, tiers and the kind of service (a decision that
-followed a name would be wrong elsewhere), and the prices of things that no action here can cause.
+Durations are whole microseconds.  Settings carry what a decision, or the program around the balancer, can
+act on; the balancer itself does not read all of them.  The names of zones and services are left out on
+purpose: a decision that followed a name would be wrong elsewhere.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import Enum, unique
-from typing import Any, TypeVar
+from typing import Any
 
-# ---------------------------------------------------------------------------------------------------
-# Vocabulary
+from balancer.events import Outcome
+from balancer.mapping_reader import MappingReader
 
 
 @unique
@@ -71,43 +69,6 @@
     WORK = "work"
 
 
-@unique
-class EndpointState(Enum):
-    """What the server list says of a server."""
-
-    READY = "ready"
-    DRAINING = "draining"
-    GONE = "gone"
-
-
-@unique
-class EndpointListKind(Enum):
-    """How a server list is to be read."""
-
-    CHANGES = "changes"  # changed entries only
-    COMPLETE = "complete"  # who is missing is gone
-    CACHED = "remembered"  # complete, but as last held before a restart
-    FAILED = "failed"  # a call failed or the subscription broke; nothing changes
-
-
-@unique
-class Outcome(Enum):
-    """How an attempt ended."""
-
-    DELIVERED = "delivered"
-    ERROR = "error"
-    FULL = "full"
-    TIMED_OUT = "expired"
-    CONNECT_FAILED = "dial_failed"
-    CONNECTION_LOST = "dropped"
-    CANCELLED = "cancelled"
-    NOT_SENT = "unsent"
-
-
-# ---------------------------------------------------------------------------------------------------
-# Settings
-
-
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
     """One class of requests."""
@@ -226,7 +187,7 @@
     @staticmethod
     def from_mapping(given: Mapping[str, Any]) -> Settings:
         """Read settings from plain nested mappings; raise ValueError, naming the key, on nonsense."""
-        top = _Reader(given, "settings")
+        top = MappingReader(given, "settings")
         classes = tuple(_service_class(each) for each in top.parts("classes"))
         if not classes:
             raise ValueError("classes: at least one class of requests is needed")
@@ -303,7 +264,7 @@
         )
 
 
-def _service_class(each: _Reader) -> ServiceClass:
+def _service_class(each: MappingReader) -> ServiceClass:
     deadline = each.whole("deadline_us", None, low=1)
     return ServiceClass(
         name=each.text("name"),
@@ -317,344 +278,3 @@
         streaming=each.flag("streaming", False),
         latency_objective_stretch=each.number("aim_stretch", 0.0),
     )
-
-
-_Choice = TypeVar("_Choice", bound=Enum)
-_LARGEST = 2**53  # every whole number up to here survives a double
-
-
-class _Reader:
-    """Reads one mapping; each complaint names the path of the key.  A null counts as absent."""
-
-    def __init__(self, given: object, path: str) -> None:
-        if not isinstance(given, Mapping):
-            raise ValueError(f"{path}: a mapping is needed")
-        self._given = given
-        self._path = "" if path == "settings" else path + "."
-
-    def _value(self, key: str) -> Any:
-        return self._given.get(key)
-
-    def _nonsense(self, key: str, needed: str) -> ValueError:
-        return ValueError(f"{self._path}{key}: {needed} is needed, not {self._value(key)!r:.60}")
-
-    def part(self, key: str) -> _Reader:
-        value = self._value(key)
-        return _Reader({} if value is None else value, self._path + key)
-
-    def parts(self, key: str) -> list[_Reader]:
-        value = self._value(key)
-        if value is None:
-            return []
-        if not isinstance(value, Sequence) or isinstance(value, (str, bytes)):
-            raise self._nonsense(key, "a list")
-        return [_Reader(each, f"{self._path}{key}[{index}]") for index, each in enumerate(value)]
-
-    def text(self, key: str, default: str | None = None) -> str:
-        value = self._value(key)
-        if value is None and default is not None:
-            return default
-        if not isinstance(value, str):
-            raise self._nonsense(key, "a text")
-        return value
-
-    def texts(self, key: str) -> tuple[str, ...]:
-        value = self._value(key)
-        if value is None:
-            return ()
-        if not isinstance(value, Sequence) or isinstance(value, str):
-            raise self._nonsense(key, "a list of texts")
-        if not all(isinstance(each, str) for each in value):
-            raise self._nonsense(key, "a list of texts")
-        return tuple(value)
-
-    def flag(self, key: str, default: bool) -> bool:
-        value = self._value(key)
-        if value is None:
-            return default
-        if not isinstance(value, bool):
-            raise self._nonsense(key, "true or false")
-        return value
-
-    def number(self, key: str, default: float, low: float = 0.0, high: float = _LARGEST) -> float:
-        value = self._value(key)
-        if value is None:
-            return default
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value <= high:
-            raise self._nonsense(key, f"a number from {low:g} to {high:g}")
-        return float(value)
-
-    def whole(self, key: str, default: int | None, low: int = 0) -> int:
-        value = self._value(key)
-        if value is None and default is not None:
-            return default
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value <= _LARGEST:
-            raise self._nonsense(key, f"a whole number from {low}")
-        if value != int(value):
-            raise self._nonsense(key, "a whole number")
-        return int(value)
-
-    def optional_whole(self, key: str) -> int | None:
-        return None if self._value(key) is None else self.whole(key, None)
-
-    def choice(self, key: str, kind: type[_Choice], default: _Choice) -> _Choice:
-        value = self._value(key)
-        if value is None:
-            return default
-        for each in kind:
-            if value == each.value:
-                return each
-        raise self._nonsense(key, "one of " + ", ".join(str(each.value) for each in kind))
-
-
-# ---------------------------------------------------------------------------------------------------
-# Events
-
-
-@dataclass(slots=True)
-class EndpointEntry:
-    """A line of the server list."""
-
-    server: str
-    zone: str = ""
-    machine_type: str = ""
-    cell: int = 0
-    state: EndpointState = EndpointState.READY
-    nominal_capacity: float = 1.0
-    started_at: int | None = None  # None: long ago
-
-
-@dataclass(slots=True)
-class EndpointListReceived:
-    """The server list was heard, or a call for it failed."""
-
-    kind: EndpointListKind
-    entries: Sequence[EndpointEntry] = ()
-    version: int = 0
-
-
-@dataclass(slots=True)
-class RequestArrived:
-    """A client's request; one final answer is owed from here on."""
-
-    request: int
-    service_class: str
-    tenant: str | None
-    key: int | None
-    remaining_us: int
-    cost_us: int | None = None  # a hint of the work, where the client gave one
-    is_client_retry: bool = False
-    is_write: bool = False
-    is_body_streaming: bool = (
-        False  # its body is still coming, and passes through: RequestBodyCompleted begins its time
-    )
-
-
-@dataclass(slots=True)
-class RequestBodyCompleted:
-    """The last byte of a request that was arriving is here; its time runs from now."""
-
-    request: int
-    remaining_us: int
-
-
-@dataclass(slots=True)
-class ResponseStarted:
-    """The streamed answer of an attempt has begun; the attempt now belongs to the client."""
-
-    request: int
-    attempt: int
-    server: str
-    elapsed_us: int
-
-
-@dataclass(slots=True)
-class AttemptEnded:
-    """An attempt ended.  `answered`: the client has its final answer, by this outcome or an earlier one."""
-
-    request: int
-    attempt: int
-    server: str
-    outcome: Outcome
-    elapsed_us: int
-    is_request_answered: bool
-    load_report: Mapping[str, float] | None = None
-    is_body_consumed: bool = (
-        False  # of the request's body some was sent on and not kept: it can't be sent again
-    )
-
-
-@dataclass(slots=True)
-class ClientDisconnected:
-    """The client went away; nothing is owed any more."""
-
-    request: int
-
-
-@dataclass(slots=True)
-class TimerFired:
-    """A timer set earlier is due."""
-
-    token: str
-
-
-@dataclass(slots=True)
-class HealthCheckEnded:
-    """A probe came back."""
-
-    server: str
-    outcome: Outcome
-    elapsed_us: int
-    load_report: Mapping[str, float] | None = None
-
-
-@dataclass(slots=True)
-class EndpointExcluded:
-    """The operators want nothing more sent to a server, whatever is listed, until they include it again."""
-
-    server: str
-
-
-@dataclass(slots=True)
-class EndpointIncluded:
-    """The operators want a server used again."""
-
-    server: str
-
-
-@dataclass(slots=True)
-class ClusterSizeChanged:
-    """How many balancers of the tier are believed to be there, this one included; never sent: as configured.
-
-    `present` counts those that may be there (suspected and never heard of as well), `certain` just those
-    that answered; `in_minority`: no more than half of those that did not leave by their own word are seen.
-    """
-
-    configured: int
-    present: int
-    certain: int
-    in_minority: bool = False
-
-
-@dataclass(slots=True)
-class PeerMessageReceived:
-    """A message from another balancer of the tier."""
-
-    sender: int
-    payload: bytes
-
-
-Event = (
-    EndpointListReceived
-    | RequestArrived
-    | RequestBodyCompleted
-    | ResponseStarted
-    | AttemptEnded
-    | ClientDisconnected
-    | TimerFired
-    | HealthCheckEnded
-    | EndpointExcluded
-    | EndpointIncluded
-    | ClusterSizeChanged
-    | PeerMessageReceived
-)
-
-# ---------------------------------------------------------------------------------------------------
-# Actions
-
-
-@dataclass(slots=True)
-class SendAttempt:
-    """Start an attempt; a request's attempts are numbered from 0 in the order they are sent."""
-
-    request: int
-    server: str
-    deadline: int  # clock time at which the attempt is abandoned
-    send_by: int | None = None  # and by which its first byte has to leave, or it stays unsent; None: `until`
-
-
-@dataclass(slots=True)
-class Reject:
-    """Final answer: refused; trying again is harmless."""
-
-    request: int
-    retry_after_us: int = 0
-
-
-@dataclass(slots=True)
-class Fail:
-    """Final answer: failed; nothing is promised."""
-
-    request: int
-
-
-@dataclass(slots=True)
-class CancelAttempt:
-    """Stop waiting for an attempt."""
-
-    request: int
-    attempt: int
-
-
-@dataclass(slots=True)
-class SetTimer:
-    """Ask for a TimerFired."""
-
-    delay_us: int
-    token: str
-
-
-@dataclass(slots=True)
-class HealthCheck:
-    """Test a server."""
-
-    server: str
-
-
-@dataclass(slots=True)
-class CloseIdleConnections:
-    """Close the idle connections to a server."""
-
-    server: str
-
-
-@dataclass(slots=True)
-class SendPeerMessage:
-    """Send a message to one balancer of the tier, or to all (None)."""
-
-    receiver: int | None
-    payload: bytes
-
-
-@dataclass(slots=True)
-class WatchEndpoints:
-    """Subscribe to changes of the server list, or end that."""
-
-    is_enabled: bool = True
-
-
-@dataclass(slots=True)
-class PollEndpoints:
-    """Ask once for the complete server list."""
-
-
-@dataclass(slots=True)
-class Log:
-    """A line for the operators."""
-
-    text: str
-
-
-Action = (
-    SendAttempt
-    | Reject
-    | Fail
-    | CancelAttempt
-    | SetTimer
-    | HealthCheck
-    | CloseIdleConnections
-    | SendPeerMessage
-    | WatchEndpoints
-    | PollEndpoints
-    | Log
-)
--- a/bench/decide.py
+++ b/bench/decide.py
@@ -18,22 +18,18 @@
 from pathlib import Path
 
 from balancer import Balancer
+from balancer.actions import Action, Fail, Reject, SendAttempt, SetTimer
 from balancer.adapter import settings_from_wire
-from balancer.interface import (
-    Action,
+from balancer.events import (
     AttemptEnded,
     EndpointListKind,
     EndpointListReceived,
     Event,
-    Fail,
-    Limits,
     Outcome,
-    Reject,
     RequestArrived,
-    SendAttempt,
-    SetTimer,
     TimerFired,
 )
+from balancer.settings import Limits
 from bench.__main__ import SETTINGS
 from bench.listed import listed
 from bench.sidecars import how_built, restart_as_built
--- a/bench/staged.py
+++ b/bench/staged.py
@@ -17,18 +17,9 @@
 import uvloop
 
 from balancer import Balancer
+from balancer.actions import Action, SendAttempt, SetTimer
 from balancer.adapter import settings_from_wire
-from balancer.interface import (
-    Action,
-    AttemptEnded,
-    EndpointListKind,
-    Event,
-    Outcome,
-    RequestArrived,
-    SendAttempt,
-    SetTimer,
-    TimerFired,
-)
+from balancer.events import AttemptEnded, EndpointListKind, Event, Outcome, RequestArrived, TimerFired
 from bench.__main__ import SETTINGS
 from bench.listed import listed
 from bench.process import HOST
--- a/deploy/native.py
+++ b/deploy/native.py
@@ -20,7 +20,10 @@
 TOOLS = ROOT / "requirements-build.txt"
 PACKAGES = ("balancer", "sidecar")
 COMPILED = (
-    "balancer/interface.py",
+    "balancer/actions.py",
+    "balancer/events.py",
+    "balancer/mapping_reader.py",
+    "balancer/settings.py",
     "balancer/balancer.py",
     "sidecar/http/grammar.py",
     "sidecar/http/chunked.py",
--- a/sidecar/discovery/catalog.py
+++ b/sidecar/discovery/catalog.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from balancer.interface import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
+from balancer.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
 from sidecar.upstream.client import Address, parse_address
 
 _MOST_LEFT = 1_024  # servers that left and are remembered, so that a late list can't bring them back
--- a/sidecar/downstream/frontend.py
+++ b/sidecar/downstream/frontend.py
@@ -9,7 +9,7 @@
 from itertools import islice, takewhile
 from typing import cast
 
-from balancer.interface import Settings
+from balancer.settings import Settings
 from sidecar.downstream.listener import Listener
 from sidecar.downstream.request import CHUNKED, BadRequest, Incoming, read_request
 from sidecar.downstream.stream import KEPT, LONGEST, STALLED_S, BoundedReader, Upload, part_of_budget
--- a/sidecar/downstream/request.py
+++ b/sidecar/downstream/request.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from balancer.interface import Idempotency, ServiceClass
+from balancer.settings import Idempotency, ServiceClass
 from sidecar.downstream.stream import Upload
 from sidecar.http import Headers, RequestHead
 from sidecar.upstream.client import Message
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -13,37 +13,38 @@
 from typing import TYPE_CHECKING
 
 from balancer import Balancer
-from balancer.interface import (
+from balancer.actions import (
     Action,
-    AttemptEnded,
     CancelAttempt,
-    ClientDisconnected,
     CloseIdleConnections,
+    Fail,
+    HealthCheck,
+    Log,
+    PollEndpoints,
+    Reject,
+    SendAttempt,
+    SendPeerMessage,
+    SetTimer,
+    WatchEndpoints,
+)
+from balancer.events import (
+    AttemptEnded,
+    ClientDisconnected,
     ClusterSizeChanged,
-    DiscoveryMode,
     EndpointExcluded,
     EndpointIncluded,
     EndpointListKind,
     EndpointListReceived,
     Event,
-    Fail,
-    HealthCheck,
     HealthCheckEnded,
-    LoadReportSource,
-    Log,
     Outcome,
     PeerMessageReceived,
-    PollEndpoints,
-    Reject,
     RequestArrived,
     RequestBodyCompleted,
     ResponseStarted,
-    SendAttempt,
-    SendPeerMessage,
-    SetTimer,
     TimerFired,
-    WatchEndpoints,
 )
+from balancer.settings import DiscoveryMode, LoadReportSource
 from sidecar.clock import Clock
 from sidecar.config import Config, ConfigError
 from sidecar.console import MOST_CALLERS, Console
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from balancer.interface import EndpointEntry, EndpointState, Limits, Outcome
+from balancer.events import EndpointEntry, EndpointState, Outcome
+from balancer.settings import Limits
 from sidecar.clock import Clock
 from sidecar.discovery.catalog import Listing
 from sidecar.downstream.stream import KEPT, STALLED_S
--- a/testbed/model/clients.py
+++ b/testbed/model/clients.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from balancer.interface import RequestArrived
+from balancer.events import RequestArrived
 from testbed import events as log
 from testbed.load.habits import MOST_RETRIES, Habits
 from testbed.model.queue import Queue
--- a/testbed/model/discovery.py
+++ b/testbed/model/discovery.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from balancer.interface import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
+from balancer.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
 from testbed import events as log
 from testbed.catalog import Catalog, Change
 from testbed.links import NEVER, Links
--- a/testbed/model/play.py
+++ b/testbed/model/play.py
@@ -8,7 +8,7 @@
 
 from balancer import Settings
 from balancer.adapter import settings_from_wire
-from balancer.interface import RequestArrived
+from balancer.events import RequestArrived
 from testbed import events as log
 from testbed.catalog import server_lives
 from testbed.links import NEVER, Link, Links
--- a/testbed/model/policies.py
+++ b/testbed/model/policies.py
@@ -7,25 +7,19 @@
 from typing import Protocol
 
 from balancer import Balancer, Settings
-from balancer.interface import (
-    Action,
+from balancer.actions import Action, Fail, Reject, SendAttempt, SetTimer, WatchEndpoints
+from balancer.events import (
     AttemptEnded,
     ClientDisconnected,
-    DiscoveryMode,
     EndpointListKind,
     EndpointListReceived,
     EndpointState,
     Event,
-    Fail,
-    Idempotency,
     Outcome,
-    Reject,
     RequestArrived,
-    SendAttempt,
-    SetTimer,
     TimerFired,
-    WatchEndpoints,
 )
+from balancer.settings import DiscoveryMode, Idempotency
 
 _EARLY_US = 10_000  # before a request's time is up, it is answered as failed
 _ASK_AGAIN_US = 500_000
--- a/testbed/model/sidecar.py
+++ b/testbed/model/sidecar.py
@@ -8,27 +8,29 @@
 from typing import Protocol
 
 from balancer import Balancer
-from balancer.interface import (
-    AttemptEnded,
+from balancer.actions import (
     CancelAttempt,
     CloseIdleConnections,
+    Fail,
+    PollEndpoints,
+    Reject,
+    SendAttempt,
+    SendPeerMessage,
+    SetTimer,
+    WatchEndpoints,
+)
+from balancer.events import (
+    AttemptEnded,
     EndpointListKind,
     EndpointListReceived,
     Event,
-    Fail,
     Outcome,
     PeerMessageReceived,
-    PollEndpoints,
-    Reject,
     RequestArrived,
     ResponseStarted,
-    SendAttempt,
-    SendPeerMessage,
-    SetTimer,
-    Settings,
     TimerFired,
-    WatchEndpoints,
 )
+from balancer.settings import Settings
 from testbed.catalog import Change
 from testbed.links import NEVER, Link
 from testbed.model.clients import Clients
--- a/testbed/tier/line.py
+++ b/testbed/tier/line.py
@@ -16,15 +16,8 @@
 import numpy as np
 
 from balancer import Balancer, Settings
-from balancer.interface import (
-    EndpointEntry,
-    EndpointListKind,
-    EndpointListReceived,
-    Event,
-    SetTimer,
-    TimerFired,
-    WatchEndpoints,
-)
+from balancer.actions import SetTimer, WatchEndpoints
+from balancer.events import EndpointEntry, EndpointListKind, EndpointListReceived, Event, TimerFired
 from testbed.capacity.samples import Sample, save
 from testbed.model.queue import Queue
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,8 +6,8 @@
 from typing import Any, TypeVar
 
 from balancer import Balancer, Settings
-from balancer.interface import (
-    Action,
+from balancer.actions import Action, SendAttempt, SetTimer
+from balancer.events import (
     AttemptEnded,
     EndpointEntry,
     EndpointListKind,
@@ -16,8 +16,6 @@
     Event,
     Outcome,
     RequestArrived,
-    SendAttempt,
-    SetTimer,
     TimerFired,
 )
 
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -11,25 +11,20 @@
 from hypothesis import strategies as st
 
 from balancer import Balancer
-from balancer.interface import AttemptEnded as Ended
-from balancer.interface import (
-    CancelAttempt,
+from balancer.actions import CancelAttempt, CloseIdleConnections, Fail, Reject, SendAttempt, SetTimer
+from balancer.events import AttemptEnded as Ended
+from balancer.events import (
     ClientDisconnected,
-    CloseIdleConnections,
     EndpointEntry,
     EndpointListKind,
     EndpointListReceived,
     EndpointState,
     Event,
-    Fail,
-    Idempotency,
     Outcome,
-    Reject,
     RequestArrived,
-    SendAttempt,
-    SetTimer,
     TimerFired,
 )
+from balancer.settings import Idempotency
 
 SERVERS = names(7)
 ZONES = ("east", "west")
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from loopback import line
 
-from balancer.interface import EndpointState
+from balancer.events import EndpointState
 from sidecar.discovery.catalog import Catalog, Inconsistent, Listing, parse_listing
 
 ADDRESS = "127.0.0.1:80"
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,9 +12,9 @@
 from helpers import MS, S, settings
 
 from balancer import Balancer
-from balancer.interface import (
+from balancer.actions import CancelAttempt, SendAttempt, SetTimer
+from balancer.events import (
     AttemptEnded,
-    CancelAttempt,
     ClusterSizeChanged,
     EndpointEntry,
     EndpointListKind,
@@ -22,8 +22,6 @@
     Event,
     Outcome,
     RequestArrived,
-    SendAttempt,
-    SetTimer,
     TimerFired,
 )
 
--- a/tests/test_draw.py
+++ b/tests/test_draw.py
@@ -10,16 +10,9 @@
 from helpers import MS, S, Stage, names, settings
 
 from balancer import balancer
+from balancer.actions import CancelAttempt, CloseIdleConnections, Log, Reject
 from balancer.balancer import Server
-from balancer.interface import (
-    CancelAttempt,
-    CloseIdleConnections,
-    EndpointEntry,
-    EndpointListKind,
-    Log,
-    Outcome,
-    Reject,
-)
+from balancer.events import EndpointEntry, EndpointListKind, Outcome
 
 
 def test_the_least_busy_of_the_drawn_wins() -> None:
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -8,15 +8,14 @@
 from helpers import MS, START, S, Stage, names, settings
 from loopback import OK, Heard, line, play, stage, until
 
-from balancer.interface import (
-    CloseIdleConnections,
+from balancer.actions import CloseIdleConnections, Reject
+from balancer.events import (
     EndpointEntry,
     EndpointExcluded,
     EndpointIncluded,
     EndpointListKind,
     EndpointState,
     Outcome,
-    Reject,
 )
 
 SMALL = names(4)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -11,15 +11,15 @@
 from test_ground import trouble
 from test_judge import WORLD, judged_day
 
+from balancer.actions import SendAttempt
 from balancer.adapter import settings_from_wire
-from balancer.interface import (
+from balancer.events import (
     AttemptEnded,
     EndpointEntry,
     EndpointListKind,
     EndpointListReceived,
     Outcome,
     RequestArrived,
-    SendAttempt,
 )
 from testbed import events as log
 from testbed.model.play import play, play_into
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -5,7 +5,7 @@
 import re
 from pathlib import Path
 
-from balancer.interface import Outcome
+from balancer.events import Outcome
 
 ROOT = Path(__file__).parent.parent
 MODULE = (ROOT / "balancer" / "balancer.py").read_text(encoding="utf-8")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,20 +11,15 @@
 import pytest
 from helpers import MS, START, S, Stage, names, settings
 
-from balancer.interface import (
+from balancer.actions import CancelAttempt, CloseIdleConnections, Fail, PollEndpoints, Reject, WatchEndpoints
+from balancer.events import (
     AttemptEnded,
-    CancelAttempt,
     ClientDisconnected,
-    CloseIdleConnections,
     EndpointEntry,
     EndpointListKind,
     EndpointListReceived,
     EndpointState,
-    Fail,
     Outcome,
-    PollEndpoints,
-    Reject,
-    WatchEndpoints,
 )
 
 # Rule 1: one final answer in time
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,8 @@
 from hypothesis import strategies as st
 
 from balancer import Balancer, Settings
-from balancer.interface import DiscoveryMode, Idempotency, RequestArrived
+from balancer.events import RequestArrived
+from balancer.settings import DiscoveryMode, Idempotency
 
 LEAST = {"classes": [{"name": "a", "deadline_us": 1_000_000}]}
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -11,27 +11,29 @@
 from loopback import HOST, OK, Heard, play, request, stage, until
 
 from balancer import Settings
-from balancer.interface import (
+from balancer.actions import (
     Action,
-    AttemptEnded,
     CancelAttempt,
-    ClientDisconnected,
     CloseIdleConnections,
-    EndpointListKind,
-    EndpointListReceived,
-    Event,
     Fail,
     HealthCheck,
-    HealthCheckEnded,
     Log,
-    Outcome,
-    PeerMessageReceived,
     PollEndpoints,
     Reject,
-    RequestArrived,
     SendAttempt,
     SendPeerMessage,
     SetTimer,
+)
+from balancer.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointListReceived,
+    Event,
+    HealthCheckEnded,
+    Outcome,
+    PeerMessageReceived,
+    RequestArrived,
     TimerFired,
 )
 
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -11,13 +11,11 @@
 from loopback import Stage as Scene
 from test_evacuation import health
 
-from balancer.interface import (
+from balancer.actions import CancelAttempt, Fail, Reject
+from balancer.events import (
     AttemptEnded,
-    CancelAttempt,
     ClientDisconnected,
-    Fail,
     Outcome,
-    Reject,
     RequestArrived,
     RequestBodyCompleted,
     ResponseStarted,
--- a/tests/test_tier_sized.py
+++ b/tests/test_tier_sized.py
@@ -6,14 +6,8 @@
 
 from helpers import MS, Stage, names, settings
 
-from balancer.interface import (
-    ClusterSizeChanged,
-    EndpointEntry,
-    EndpointListKind,
-    EndpointListReceived,
-    Outcome,
-    WatchEndpoints,
-)
+from balancer.actions import WatchEndpoints
+from balancer.events import ClusterSizeChanged, EndpointEntry, EndpointListKind, EndpointListReceived, Outcome
 
 TIER = 16  # from twice as many on, waits are as long as being told in time allows
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -18,7 +18,8 @@
     until,
 )
 
-from balancer.interface import Limits, Outcome
+from balancer.events import Outcome
+from balancer.settings import Limits
 from sidecar.clock import Clock
 from sidecar.discovery.catalog import parse_listing
 from sidecar.upstream.client import Message
