--- /dev/null
+++ b/tests/cluster_vocabulary.py
@@ -0,0 +1,119 @@
+"""The one place where the recorded conversation names the cluster's classes: events in, neutral lists out.
+
+Renaming a class, a method or a member of an enumeration changes this module and nothing else of the
+recorded conversation.
+"""
+
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from micadeck.tier.answer import Ambiguous, Answer, Forgotten, Look, Missing, Settled
+from micadeck.tier.exchange import is_exchange
+from micadeck.tier.membership import Membership
+from micadeck.tier.rollout import Rollout
+from micadeck.tier.settings import MembershipSettings, RolloutSettings
+from micadeck.tier.view import Datagram, Doubled, News, Slept, Wake
+
+Output = list[Any]
+Event = list[Any]
+
+
+class Process:
+    """One sidecar's part in the cluster: who is there, and which configuration is in force where."""
+
+    def __init__(self, me: int, size: int, seed: int, now: int, unix_s: float, version: int) -> None:
+        settings = MembershipSettings()
+        self._membership = Membership(me, size, "cluster", settings, random.Random(seed), now, unix_s)
+        self._settings = RolloutSettings(wave_s=10.0)
+        table, rng = self._membership.table, random.Random(seed + 1)
+        self._rollout = Rollout(me, "cluster", table, self._settings, rng, now, version, 1_000 + version)
+
+    def play(self, now: int, event: Event) -> list[Output]:
+        """Take one event; give what came of it, of membership and then of configuration versions."""
+        membership, rollout = self._membership, self._rollout
+        match event:
+            case ["start"]:
+                return self._rendered(membership.start(now), rollout.start(now))
+            case ["heard", sender, payload]:
+                data = bytes.fromhex(payload)
+                if is_exchange(data):
+                    return self._rendered([], rollout.heard(now, sender, data))
+                return self._rendered(membership.heard(now, sender, data), [])
+            case ["tick", "membership"]:
+                return self._rendered(membership.tick(now), [])
+            case ["tick", "versions"]:
+                return self._rendered([], rollout.tick(now))
+            case ["worked", requests]:
+                membership.worked(now, requests)
+                return []
+            case ["in force", version, digest]:
+                return self._rendered([], rollout.in_force(now, version, digest))
+            case ["waiting", version]:
+                return self._rendered([], rollout.waiting(now, version))
+            case ["configure", size]:
+                steps = membership.configure(now, size, MembershipSettings())
+                return self._rendered(steps, rollout.configure(now, self._settings))
+            case ["leave", has_successor]:
+                return self._rendered(membership.leave(now, has_successor), [])
+        raise ValueError(f"unknown event {event!r}")
+
+    def belief(self, now: int) -> Output:
+        """What is believed of the others, and of the version that is in force."""
+        membership = self._membership
+        members = [[m.claim.life, m.claim.mark, m.claim.by] for m in membership.table.members]
+        size = membership.size()
+        counts = [size.configured, size.present, size.suspected, size.unknown, size.dead, size.left]
+        return [members, counts, membership.life, _answer(self._rollout.answer(now))]
+
+    def dropped(self) -> list[dict[str, int]]:
+        """How many datagrams were not taken, by reason, of either kind."""
+        return [dict(self._membership.dropped), dict(self._rollout.dropped)]
+
+    @staticmethod
+    def _rendered(membership: list[Any], versions: list[Any]) -> list[Output]:
+        parts = (("membership", membership), ("versions", versions))
+        return [_rendered(part, action) for part, actions in parts for action in actions]
+
+
+def _answer(answer: Answer) -> Output:
+    return [
+        answer.version,
+        answer.everywhere,
+        answer.count,
+        answer.asked,
+        list(answer.behind),
+        answer.behind_count,
+        list(answer.unheard),
+        answer.unheard_count,
+        answer.low,
+        answer.high,
+        answer.wave,
+        answer.age_us,
+    ]
+
+
+def _rendered(part: str, action: object) -> Output:
+    match action:
+        case Datagram(receiver, payload):
+            return ["send", receiver, payload.hex()]
+        case Wake(at):
+            return ["wake", part, at]
+        case News(member, state, life, by):
+            return ["news", member, int(state), life, by]
+        case Doubled(member):
+            return ["doubled", member]
+        case Slept(late_us):
+            return ["slept", late_us]
+        case Look():
+            return ["look"]
+        case Settled(after_us, answer):
+            return ["settled", after_us, _answer(answer)]
+        case Ambiguous(version, low, high):
+            return ["ambiguous", version, low, high]
+        case Missing(version, by, after_us):
+            return ["missing", version, by, after_us]
+        case Forgotten(version, by):
+            return ["forgotten", version, by]
+    raise ValueError(f"unknown action {action!r}")
