--- /dev/null
+++ b/sidecar/process_lock.py
@@ -0,0 +1,64 @@
+"""Tells whether another process of this sidecar is alive: during a hot restart there are two.
+
+Each process holds a lock on a file of its own in the directory that they share.  The system releases the lock
+when the process ends, however it ends.
+"""
+
+from __future__ import annotations
+
+import fcntl
+import os
+from collections.abc import Callable
+from pathlib import Path
+
+_LOCK_PREFIX = "alive."
+_NO_DESCRIPTOR = -1
+
+
+class ProcessLock:
+    """The lock file of this process, and a check of those of others."""
+
+    def __init__(self, directory: Path, log: Callable[[str], None], name: str | None = None) -> None:
+        """Take the lock; a failure is logged.  `name` identifies this process, by default its process id."""
+        self._directory = directory
+        self._path = directory / f"{_LOCK_PREFIX}{name or os.getpid()}"
+        self._descriptor = _NO_DESCRIPTOR
+        try:
+            # Locked before it gets its name, so that nobody mistakes it for that of a process that ended.
+            new_path = self._path.with_name(f"new-{self._path.name}")
+            self._descriptor = os.open(new_path, os.O_CREAT | os.O_RDWR, 0o600)
+            fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            new_path.rename(self._path)
+        except OSError as error:
+            log(f"could not mark this process as alive: {error}")
+
+    def is_alone(self) -> bool:
+        """Return whether no other process is alive; assumed where that can't be determined."""
+        try:
+            others = [path for path in self._directory.glob(f"{_LOCK_PREFIX}*") if path != self._path]
+            return not any(_is_locked(path) for path in others)
+        except OSError:
+            return True
+
+    def close(self) -> None:
+        """Release the lock and remove its file."""
+        if self._descriptor != _NO_DESCRIPTOR:
+            self._path.unlink(missing_ok=True)
+            os.close(self._descriptor)
+            self._descriptor = _NO_DESCRIPTOR
+
+
+def _is_locked(path: Path) -> bool:
+    """Return whether the process of a lock file is alive; remove the file of one that ended."""
+    try:
+        descriptor = os.open(path, os.O_RDWR)
+    except OSError:
+        return False  # it has just been removed
+    try:
+        fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
+        path.unlink(missing_ok=True)
+    except BlockingIOError:
+        return True
+    finally:
+        os.close(descriptor)
+    return False
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -53,12 +53,12 @@
 from sidecar.downstream.frontend import ClientSide, Frontend
 from sidecar.downstream.listener import bound
 from sidecar.downstream.request import Incoming
-from sidecar.handover import Handover
 from sidecar.http import Headers
+from sidecar.metrics import Metrics
 from sidecar.peers import Peers
-from sidecar.presence import Presence
+from sidecar.persisted_exclusions import PersistedExclusions
+from sidecar.process_lock import ProcessLock
 from sidecar.roles import Sink
-from sidecar.telemetry import Telemetry
 from sidecar.upstream.client import Address, ClientConnection, Message, Response
 from sidecar.upstream.upstream import Call, Upstream, load_report
 
@@ -117,26 +117,24 @@
         self._owed = 0  # requests without their final answer
         self._next_request = 1
         self._stop_by: int | None = None  # when all must be answered, once it drains
-        self._telemetry = Telemetry(each.name for each in config.settings.classes)
+        self._metrics = Metrics(each.name for each in config.settings.classes)
         self.console = None if config.console is None else Console(self)
-        self._handover: Handover | None = None
-        if self.console is not None and config.folder is not None:
-            self._handover = Handover(config.folder, log)
-        self._presence: Presence | None = None
-        if held is not None and config.folder is not None:
-            self._presence = Presence(config.folder, log)
+        folder = config.folder
+        is_operated = self.console is not None and folder is not None
+        self._exclusions_file = PersistedExclusions(folder, log) if is_operated and folder else None
+        self._process_lock = ProcessLock(folder, log) if held is not None and folder is not None else None
         self._looking: asyncio.TimerHandle | None = None
         # At an upgrade two processes are one sidecar, and have its descriptors together.
-        self._is_alone = self._presence is None or self._presence.is_alone()
+        self._is_alone = self._process_lock is None or self._process_lock.is_alone()
         for_clients, for_servers = self._shares()
         memory_mb = config.memory_mb // 2 if held is not None else config.memory_mb
         self.frontend = Frontend(
             config.settings, for_clients, memory_mb, self._arrived, self._completed, self._gone
         )
-        limits, written = config.settings.limits, self._telemetry.attempted
-        # The other process of an upgrade may have said yes to an operator since the last look.
-        hear_the_other = self._handover.look if self._handover is not None and held is not None else None
-        self._upstream = Upstream(self._clock, limits, for_servers, written, hear_the_other)
+        limits, written = config.settings.limits, self._metrics.attempt_sent
+        # The other process of a hot restart may have accepted an exclusion since the last poll.
+        before_writing = self._exclusions_file.check if self._exclusions_file and held else None
+        self._upstream = Upstream(self._clock, limits, for_servers, written, before_writing)
         self._discovery = discovery.Discovery(
             config.discovery,
             config.known,
@@ -170,9 +168,9 @@
 
     def _look_around(self) -> None:
         """See again and again whether there are two processes, and share with the other."""
-        assert self._presence is not None
+        assert self._process_lock is not None
         self._looking = asyncio.get_running_loop().call_later(_LOOK_EVERY_S, self._look_around)
-        is_alone = self._presence.is_alone()
+        is_alone = self._process_lock.is_alone()
         if is_alone != self._is_alone:
             self._is_alone = is_alone
             self._upstream.resize(self._shares()[1])
@@ -185,11 +183,11 @@
             await self.console.listen(self._config.console)
         self._upstream.listed(self._config.known)
         self._post(self._config.known.event(EndpointListKind.CACHED))
-        if self._handover is not None:
-            self._taken_over(self._handover.read() or frozenset())
+        if self._exclusions_file is not None:
+            self._taken_over(self._exclusions_file.read() or frozenset())
             if self._held is not None:
-                self._handover.watch(self._taken_over)
-        if self._presence is not None:
+                self._exclusions_file.watch(self._taken_over)
+        if self._process_lock is not None:
             self._look_around()
         self._discovery.start()
         await self._discovery.first_word(_FIRST_WORD_S)
@@ -278,7 +276,7 @@
         self._stop_by = self._clock.now() + int(left_s * 1e6)
         self.frontend.drain()
         # Looked at anew: a successor may be younger than the last look.
-        has_successor = self._presence is not None and not self._presence.is_alone()
+        has_successor = self._process_lock is not None and not self._process_lock.is_alone()
         if self._versions is not None:
             self._versions.close()
         if self._members is not None:
@@ -315,12 +313,12 @@
     def close(self) -> None:
         if self.console is not None:
             self.console.close()
-        if self._handover is not None:
-            self._handover.close()
+        if self._exclusions_file is not None:
+            self._exclusions_file.close()
         if self._looking is not None:
             self._looking.cancel()
-        if self._presence is not None:
-            self._presence.close()
+        if self._process_lock is not None:
+            self._process_lock.close()
         self._discovery.close()
         if self._versions is not None:
             self._versions.close()
@@ -340,7 +338,7 @@
         members, unavailable = self._balancer.members()
         uploads = (each.incoming.upload for each in self._open.values() if each.client is not None)
         arriving = sum(upload is not None and not upload.is_whole for upload in uploads)
-        figures = self._telemetry.figures(self._owed - arriving, members, unavailable)
+        figures = self._metrics.snapshot(self._owed - arriving, members, unavailable)
         membership = self._members.figures() if self._members is not None else None
         if membership is not None:
             figures["membership"] = membership
@@ -360,8 +358,8 @@
     def _called(self, member: str, is_out: bool) -> bool:
         if not self._balancer.knows(member):
             return False
-        if self._handover is not None:
-            self._handover.record(member, is_out, self._upstream.excluded)
+        if self._exclusions_file is not None:
+            self._exclusions_file.record(member, is_out, self._upstream.excluded)
         self._use(member, is_out)
         return True
 
@@ -529,7 +527,7 @@
         if client is None:
             return
         whole = outcome is Outcome.DELIVERED
-        self._telemetry.answered(self._open[request].incoming.service_class, 200 if whole else 502)
+        self._metrics.response_sent(self._open[request].incoming.service_class, 200 if whole else 502)
         if whole:
             client.finish()
         else:
@@ -626,7 +624,7 @@
     def _answer(self, request: int, status: int, headers: Headers, body: bytes = b"") -> None:
         client = self._settle(request)
         if client is not None:
-            self._telemetry.answered(self._open[request].incoming.service_class, status)
+            self._metrics.response_sent(self._open[request].incoming.service_class, status)
             client.answer(status, headers, body)
         self._forget_if_over(request)
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -8,7 +8,7 @@
 from loopback import ERROR, OK, Heard, play, soon, stage, until
 
 from sidecar import console
-from sidecar.telemetry import Telemetry
+from sidecar.metrics import Metrics
 
 
 def test_it_is_ready_as_soon_as_clients_are_taken() -> None:
@@ -73,10 +73,10 @@
 
 
 def test_both_refusals_count_as_such_and_any_other_status_as_failed() -> None:
-    telemetry = Telemetry(["look"])
+    metrics = Metrics(["look"])
     for status in (200, 429, 503, 502, 504, 500):
-        telemetry.answered("look", status)
-    figures = telemetry.figures(0, 0, 0)
+        metrics.response_sent("look", status)
+    figures = metrics.snapshot(0, 0, 0)
     assert figures["downstream_requests"] == {"look": {"completed": 1, "rejected": 2, "failed": 3}}
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,7 +16,7 @@
 
 from sidecar.config import parse
 from sidecar.downstream.listener import inherited
-from sidecar.handover import Handover
+from sidecar.persisted_exclusions import PersistedExclusions
 from sidecar.sidecar import Sidecar
 
 
@@ -79,7 +79,7 @@
 ) -> None:
     # Guards against new work to an excluded server in the tenth of a second between two looks at the file.
     async def work() -> None:
-        monkeypatch.setattr("sidecar.handover._LOOK_EVERY_S", 3_600.0)
+        monkeypatch.setattr("sidecar.persisted_exclusions._POLL_INTERVAL_S", 3_600.0)
         servers = [await Server(OK).start() for _ in range(2)]
         lines = [line(f"s-{index}", each.address) for index, each in enumerate(servers)]
         given = {
@@ -94,7 +94,7 @@
             config = parse(given, {"TMPDIR": str(tmp_path)})
             sidecar = Sidecar(config, print, inherited(os.dup(held.fileno())))
             await sidecar.start()
-            other = Handover(tmp_path, print)
+            other = PersistedExclusions(tmp_path, print)
             other.record("s-0", True, frozenset())
             reader, writer = await asyncio.open_connection(*held.getsockname())
             for _ in range(10):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -31,8 +31,8 @@
 
 from sidecar.config import parse
 from sidecar.downstream.listener import inherited
-from sidecar.handover import Handover
-from sidecar.presence import Presence
+from sidecar.persisted_exclusions import PersistedExclusions
+from sidecar.process_lock import ProcessLock
 from sidecar.sidecar import Sidecar
 
 
@@ -197,17 +197,17 @@
 )
 def test_a_corrupt_file_is_logged_ignored_and_replaced(content: bytes, tmp_path: Path) -> None:
     log: list[str] = []
-    handover = Handover(tmp_path, log.append)
-    assert handover.read() is None and log == []  # there is none yet
+    exclusions = PersistedExclusions(tmp_path, log.append)
+    assert exclusions.read() is None and log == []  # there is none yet
     (tmp_path / "excluded.json").write_bytes(content)
-    assert handover.read() is None
+    assert exclusions.read() is None
     assert len(log) == 1 and log[0].startswith("ignored the file of excluded servers: ")
-    handover.record("b", True, frozenset({"a"}))
-    assert handover.read() == frozenset({"a", "b"})
+    exclusions.record("b", True, frozenset({"a"}))
+    assert exclusions.read() == frozenset({"a", "b"})
 
 
 def test_two_writers_lose_no_word_of_each_other(tmp_path: Path) -> None:
-    first, second = Handover(tmp_path, print), Handover(tmp_path, print)
+    first, second = PersistedExclusions(tmp_path, print), PersistedExclusions(tmp_path, print)
     first.record("a", True, frozenset())
     second.record("b", True, frozenset())
     first.record("c", True, frozenset({"a"}))
@@ -217,21 +217,21 @@
 
 def test_a_folder_that_takes_no_file_is_logged_and_the_call_goes_on(tmp_path: Path) -> None:
     log: list[str] = []
-    Handover(tmp_path / "missing", log.append).record("a", True, frozenset())
+    PersistedExclusions(tmp_path / "missing", log.append).record("a", True, frozenset())
     assert len(log) == 1 and log[0].startswith("could not write the file of excluded servers: ")
 
 
 def test_a_process_that_lives_is_seen_and_one_that_ended_is_not(tmp_path: Path) -> None:
-    first = Presence(tmp_path, print, "first")
+    first = ProcessLock(tmp_path, print, "first")
     assert first.is_alone()
-    second = Presence(tmp_path, print, "second")
+    second = ProcessLock(tmp_path, print, "second")
     assert not first.is_alone() and not second.is_alone()
-    os.close(second._file)  # as when it is killed
+    os.close(second._descriptor)  # as when it is killed
     assert first.is_alone()
     first.close()
     assert list(tmp_path.iterdir()) == []
     log: list[str] = []
-    assert Presence(tmp_path / "missing", log.append).is_alone() and len(log) == 1
+    assert ProcessLock(tmp_path / "missing", log.append).is_alone() and len(log) == 1
 
 
 def test_two_processes_share_the_descriptors_and_one_has_them_all(tmp_path: Path) -> None:
@@ -240,7 +240,7 @@
         with socket.socket() as held:
             held.bind((HOST, 0))
             held.listen(64)
-            other = Presence(tmp_path, print, "other")
+            other = ProcessLock(tmp_path, print, "other")
             config = parse(given, {"TMPDIR": str(tmp_path)})
             sidecar = Sidecar(config, print, inherited(os.dup(held.fileno())))
             await sidecar.start()
@@ -248,7 +248,7 @@
             other.close()
             await until(lambda: sidecar._is_alone)
             assert (sidecar.frontend._most, sidecar._upstream._most) == (53, 59)
-            other = Presence(tmp_path, print, "other")
+            other = ProcessLock(tmp_path, print, "other")
             await until(lambda: not sidecar._is_alone)
             assert (sidecar.frontend._most, sidecar._upstream._most) == (53, 29)
             other.close()
