--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -70,8 +70,8 @@
     sidecar.on_newer = reload.look
     loop.add_signal_handler(signal.SIGHUP, reload.hang_up)
     await sidecar.start()
-    if sidecar.console is not None and config.console is not None:
-        log(f"the operators' door is at {config.console[0]}:{sidecar.console.port}")
+    if sidecar.admin_interface is not None and config.console is not None:
+        log(f"the operators' door is at {config.console[0]}:{sidecar.admin_interface.port}")
     log(f"{config.name} serves on {config.listen[0]}:{sidecar.frontend.port}")
     gc.freeze()  # what is there now stays: collections need not look at it
     await stop.wait()
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -45,9 +45,9 @@
     TimerFired,
 )
 from balancer.settings import DiscoveryMode, LoadReportSource
+from sidecar.admin_interface import MAX_CONNECTIONS, AdminInterface
 from sidecar.clock import Clock
 from sidecar.config import Config, ConfigError
-from sidecar.console import MOST_CALLERS, Console
 from sidecar.discovery import discovery
 from sidecar.discovery.catalog import Listing
 from sidecar.downstream.frontend import ClientSide, Frontend
@@ -118,9 +118,9 @@
         self._next_request = 1
         self._stop_by: int | None = None  # when all must be answered, once it drains
         self._metrics = Metrics(each.name for each in config.settings.classes)
-        self.console = None if config.console is None else Console(self)
+        self.admin_interface = None if config.console is None else AdminInterface(self)
         folder = config.folder
-        is_operated = self.console is not None and folder is not None
+        is_operated = self.admin_interface is not None and folder is not None
         self._exclusions_file = PersistedExclusions(folder, log) if is_operated and folder else None
         self._process_lock = ProcessLock(folder, log) if held is not None and folder is not None else None
         self._looking: asyncio.TimerHandle | None = None
@@ -162,7 +162,7 @@
         of the two they are connected to: at an upgrade they move from one to the other within a moment.
         """
         sockets = self._config.sockets
-        room = sockets - _RESERVED - (MOST_CALLERS if self.console else 0)
+        room = sockets - _RESERVED - (MAX_CONNECTIONS if self.admin_interface else 0)
         for_clients = int(min(sockets * _FOR_CLIENTS, room * _FOR_CLIENTS_LEFT))
         return for_clients, (room - for_clients) // (1 if self._is_alone else 2)
 
@@ -179,8 +179,8 @@
         """Take up the last known list, then listen."""
         if self._settings.limits.may_message_peers and self._config.peer_listen is not None:
             await self._hear_peers(self._config.peer_listen)
-        if self.console is not None and self._config.console is not None:
-            await self.console.listen(self._config.console)
+        if self.admin_interface is not None and self._config.console is not None:
+            await self.admin_interface.listen(self._config.console)
         self._upstream.listed(self._config.known)
         self._post(self._config.known.event(EndpointListKind.CACHED))
         if self._exclusions_file is not None:
@@ -311,8 +311,8 @@
             await asyncio.sleep(_QUIET_S / 2)
 
     def close(self) -> None:
-        if self.console is not None:
-            self.console.close()
+        if self.admin_interface is not None:
+            self.admin_interface.close()
         if self._exclusions_file is not None:
             self._exclusions_file.close()
         if self._looking is not None:
@@ -334,7 +334,7 @@
         """Whether this process takes clients."""
         return self.frontend.takes_clients
 
-    def figures(self) -> dict[str, object]:
+    def metrics(self) -> dict[str, object]:
         members, unavailable = self._balancer.members()
         uploads = (each.incoming.upload for each in self._open.values() if each.client is not None)
         arriving = sum(upload is not None and not upload.is_whole for upload in uploads)
@@ -377,8 +377,8 @@
         for member in sorted(before ^ out):
             self._use(member, member in out)
 
-    def evacuate(self) -> bool:
-        """Send clients away, as at an end, and live on; no if it is about to end."""
+    def drain_clients(self) -> bool:
+        """Send clients away, as at an end, and keep running; False during the graceful shutdown."""
         if self._stop_by is not None:
             return False
         self.frontend.is_evacuated = True
@@ -386,8 +386,8 @@
         self._log("evacuated: clients are sent away")
         return True
 
-    def rejoin(self) -> bool:
-        """Take clients again; no if it is about to end."""
+    def resume_clients(self) -> bool:
+        """Accept clients again; False during the graceful shutdown."""
         if self._stop_by is not None:
             return False
         self.frontend.rejoin()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -289,8 +289,8 @@
 
     async def operator(self) -> Client:
         """A connection to the operators' door."""
-        assert self.sidecar.console is not None
-        client = Client(*await asyncio.open_connection(HOST, self.sidecar.console.port))
+        assert self.sidecar.admin_interface is not None
+        client = Client(*await asyncio.open_connection(HOST, self.sidecar.admin_interface.port))
         self.clients.append(client)
         return client
 
--- a/tests/test_console.py
+++ b/tests/test_admin_interface.py
@@ -1,4 +1,4 @@
-"""The operators' door: its calls, its figures, and callers that are slow, silent or talk nonsense."""
+"""The admin interface: its requests, its metrics, and clients that are slow, silent or send no HTTP."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import pytest
 from loopback import ERROR, OK, Heard, play, soon, stage, until
 
-from sidecar import console
+from sidecar import admin_interface
 from sidecar.metrics import Metrics
 
 
-def test_it_is_ready_as_soon_as_clients_are_taken() -> None:
+def test_ready_succeeds_while_clients_are_accepted() -> None:
     async def work() -> None:
         async with stage(OK, console=True) as scene:
             assert (await scene.call("GET", "/api/ready"))[0] == 200
@@ -21,7 +21,7 @@
     play(work)
 
 
-def test_the_figures_tell_answers_by_class_attempts_and_what_is_pending() -> None:
+def test_metrics_count_responses_by_class_attempts_and_pending_requests() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -55,7 +55,7 @@
     play(work)
 
 
-def test_a_request_over_the_limit_of_open_ones_counts_as_rejected_once() -> None:
+def test_request_over_the_limit_of_open_requests_counts_as_rejected_once() -> None:
     async def work() -> None:
         async def silent(heard: Heard) -> None:
             return None
@@ -72,7 +72,7 @@
     play(work)
 
 
-def test_both_refusals_count_as_such_and_any_other_status_as_failed() -> None:
+def test_both_rejection_statuses_count_as_rejected_and_others_as_failed() -> None:
     metrics = Metrics(["look"])
     for status in (200, 429, 503, 502, 504, 500):
         metrics.response_sent("look", status)
@@ -96,7 +96,7 @@
     ],
     ids=lambda value: repr(value)[:40],
 )
-def test_what_is_no_call_gets_an_error_and_the_door_stays_open(sent: bytes, status: bytes) -> None:
+def test_invalid_request_gets_an_error_and_the_interface_stays_available(sent: bytes, status: bytes) -> None:
     async def work() -> None:
         async with stage(OK, console=True) as scene:
             caller = await scene.operator()
@@ -107,21 +107,23 @@
     play(work)
 
 
-def test_callers_that_finish_no_call_are_few_and_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against callers that only sit there: they must hold neither the door nor descriptors.
+def test_connections_without_a_request_are_bounded_and_closed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # Guards against idle clients: they must block neither the interface nor descriptors.
     async def work() -> None:
         async with stage(OK, console=True) as scene:
-            silent = [await scene.operator() for _ in range(console.MOST_CALLERS)]
+            idle = [await scene.operator() for _ in range(admin_interface.MAX_CONNECTIONS)]
             assert (await scene.call("GET", "/api/ready"))[0] == 200
-            assert await soon(silent[0].reader.read()) == b""  # it was there for longest
-            monkeypatch.setattr(console, "_WITHIN_S", 0.0)
+            assert await soon(idle[0].reader.read()) == b""  # the oldest
+            monkeypatch.setattr(admin_interface, "_CONNECTION_TIMEOUT_S", 0.0)
             mute = await scene.operator()
             assert await soon(mute.reader.read()) == b""
 
     play(work)
 
 
-def test_a_call_that_is_not_sent_to_its_end_gets_408() -> None:
+def test_incomplete_request_gets_408() -> None:
     async def work() -> None:
         async with stage(OK, console=True) as scene:
             caller = await scene.operator()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -99,7 +99,7 @@
             if why == "drain":
                 scene.sidecar.frontend.drain()
             elif why == "evacuation":
-                scene.sidecar.evacuate()
+                scene.sidecar.drain_clients()
             else:
                 scene.sidecar.frontend.close_overdue(asyncio.get_running_loop().time() + 3_600)
             raw.send(request("lodge"))  # in that very moment: nothing has run since
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -409,7 +409,7 @@
             sender = await scene.client()
             sender.send(request("lodge", body=BODY)[:-1])
             await until(lambda: taker.begun == 1)
-            assert scene.sidecar.figures()["pending"] == 0
+            assert scene.sidecar.metrics()["pending"] == 0
             sender.send(BODY[-1:])
             assert (await sender.answer()).status == 200
         server.close()
@@ -477,7 +477,7 @@
 
 async def list_only(scene: Scene, address: str) -> None:
     scene.discovery.tell(line("s-0", address))
-    await until(lambda: scene.sidecar.figures()["members"] == 1)
+    await until(lambda: scene.sidecar.metrics()["members"] == 1)
 
 
 def test_a_server_that_reads_nothing_holds_the_client_back_then_takes_the_rest() -> None:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -173,7 +173,7 @@
         sidecar = Sidecar(parse(given(own, other, **more)), print)
         await sidecar.start()
         assert sidecar._versions is None and sidecar.version is None
-        assert "configuration" not in sidecar.figures()
+        assert "configuration" not in sidecar.metrics()
         lower = parse(given(own, other, **{**more, "version": 1} if "version" in more else more))
         assert sidecar.reconfigure(lower) == []  # taken over as ever
         if sidecar._members is not None:
@@ -220,14 +220,14 @@
         await sidecar.start()
         sidecar.reconfigure(config(version=5))
         assert sidecar.version == 5
-        figures = sidecar.figures()["configuration"]
+        figures = sidecar.metrics()["configuration"]
         assert isinstance(figures, dict)
         assert figures["in_force_everywhere"] is None and figures["unheard"] == [1]
         with pytest.raises(ConfigError, match="version: 4 is older than 5, which is in force"):
             sidecar.reconfigure(config(version=4))
         assert sidecar.version == 5
         sidecar.reconfigure(config(version=5, rollout={"on": False}))
-        assert sidecar.version is None and "configuration" not in sidecar.figures()
+        assert sidecar.version is None and "configuration" not in sidecar.metrics()
         sidecar.reconfigure(config(version=4))  # nothing was in force by a version
         assert sidecar.version == 4
         sidecar.reconfigure(config(version=6, membership={"on": False}))
@@ -250,7 +250,7 @@
             parse(given(own, other, version=6, limits={**GOOD["limits"], "sockets": 999}))
         ) == ["sockets"]
         assert sidecar.version == 5
-        figures = sidecar.figures()["configuration"]
+        figures = sidecar.metrics()["configuration"]
         assert isinstance(figures, dict)
         assert (figures["newest_heard"], figures["in_force"]) == (6, 0)
         assert sidecar.reconfigure(parse(given(own, other, version=7))) == []
@@ -266,7 +266,7 @@
         sidecar = Sidecar(parse(given(own, other)), print)
         await sidecar.start()
         sidecar.reconfigure(parse(given(own, other, version=6, limits={**GOOD["limits"], "sockets": 999})))
-        assert sidecar.version is None and "configuration" not in sidecar.figures()
+        assert sidecar.version is None and "configuration" not in sidecar.metrics()
         sidecar.close()
 
     play(work)
