--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -14,9 +14,9 @@
 
 import uvloop
 
-from sidecar.config import Config, ConfigError, load
+from sidecar.configuration import Configuration, ConfigurationError, load
+from sidecar.configuration_reload import ConfigurationReloader
 from sidecar.downstream.listener import inherited
-from sidecar.reload import Reload
 from sidecar.sidecar import Sidecar
 
 _LINES_PER_S = 20.0
@@ -45,17 +45,17 @@
         print(text, file=sys.stderr, flush=True)
 
 
-def listening(config: Config) -> socket.socket | None:
-    """The clients' listening socket, where the platform holds it; raise ConfigError if it is none."""
-    if config.socket_fd is None:
+def listening(config: Configuration) -> socket.socket | None:
+    """The clients' listening socket, where the platform holds it; raise ConfigurationError if it is none."""
+    if config.listen_descriptor is None:
         return None
     try:
-        return inherited(config.socket_fd)
+        return inherited(config.listen_descriptor)
     except ValueError as nonsense:
-        raise ConfigError(f"BALANCER_SOCKET_FD: {nonsense}") from None
+        raise ConfigurationError(f"BALANCER_SOCKET_FD: {nonsense}") from None
 
 
-async def serve(config: Config, held: socket.socket | None) -> None:
+async def serve(config: Configuration, held: socket.socket | None) -> None:
     """Run until SIGTERM or SIGINT, then drain; SIGHUP reads the configuration again."""
     log = LineLog()
     stop = asyncio.Event()
@@ -66,13 +66,13 @@
         lambda _, what: log(f"internal error: {what['message']}: {what.get('exception')!r}")
     )
     sidecar = Sidecar(config, log, held)
-    reload = Reload(sidecar, log, os.environ)
-    sidecar.on_newer = reload.look
-    loop.add_signal_handler(signal.SIGHUP, reload.hang_up)
+    reloader = ConfigurationReloader(sidecar, log, os.environ)
+    sidecar.on_newer = reloader.reload_if_newer
+    loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     await sidecar.start()
-    if sidecar.admin_interface is not None and config.console is not None:
-        log(f"the operators' door is at {config.console[0]}:{sidecar.admin_interface.port}")
-    log(f"{config.name} serves on {config.listen[0]}:{sidecar.frontend.port}")
+    if sidecar.admin_interface is not None and config.admin_address is not None:
+        log(f"the operators' door is at {config.admin_address[0]}:{sidecar.admin_interface.port}")
+    log(f"{config.name} serves on {config.listen_address[0]}:{sidecar.frontend.port}")
     gc.freeze()  # what is there now stays: collections need not look at it
     await stop.wait()
     log("draining")
@@ -84,7 +84,7 @@
     try:
         config = load(os.environ)
         held = listening(config)
-    except ConfigError as fault:
+    except ConfigurationError as fault:
         print(f"sidecar: config: {fault}".replace("\n", " "), file=sys.stderr)
         return 2
     try:
--- /dev/null
+++ b/sidecar/configuration_reload.py
@@ -0,0 +1,56 @@
+"""Reloads the configuration file: at SIGHUP, and when other sidecars report a newer version.
+
+It decides whether the file is worth applying; what changes at run time is up to `Sidecar.reconfigure`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from zlib import crc32
+
+from sidecar.configuration import Configuration, ConfigurationError, load, read_file
+from sidecar.sidecar import Sidecar
+
+
+class ConfigurationReloader:
+    """Applies the configuration file to a running sidecar."""
+
+    def __init__(self, sidecar: Sidecar, log: Callable[[str], None], environment: Mapping[str, str]) -> None:
+        self._sidecar = sidecar
+        self._log = log
+        self._environment = environment
+        self._last_checksum: int | None = None  # of the file that was read last
+
+    def reload(self) -> None:
+        """Apply the file; an invalid file, or an older version, changes nothing and is logged."""
+        try:
+            content = read_file(self._environment)
+            self._last_checksum = crc32(content)
+            configuration = load(self._environment, content)
+            self._apply(configuration)
+        except ConfigurationError as error:
+            self._log_rejection(error)
+
+    def reload_if_newer(self) -> None:
+        """Apply the file if its version is newer than that in force; it is parsed only if it has changed."""
+        try:
+            content = read_file(self._environment)
+            previous_checksum, self._last_checksum = self._last_checksum, crc32(content)
+            if self._last_checksum == previous_checksum:
+                return
+            configuration = load(self._environment, content)
+            if (configuration.version or 0) > (self._sidecar.version or 0):
+                self._apply(configuration)
+        except ConfigurationError as error:
+            self._log_rejection(error)
+
+    def _apply(self, configuration: Configuration) -> None:
+        unchanged_keys = self._sidecar.reconfigure(configuration)
+        if unchanged_keys:
+            self._log(f"left as it was until a restart: {', '.join(unchanged_keys)}")
+        host, port = configuration.discovery_address
+        version = "" if self._sidecar.version is None else f", version {self._sidecar.version}"
+        self._log(f"re-read the configuration: discovery is at {host}:{port}{version}")
+
+    def _log_rejection(self, error: ConfigurationError) -> None:
+        self._log(f"kept the configuration: {error}".replace("\n", " "))
--- a/sidecar/rollout.py
+++ b/sidecar/rollout.py
@@ -15,7 +15,7 @@
 from sidecar.cluster.rollout import Rollout
 from sidecar.cluster.table import Table
 from sidecar.cluster.view import Datagram, Wake
-from sidecar.config import Config
+from sidecar.configuration import Configuration
 from sidecar.peers import Peers
 
 _LINES_PER_S = 0.1  # whatever others say, the log is filled no faster; ...
@@ -51,7 +51,7 @@
         """What is in force; None while versions are not compared."""
         return None if self._rollout is None else self._rollout.version
 
-    def refusal(self, config: Config) -> str | None:
+    def refusal(self, config: Configuration) -> str | None:
         """Why a file may not be taken over; one in which this is switched off always may."""
         if self._rollout is None or config.version is None or not config.rollout.on:
             return None
@@ -60,7 +60,7 @@
         self._refused += 1
         return f"version: {config.version} is older than {self._rollout.version}, which is in force"
 
-    def configure(self, membership: Membership | None, config: Config, is_whole: bool = True) -> None:
+    def configure(self, membership: Membership | None, config: Configuration, is_whole: bool = True) -> None:
         """This configuration is in force from now on; not `is_whole`: after a restart only."""
         now, version, settings = self._clock.now(), config.version, config.rollout
         if membership is None or version is None or not settings.on:
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -47,7 +47,7 @@
 from balancer.settings import DiscoveryMode, LoadReportSource
 from sidecar.admin_interface import MAX_CONNECTIONS, AdminInterface
 from sidecar.clock import Clock
-from sidecar.config import Config, ConfigError
+from sidecar.configuration import Configuration, ConfigurationError
 from sidecar.discovery import discovery
 from sidecar.discovery.catalog import Listing
 from sidecar.downstream.frontend import ClientSide, Frontend
@@ -68,9 +68,6 @@
     from sidecar.members import Members
     from sidecar.rollout import Versions
 
-# What a process keeps from its start to its end, whatever its file says later.  Not among them: `known` and
-# `seed`, which are new in each file and say what a start begins with.
-_FIXED = ("name", "listen", "settings", "sockets", "memory_mb", "peer_listen", "tier", "console")
 _RESERVED = 48  # descriptors for everything but clients, servers and the operators' door
 _FOR_CLIENTS = 1 / 3  # of all, as the platform's terms allow at the most
 _FOR_CLIENTS_LEFT = 0.5  # and of what is not reserved, where that is less
@@ -103,7 +100,9 @@
 class Sidecar:
     """One sidecar from its start to its end."""
 
-    def __init__(self, config: Config, log: Callable[[str], None], held: socket.socket | None = None) -> None:
+    def __init__(
+        self, config: Configuration, log: Callable[[str], None], held: socket.socket | None = None
+    ) -> None:
         """`held` is the clients' listening socket, where the platform holds it for all processes."""
         self._config = config
         self._held = held
@@ -118,8 +117,8 @@
         self._next_request = 1
         self._stop_by: int | None = None  # when all must be answered, once it drains
         self._metrics = Metrics(each.name for each in config.settings.classes)
-        self.admin_interface = None if config.console is None else AdminInterface(self)
-        folder = config.folder
+        self.admin_interface = None if config.admin_address is None else AdminInterface(self)
+        folder = config.state_directory
         is_operated = self.admin_interface is not None and folder is not None
         self._exclusions_file = PersistedExclusions(folder, log) if is_operated and folder else None
         self._process_lock = ProcessLock(folder, log) if held is not None and folder is not None else None
@@ -136,16 +135,16 @@
         before_writing = self._exclusions_file.check if self._exclusions_file and held else None
         self._upstream = Upstream(self._clock, limits, for_servers, written, before_writing)
         self._discovery = discovery.Discovery(
-            config.discovery,
-            config.known,
+            config.discovery_address,
+            config.known_endpoints,
             config.settings.discovery is DiscoveryMode.PUSHED,
             config.seed,
             self._listed,
             lambda: self._post(EndpointListReceived(EndpointListKind.FAILED)),
         )
         self._peers = Peers(
-            config.peers,
-            config.peers_all,
+            config.peer_addresses,
+            config.broadcast_address,
             config.settings.instance_index,
             self._message_received,
         )
@@ -161,7 +160,7 @@
         Of two processes each has half of those to servers.  Clients hold a third of all together, whichever
         of the two they are connected to: at an upgrade they move from one to the other within a moment.
         """
-        sockets = self._config.sockets
+        sockets = self._config.max_sockets
         room = sockets - _RESERVED - (MAX_CONNECTIONS if self.admin_interface else 0)
         for_clients = int(min(sockets * _FOR_CLIENTS, room * _FOR_CLIENTS_LEFT))
         return for_clients, (room - for_clients) // (1 if self._is_alone else 2)
@@ -177,12 +176,12 @@
 
     async def start(self) -> None:
         """Take up the last known list, then listen."""
-        if self._settings.limits.may_message_peers and self._config.peer_listen is not None:
-            await self._hear_peers(self._config.peer_listen)
-        if self.admin_interface is not None and self._config.console is not None:
-            await self.admin_interface.listen(self._config.console)
-        self._upstream.listed(self._config.known)
-        self._post(self._config.known.event(EndpointListKind.CACHED))
+        if self._settings.limits.may_message_peers and self._config.peer_listen_address is not None:
+            await self._hear_peers(self._config.peer_listen_address)
+        if self.admin_interface is not None and self._config.admin_address is not None:
+            await self.admin_interface.listen(self._config.admin_address)
+        self._upstream.listed(self._config.known_endpoints)
+        self._post(self._config.known_endpoints.event(EndpointListKind.CACHED))
         if self._exclusions_file is not None:
             self._taken_over(self._exclusions_file.read() or frozenset())
             if self._held is not None:
@@ -191,7 +190,7 @@
             self._look_around()
         self._discovery.start()
         await self._discovery.first_word(_FIRST_WORD_S)
-        self.frontend.listen(self._held or bound(self._config.listen))
+        self.frontend.listen(self._held or bound(self._config.listen_address))
 
     async def _hear_peers(self, address: Address) -> None:
         """Hear the others, and keep track of them; a port that is taken holds up no start."""
@@ -203,19 +202,19 @@
             self._keep_track(self._config.membership)
             self._compare_versions(self._config)
 
-    def reconfigure(self, config: Config) -> list[str]:
+    def reconfigure(self, config: Configuration) -> list[str]:
         """Take over what may change while running: where discovery and the others are, and membership.
 
         All else stays wholly as it was; give the keys of which the file says something else.  Raise
-        ConfigError, and change nothing, where its version is older than that in force.
+        ConfigurationError, and change nothing, where its version is older than that in force.
         """
         if self._versions is not None:
             refusal = self._versions.refusal(config)
             if refusal is not None:
-                raise ConfigError(refusal)
-        self._discovery.move(config.discovery)
-        self._peers.move(config.peers, config.peers_all)
-        kept = [key for key in _FIXED if getattr(config, key) != getattr(self._config, key)]
+                raise ConfigurationError(refusal)
+        self._discovery.move(config.discovery_address)
+        self._peers.move(config.peer_addresses, config.broadcast_address)
+        kept = self._config.fixed_keys_that_differ(config)
         if self._peers.is_listening and self._stop_by is None:
             self._keep_track(config.membership)
             self._compare_versions(config, is_whole=not kept)
@@ -237,10 +236,12 @@
             from sidecar.members import Members
 
             me, log, own = self._settings.instance_index, self._log, self._config
-            self._members = Members(me, own.tier, own.seed, self._clock, self._peers, log, self._tier_sized)
+            self._members = Members(
+                me, own.cluster, own.seed, self._clock, self._peers, log, self._tier_sized
+            )
         self._members.configure(membership)
 
-    def _compare_versions(self, config: Config, is_whole: bool = True) -> None:
+    def _compare_versions(self, config: Configuration, is_whole: bool = True) -> None:
         """Compare the configuration's version with the others', where it has one and they are known.
 
         Not `is_whole`: something in it waits for a restart, so it is not in force here.
@@ -254,7 +255,7 @@
 
             me, own = self._settings.instance_index, self._config
             parts = (self._clock, self._peers, self._log, lambda: self.on_newer())
-            self._versions = Versions(me, own.tier, own.seed, *parts)
+            self._versions = Versions(me, own.cluster, own.seed, *parts)
         self._versions.configure(membership, config, is_whole)
 
     @property
--- a/testbed/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -16,7 +16,7 @@
 from sidecar.cluster.message import State
 from sidecar.cluster.settings import MembershipSettings
 from sidecar.cluster.view import Action, News
-from sidecar.config import Config
+from sidecar.configuration import Configuration
 from sidecar.discovery.catalog import Listing
 from sidecar.members import Members
 from sidecar.peers import Peers
@@ -137,12 +137,14 @@
     """One life of a hollow member."""
 
     def __init__(
-        self, ground: Ground, number: int, counts: Counts, own: socket.socket, config: Config
+        self, ground: Ground, number: int, counts: Counts, own: socket.socket, config: Configuration
     ) -> None:
         super().__init__(config, unheard)
         self.number = number
         self._ground = ground
-        self._peers: Peers = GroundPeers(ground, counts, own, config.peers, number, self._message_received)
+        self._peers: Peers = GroundPeers(
+            ground, counts, own, config.peer_addresses, number, self._message_received
+        )
 
     @property
     def members(self) -> Members | None:
@@ -152,7 +154,7 @@
         if self._members is None and membership.on:
             own, number = self._config, self.number
             members = GroundMembers(
-                number, own.tier, own.seed, self._clock, self._peers, unheard, self._tier_sized
+                number, own.cluster, own.seed, self._clock, self._peers, unheard, self._tier_sized
             )
             members.on_gone = lambda news: self._ground.hear(number, news)
             self._members = members
@@ -162,7 +164,7 @@
         self._ground.on_told(self.number)
         super()._listed(listing)
 
-    def reconfigure(self, config: Config) -> list[str]:
+    def reconfigure(self, config: Configuration) -> list[str]:
         kept = super().reconfigure(config)
         if self.version is not None:
             self._ground.on_version(self.number, self.version)
--- a/testbed/scale/worker.py
+++ b/testbed/scale/worker.py
@@ -22,8 +22,8 @@
 
 from sidecar.cluster.membership import Membership, life_at
 from sidecar.cluster.message import State
-from sidecar.config import load
-from sidecar.reload import Reload
+from sidecar.configuration import load
+from sidecar.configuration_reload import ConfigurationReloader
 from testbed.scale.hollow import Counts, Ground, Hollow, Watch, unheard
 from testbed.scale.lag import Lag
 from testbed.streams import lines_of_input
@@ -77,7 +77,7 @@
         self._counts = {number: Counts() for number in share.configurations}
         self._sockets = {number: _bound() for number in share.configurations}
         self._alive: dict[int, Hollow] = {}
-        self._reloads: dict[int, Reload] = {}
+        self._reloaders: dict[int, ConfigurationReloader] = {}
         self._watch: Watch | None = None
         self._watched = ""  # what the watch is for
         self.lag = Lag()
@@ -120,7 +120,7 @@
             case "hang up":
                 for number in order.members:
                     if number in self._alive:
-                        self._reloads[number].hang_up()
+                        self._reloaders[number].reload()
             case "watched":
                 if self._watch is not None:
                     return Reply(waits=len(self._watch.waits), took_s=self._watch.took_s)
@@ -142,8 +142,8 @@
                 config = load(environ)
                 own = Hollow(self._ground, number, self._counts[number], self._sockets[number], config)
                 self._alive[number] = own
-                reload = self._reloads[number] = Reload(own, unheard, environ)
-                own.on_newer = reload.look  # as the program does
+                reloader = self._reloaders[number] = ConfigurationReloader(own, unheard, environ)
+                own.on_newer = reloader.reload_if_newer  # as the program does
                 await own.start()
                 await asyncio.sleep(0)
         gc.freeze()  # as the program does after its start
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from sidecar.config import parse
+from sidecar.configuration import parse
 from sidecar.roles import Transport
 from sidecar.sidecar import Sidecar
 from sidecar.upstream.client import Address
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -8,7 +8,7 @@
 import pytest
 from loopback import CLASSES, HOST, OK, Heard, ScriptedServer, line, play, reply, request, soon, stage, until
 
-from sidecar.config import parse
+from sidecar.configuration import parse
 from sidecar.sidecar import Sidecar
 
 Script = bytes | None
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -12,7 +12,7 @@
 import pytest
 from loopback import CLASSES, HOST, OK, ScriptedServer, free_for_datagrams, line, play, request
 
-from sidecar.config import parse
+from sidecar.configuration import parse
 from sidecar.sidecar import Sidecar
 
 WITHIN_S = 10.0  # nine in ten restarted processes have to be ready by then
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP and the other process of an upgrade: what changes, and what stays wholly as it was."""
+"""SIGHUP and the other process of a hot restart: what changes, and what stays exactly as it was."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from loopback import ScriptedServer as Server
 from test_program import GOOD, program
 
-from sidecar.config import parse
+from sidecar.configuration import parse
 from sidecar.downstream.listener import inherited
 from sidecar.persisted_exclusions import PersistedExclusions
 from sidecar.sidecar import Sidecar
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -29,7 +29,7 @@
 )
 from test_program import GOOD, ended, started
 
-from sidecar.config import parse
+from sidecar.configuration import parse
 from sidecar.downstream.listener import inherited
 from sidecar.persisted_exclusions import PersistedExclusions
 from sidecar.process_lock import ProcessLock
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -23,7 +23,7 @@
 from sidecar.cluster.message import tier_number
 from sidecar.cluster.settings import RolloutSettings
 from sidecar.cluster.tally import Tally
-from sidecar.config import Config, ConfigError, parse
+from sidecar.configuration import Configuration, ConfigurationError, parse
 from sidecar.sidecar import Sidecar
 from sidecar.upstream.client import Address
 from testbed import events as log
@@ -193,7 +193,7 @@
     own, other = free_for_datagrams(2)
     program = f"""
 import asyncio, sys
-from sidecar.config import parse
+from sidecar.configuration import parse
 from sidecar.sidecar import Sidecar
 async def work():
     sidecar = Sidecar(parse({given(own, other)!r}), print)
@@ -213,7 +213,7 @@
     async def work() -> None:
         own, other = free_for_datagrams(2)
 
-        def config(**more: object) -> Config:
+        def config(**more: object) -> Configuration:
             return parse(given(own, other, **more))
 
         sidecar = Sidecar(config(), print)
@@ -223,7 +223,7 @@
         figures = sidecar.metrics()["configuration"]
         assert isinstance(figures, dict)
         assert figures["in_force_everywhere"] is None and figures["unheard"] == [1]
-        with pytest.raises(ConfigError, match="version: 4 is older than 5, which is in force"):
+        with pytest.raises(ConfigurationError, match="version: 4 is older than 5, which is in force"):
             sidecar.reconfigure(config(version=4))
         assert sidecar.version == 5
         sidecar.reconfigure(config(version=5, rollout={"on": False}))
@@ -279,7 +279,7 @@
         await sidecar.start()
         moved = given(own, other, version=4, discovery=f"{HOST}:10")
         moved["peers"] = moved["peers"][:1]
-        with pytest.raises(ConfigError):
+        with pytest.raises(ConfigurationError):
             sidecar.reconfigure(parse(moved))
         assert sidecar._peers.size == 2 and sidecar._discovery._address == (HOST, 9)
         sidecar.close()
@@ -309,7 +309,7 @@
     ids=str,
 )
 def test_nonsense_is_named(more: dict[str, Any], key: str) -> None:
-    with pytest.raises(ConfigError) as complaint:
+    with pytest.raises(ConfigurationError) as complaint:
         parse({**GOOD, **more})
     assert str(complaint.value).startswith(key)
 
