--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -45,20 +45,20 @@
     TimerFired,
 )
 from balancer.settings import DiscoveryMode, LoadReportSource
+from sidecar.admin_interface import MAX_CONNECTIONS, AdminInterface
 from sidecar.clock import Clock
-from sidecar.config import Config, ConfigError
-from sidecar.console import MOST_CALLERS, Console
+from sidecar.configuration import Configuration, ConfigurationError
 from sidecar.discovery import discovery
 from sidecar.discovery.catalog import Listing
 from sidecar.downstream.frontend import ClientSide, Frontend
 from sidecar.downstream.listener import bound
 from sidecar.downstream.request import Incoming
-from sidecar.handover import Handover
 from sidecar.http import Headers
+from sidecar.metrics import Metrics
 from sidecar.peers import Peers
-from sidecar.presence import Presence
+from sidecar.persisted_exclusions import PersistedExclusions
+from sidecar.process_lock import ProcessLock
 from sidecar.roles import Sink
-from sidecar.telemetry import Telemetry
 from sidecar.upstream.client import Address, ClientConnection, Message, Response
 from sidecar.upstream.upstream import Call, Upstream, load_report
 
@@ -68,9 +68,6 @@
     from sidecar.members import Members
     from sidecar.rollout import Versions
 
-# What a process keeps from its start to its end, whatever its file says later.  Not among them: `known` and
-# `seed`, which are new in each file and say what a start begins with.
-_FIXED = ("name", "listen", "settings", "sockets", "memory_mb", "peer_listen", "tier", "console")
 _RESERVED = 48  # descriptors for everything but clients, servers and the operators' door
 _FOR_CLIENTS = 1 / 3  # of all, as the platform's terms allow at the most
 _FOR_CLIENTS_LEFT = 0.5  # and of what is not reserved, where that is less
@@ -103,7 +100,9 @@
 class Sidecar:
     """One sidecar from its start to its end."""
 
-    def __init__(self, config: Config, log: Callable[[str], None], held: socket.socket | None = None) -> None:
+    def __init__(
+        self, config: Configuration, log: Callable[[str], None], held: socket.socket | None = None
+    ) -> None:
         """`held` is the clients' listening socket, where the platform holds it for all processes."""
         self._config = config
         self._held = held
@@ -117,37 +116,35 @@
         self._owed = 0  # requests without their final answer
         self._next_request = 1
         self._stop_by: int | None = None  # when all must be answered, once it drains
-        self._telemetry = Telemetry(each.name for each in config.settings.classes)
-        self.console = None if config.console is None else Console(self)
-        self._handover: Handover | None = None
-        if self.console is not None and config.folder is not None:
-            self._handover = Handover(config.folder, log)
-        self._presence: Presence | None = None
-        if held is not None and config.folder is not None:
-            self._presence = Presence(config.folder, log)
+        self._metrics = Metrics(each.name for each in config.settings.classes)
+        self.admin_interface = None if config.admin_address is None else AdminInterface(self)
+        folder = config.state_directory
+        is_operated = self.admin_interface is not None and folder is not None
+        self._exclusions_file = PersistedExclusions(folder, log) if is_operated and folder else None
+        self._process_lock = ProcessLock(folder, log) if held is not None and folder is not None else None
         self._looking: asyncio.TimerHandle | None = None
         # At an upgrade two processes are one sidecar, and have its descriptors together.
-        self._is_alone = self._presence is None or self._presence.is_alone()
+        self._is_alone = self._process_lock is None or self._process_lock.is_alone()
         for_clients, for_servers = self._shares()
         memory_mb = config.memory_mb // 2 if held is not None else config.memory_mb
         self.frontend = Frontend(
             config.settings, for_clients, memory_mb, self._arrived, self._completed, self._gone
         )
-        limits, written = config.settings.limits, self._telemetry.attempted
-        # The other process of an upgrade may have said yes to an operator since the last look.
-        hear_the_other = self._handover.look if self._handover is not None and held is not None else None
-        self._upstream = Upstream(self._clock, limits, for_servers, written, hear_the_other)
+        limits, written = config.settings.limits, self._metrics.attempt_sent
+        # The other process of a hot restart may have accepted an exclusion since the last poll.
+        before_writing = self._exclusions_file.check if self._exclusions_file and held else None
+        self._upstream = Upstream(self._clock, limits, for_servers, written, before_writing)
         self._discovery = discovery.Discovery(
-            config.discovery,
-            config.known,
+            config.discovery_address,
+            config.known_endpoints,
             config.settings.discovery is DiscoveryMode.PUSHED,
             config.seed,
             self._listed,
             lambda: self._post(EndpointListReceived(EndpointListKind.FAILED)),
         )
         self._peers = Peers(
-            config.peers,
-            config.peers_all,
+            config.peer_addresses,
+            config.broadcast_address,
             config.settings.instance_index,
             self._message_received,
         )
@@ -163,37 +160,37 @@
         Of two processes each has half of those to servers.  Clients hold a third of all together, whichever
         of the two they are connected to: at an upgrade they move from one to the other within a moment.
         """
-        sockets = self._config.sockets
-        room = sockets - _RESERVED - (MOST_CALLERS if self.console else 0)
+        sockets = self._config.max_sockets
+        room = sockets - _RESERVED - (MAX_CONNECTIONS if self.admin_interface else 0)
         for_clients = int(min(sockets * _FOR_CLIENTS, room * _FOR_CLIENTS_LEFT))
         return for_clients, (room - for_clients) // (1 if self._is_alone else 2)
 
     def _look_around(self) -> None:
         """See again and again whether there are two processes, and share with the other."""
-        assert self._presence is not None
+        assert self._process_lock is not None
         self._looking = asyncio.get_running_loop().call_later(_LOOK_EVERY_S, self._look_around)
-        is_alone = self._presence.is_alone()
+        is_alone = self._process_lock.is_alone()
         if is_alone != self._is_alone:
             self._is_alone = is_alone
             self._upstream.resize(self._shares()[1])
 
     async def start(self) -> None:
         """Take up the last known list, then listen."""
-        if self._settings.limits.may_message_peers and self._config.peer_listen is not None:
-            await self._hear_peers(self._config.peer_listen)
-        if self.console is not None and self._config.console is not None:
-            await self.console.listen(self._config.console)
-        self._upstream.listed(self._config.known)
-        self._post(self._config.known.event(EndpointListKind.CACHED))
-        if self._handover is not None:
-            self._taken_over(self._handover.read() or frozenset())
+        if self._settings.limits.may_message_peers and self._config.peer_listen_address is not None:
+            await self._hear_peers(self._config.peer_listen_address)
+        if self.admin_interface is not None and self._config.admin_address is not None:
+            await self.admin_interface.listen(self._config.admin_address)
+        self._upstream.listed(self._config.known_endpoints)
+        self._post(self._config.known_endpoints.event(EndpointListKind.CACHED))
+        if self._exclusions_file is not None:
+            self._taken_over(self._exclusions_file.read() or frozenset())
             if self._held is not None:
-                self._handover.watch(self._taken_over)
-        if self._presence is not None:
+                self._exclusions_file.watch(self._taken_over)
+        if self._process_lock is not None:
             self._look_around()
         self._discovery.start()
         await self._discovery.first_word(_FIRST_WORD_S)
-        self.frontend.listen(self._held or bound(self._config.listen))
+        self.frontend.listen(self._held or bound(self._config.listen_address))
 
     async def _hear_peers(self, address: Address) -> None:
         """Hear the others, and keep track of them; a port that is taken holds up no start."""
@@ -205,19 +202,19 @@
             self._keep_track(self._config.membership)
             self._compare_versions(self._config)
 
-    def reconfigure(self, config: Config) -> list[str]:
+    def reconfigure(self, config: Configuration) -> list[str]:
         """Take over what may change while running: where discovery and the others are, and membership.
 
         All else stays wholly as it was; give the keys of which the file says something else.  Raise
-        ConfigError, and change nothing, where its version is older than that in force.
+        ConfigurationError, and change nothing, where its version is older than that in force.
         """
         if self._versions is not None:
             refusal = self._versions.refusal(config)
             if refusal is not None:
-                raise ConfigError(refusal)
-        self._discovery.move(config.discovery)
-        self._peers.move(config.peers, config.peers_all)
-        kept = [key for key in _FIXED if getattr(config, key) != getattr(self._config, key)]
+                raise ConfigurationError(refusal)
+        self._discovery.move(config.discovery_address)
+        self._peers.move(config.peer_addresses, config.broadcast_address)
+        kept = self._config.fixed_keys_that_differ(config)
         if self._peers.is_listening and self._stop_by is None:
             self._keep_track(config.membership)
             self._compare_versions(config, is_whole=not kept)
@@ -239,10 +236,12 @@
             from sidecar.members import Members
 
             me, log, own = self._settings.instance_index, self._log, self._config
-            self._members = Members(me, own.tier, own.seed, self._clock, self._peers, log, self._tier_sized)
+            self._members = Members(
+                me, own.cluster, own.seed, self._clock, self._peers, log, self._tier_sized
+            )
         self._members.configure(membership)
 
-    def _compare_versions(self, config: Config, is_whole: bool = True) -> None:
+    def _compare_versions(self, config: Configuration, is_whole: bool = True) -> None:
         """Compare the configuration's version with the others', where it has one and they are known.
 
         Not `is_whole`: something in it waits for a restart, so it is not in force here.
@@ -256,7 +255,7 @@
 
             me, own = self._settings.instance_index, self._config
             parts = (self._clock, self._peers, self._log, lambda: self.on_newer())
-            self._versions = Versions(me, own.tier, own.seed, *parts)
+            self._versions = Versions(me, own.cluster, own.seed, *parts)
         self._versions.configure(membership, config, is_whole)
 
     @property
@@ -278,7 +277,7 @@
         self._stop_by = self._clock.now() + int(left_s * 1e6)
         self.frontend.drain()
         # Looked at anew: a successor may be younger than the last look.
-        has_successor = self._presence is not None and not self._presence.is_alone()
+        has_successor = self._process_lock is not None and not self._process_lock.is_alone()
         if self._versions is not None:
             self._versions.close()
         if self._members is not None:
@@ -313,14 +312,14 @@
             await asyncio.sleep(_QUIET_S / 2)
 
     def close(self) -> None:
-        if self.console is not None:
-            self.console.close()
-        if self._handover is not None:
-            self._handover.close()
+        if self.admin_interface is not None:
+            self.admin_interface.close()
+        if self._exclusions_file is not None:
+            self._exclusions_file.close()
         if self._looking is not None:
             self._looking.cancel()
-        if self._presence is not None:
-            self._presence.close()
+        if self._process_lock is not None:
+            self._process_lock.close()
         self._discovery.close()
         if self._versions is not None:
             self._versions.close()
@@ -336,11 +335,11 @@
         """Whether this process takes clients."""
         return self.frontend.takes_clients
 
-    def figures(self) -> dict[str, object]:
+    def metrics(self) -> dict[str, object]:
         members, unavailable = self._balancer.members()
         uploads = (each.incoming.upload for each in self._open.values() if each.client is not None)
         arriving = sum(upload is not None and not upload.is_whole for upload in uploads)
-        figures = self._telemetry.figures(self._owed - arriving, members, unavailable)
+        figures = self._metrics.snapshot(self._owed - arriving, members, unavailable)
         membership = self._members.figures() if self._members is not None else None
         if membership is not None:
             figures["membership"] = membership
@@ -360,8 +359,8 @@
     def _called(self, member: str, is_out: bool) -> bool:
         if not self._balancer.knows(member):
             return False
-        if self._handover is not None:
-            self._handover.record(member, is_out, self._upstream.excluded)
+        if self._exclusions_file is not None:
+            self._exclusions_file.record(member, is_out, self._upstream.excluded)
         self._use(member, is_out)
         return True
 
@@ -379,8 +378,8 @@
         for member in sorted(before ^ out):
             self._use(member, member in out)
 
-    def evacuate(self) -> bool:
-        """Send clients away, as at an end, and live on; no if it is about to end."""
+    def drain_clients(self) -> bool:
+        """Send clients away, as at an end, and keep running; False during the graceful shutdown."""
         if self._stop_by is not None:
             return False
         self.frontend.is_evacuated = True
@@ -388,8 +387,8 @@
         self._log("evacuated: clients are sent away")
         return True
 
-    def rejoin(self) -> bool:
-        """Take clients again; no if it is about to end."""
+    def resume_clients(self) -> bool:
+        """Accept clients again; False during the graceful shutdown."""
         if self._stop_by is not None:
             return False
         self.frontend.rejoin()
@@ -529,7 +528,7 @@
         if client is None:
             return
         whole = outcome is Outcome.DELIVERED
-        self._telemetry.answered(self._open[request].incoming.service_class, 200 if whole else 502)
+        self._metrics.response_sent(self._open[request].incoming.service_class, 200 if whole else 502)
         if whole:
             client.finish()
         else:
@@ -626,7 +625,7 @@
     def _answer(self, request: int, status: int, headers: Headers, body: bytes = b"") -> None:
         client = self._settle(request)
         if client is not None:
-            self._telemetry.answered(self._open[request].incoming.service_class, status)
+            self._metrics.response_sent(self._open[request].incoming.service_class, status)
             client.answer(status, headers, body)
         self._forget_if_over(request)
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from sidecar.config import parse
+from sidecar.configuration import parse
 from sidecar.roles import Transport
 from sidecar.sidecar import Sidecar
 from sidecar.upstream.client import Address
@@ -289,8 +289,8 @@
 
     async def operator(self) -> Client:
         """A connection to the operators' door."""
-        assert self.sidecar.console is not None
-        client = Client(*await asyncio.open_connection(HOST, self.sidecar.console.port))
+        assert self.sidecar.admin_interface is not None
+        client = Client(*await asyncio.open_connection(HOST, self.sidecar.admin_interface.port))
         self.clients.append(client)
         return client
 
