--- a/tests/test_recorded_samples.py
+++ b/tests/test_recorded_samples.py
@@ -23,17 +23,17 @@
 import pytest
 
 from sidecar import members
+from sidecar.admin_interface import AdminInterface
 from sidecar.clock import Clock
 from sidecar.cluster import exchange, message
 from sidecar.cluster.settings import MembershipSettings, RolloutSettings
-from sidecar.config import Config
-from sidecar.console import Console
-from sidecar.handover import Handover
+from sidecar.configuration import Configuration
 from sidecar.members import Members
+from sidecar.metrics import Metrics
 from sidecar.peers import MOST_BYTES, Peers
-from sidecar.presence import Presence
+from sidecar.persisted_exclusions import PersistedExclusions
+from sidecar.process_lock import ProcessLock
 from sidecar.rollout import Versions
-from sidecar.telemetry import Telemetry
 from testbed import events
 from testbed.capacity import samples
 from testbed.experiment.store import Key, Store
@@ -106,23 +106,23 @@
 
 def _figures() -> dict[str, object]:
     """The document of member 0 of four: 1 was heard, 2 has left, 3 is unknown; 1 has version 6, 0 has 5."""
-    telemetry = Telemetry(["look", "pay"])
+    metrics = Metrics(["look", "pay"])
     for status in (200, 200, 429, 503, 502):
-        telemetry.answered("look", status)
-    telemetry.attempted()
+        metrics.response_sent("look", status)
+    metrics.attempt_sent()
     log, clock = cast(Any, lambda line: None), _FixedClock()
     peers = Peers(tuple(("127.0.0.1", 7_000 + number) for number in range(4)), None, 0, Mock())
     others = Members(0, "cluster", 3, clock, peers, log, Mock())
     others.configure(MembershipSettings())
     versions = Versions(0, "cluster", 3, clock, peers, log, Mock())
     config = SimpleNamespace(version=5, digest=0xAB, rollout=RolloutSettings())
-    versions.configure(others.membership, cast(Config, config))
+    versions.configure(others.membership, cast(Configuration, config))
     encode = msgspec.msgpack.encode
     others.heard(1, encode([1, CLUSTER, 1, 100, 0, 7, -1, 0, 0, b"", []]))
     others.heard(2, encode([1, CLUSTER, 2, 100, 4, 0, -1, 0, 0, b"", []]))
     others.heard(3, b"\xff")
     versions.heard(1, encode([2, CLUSTER, 1, 0, 6, 1, 10, 1, 0xCD, 0xCD, 0, b"\x02", b""]))
-    figures = telemetry.figures(pending=2, members=7, unavailable=1)
+    figures = metrics.snapshot(pending=2, members=7, unavailable=1)
     figures["membership"], figures["configuration"] = others.figures(), versions.figures()
     others.close()
     versions.close()
@@ -133,13 +133,13 @@
     """What a caller of the operators' address gets."""
 
     async def work() -> bytes:
-        console = Console(Mock(figures=_figures))
-        await console.listen(("127.0.0.1", 0))
-        reader, writer = await asyncio.open_connection("127.0.0.1", console.port)
+        interface = AdminInterface(Mock(metrics=_figures))
+        await interface.listen(("127.0.0.1", 0))
+        reader, writer = await asyncio.open_connection("127.0.0.1", interface.port)
         writer.write(call)
         answer = await reader.read()
         writer.close()
-        console.close()
+        interface.close()
         return answer
 
     return asyncio.run(work())
@@ -155,7 +155,7 @@
 
 
 def test_excluded_servers_are_written_as_recorded(tmp_path: Path) -> None:
-    handover = Handover(tmp_path, pytest.fail)
+    handover = PersistedExclusions(tmp_path, pytest.fail)
     handover.record("10.0.0.7:8080", True, frozenset({"10.0.0.9:8080"}))
     handover.record("bücher:80", True, frozenset())
     handover.record("gone:1", True, frozenset())
@@ -165,12 +165,12 @@
 
 
 def test_recorded_excluded_servers_are_read() -> None:
-    excluded = Handover(RECORDED, pytest.fail).read()
+    excluded = PersistedExclusions(RECORDED, pytest.fail).read()
     assert excluded == frozenset({"10.0.0.7:8080", "10.0.0.9:8080", "bücher:80"})
 
 
 def test_a_process_of_the_recorded_version_is_seen_by_its_locked_file(tmp_path: Path) -> None:
-    presence = Presence(tmp_path, pytest.fail, name="1")
+    presence = ProcessLock(tmp_path, pytest.fail, name="1")
     assert [path.name for path in tmp_path.iterdir()] == ["alive.1"]
     with (tmp_path / "alive.4711").open("wb") as mark:
         fcntl.flock(mark, fcntl.LOCK_EX)
