--- a/sidecar/config.py
+++ b/sidecar/config.py
@@ -11,9 +11,9 @@
 
 from balancer import Settings
 from balancer.adapter import settings_from_wire
+from sidecar.address import Address, parse_address
 from sidecar.cluster.settings import MembershipSettings, RolloutSettings
 from sidecar.discovery.catalog import Listing, parse_listing
-from sidecar.upstream.client import Address, parse_address
 
 _DEFAULT_SOCKETS = 1_024
 _DEFAULT_MEMORY_MB = 64
--- a/sidecar/console.py
+++ b/sidecar/console.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol, cast
 
+from sidecar.address import Address
 from sidecar.http import CONTINUE, Malformed, RequestHead, RequestReader, Signal, response_head
-from sidecar.upstream.client import Address
 
 MOST_CALLERS = 16  # connections at once; each takes a descriptor
 _MOST_BODY = 4 << 10
--- a/sidecar/discovery/catalog.py
+++ b/sidecar/discovery/catalog.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from balancer.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
-from sidecar.upstream.client import Address, parse_address
+from sidecar.address import Address, parse_address
 
 _MOST_LEFT = 1_024  # servers that left and are remembered, so that a late list can't bring them back
 _STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
--- a/sidecar/discovery/discovery.py
+++ b/sidecar/discovery/discovery.py
@@ -22,8 +22,9 @@
 from random import Random
 from typing import Any
 
+from sidecar.address import Address
 from sidecar.discovery.catalog import Catalog, Inconsistent, Listing, parse_listing
-from sidecar.upstream.client import Address, ClientConnection, Failure, Message, Response
+from sidecar.upstream.client import ClientConnection, Failure, Message, Response
 
 _PATH = "/catalog/members"
 _MOST_BYTES = 4 << 20  # of a whole list
--- a/sidecar/downstream/listener.py
+++ b/sidecar/downstream/listener.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import Callable
 
-from sidecar.upstream.client import Address
+from sidecar.address import Address
 from sidecar.wire import LEFT
 
 _BACKLOG = 1_024
--- a/sidecar/peers.py
+++ b/sidecar/peers.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from sidecar.upstream.client import Address
+from sidecar.address import Address
 
 MOST_BYTES = 256  # of a datagram; a longer one is never sent
 
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -45,6 +45,7 @@
     TimerFired,
 )
 from balancer.settings import DiscoveryMode, LoadReportSource
+from sidecar.address import Address
 from sidecar.clock import Clock
 from sidecar.config import Config, ConfigError
 from sidecar.console import MOST_CALLERS, Console
@@ -59,8 +60,9 @@
 from sidecar.presence import Presence
 from sidecar.roles import Sink
 from sidecar.telemetry import Telemetry
-from sidecar.upstream.client import Address, ClientConnection, Message, Response
-from sidecar.upstream.upstream import Call, Upstream, load_report
+from sidecar.upstream.client import ClientConnection, Message, Response
+from sidecar.upstream.load_report import parse_load_report
+from sidecar.upstream.upstream import Call, Upstream
 
 if TYPE_CHECKING:
     from sidecar.cluster.settings import MembershipSettings
@@ -515,7 +517,7 @@
             self._streamed(request, outcome)
         elif outcome is Outcome.DELIVERED and response is not None and held.streaming is None:
             self._answer(request, 200, _passed_back(response), response.body)
-        report = load_report(response, self._settings.load_report_columns)
+        report = parse_load_report(response, self._settings.load_report_columns)
         # The server's time: a busy event loop reads answers late, which is no fault of any server.
         unread_us = response.unread_us if response is not None else 0
         elapsed = max(self._clock.now() - unread_us - sent_at, 0)
@@ -594,7 +596,7 @@
         in_body = self._settings.load_report_source is not LoadReportSource.NONE
 
         def done(outcome: Outcome, response: Response | None) -> None:
-            report = load_report(response, self._settings.load_report_columns, in_body=in_body)
+            report = parse_load_report(response, self._settings.load_report_columns, in_body=in_body)
             self._post(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
 
         message = Message(b"GET", b"/_load" if in_body else b"/ping", [(b"host", server.encode())])
--- a/sidecar/upstream/client.py
+++ b/sidecar/upstream/client.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import asyncio
-import ipaddress
 import socket
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -29,23 +28,6 @@
 
 _HELD_S = 0.05  # an answer of unknown length that goes on for longer is passed on as it comes
 
-Address = tuple[str, int]
-
-
-def parse_address(value: object) -> Address:
-    """Split `address:port`; there is no DNS, so the address must be a numeric one."""
-    if not isinstance(value, str):
-        raise ValueError(f"address:port is needed, not {value!r:.60}")
-    host, _, port = value.rpartition(":")
-    try:
-        ipaddress.ip_address(host.strip("[]"))
-        number = int(port)
-    except ValueError:
-        raise ValueError(f"address:port is needed, not {value!r:.60}") from None
-    if not 0 <= number <= 65_535:
-        raise ValueError(f"a port from 0 to 65535 is needed, not {number}")
-    return host.strip("[]"), number
-
 
 @dataclass(slots=True)
 class Message:
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -9,11 +9,12 @@
 
 from balancer.events import EndpointEntry, EndpointState, Outcome
 from balancer.settings import Limits
+from sidecar.address import Address
 from sidecar.clock import Clock
 from sidecar.discovery.catalog import Listing
 from sidecar.downstream.stream import KEPT, STALLED_S
 from sidecar.roles import Sink
-from sidecar.upstream.client import Address, ClientConnection, Failure, Message, Response
+from sidecar.upstream.client import ClientConnection, Failure, Message, Response
 
 _IDLE_MARGIN = 0.1  # of the idle limit: a connection this near to it may be closed at the far end by now
 # What says that this machine, not the server, had no room for a connection.
@@ -400,25 +401,3 @@
         if how.status in (503, 504) and how.header(b"not-started") == b"1":
             return Outcome.FULL
     return Outcome.ERROR
-
-
-def load_report(
-    response: Response | None, columns: tuple[str, ...], *, in_body: bool = False
-) -> dict[str, float] | None:
-    """The load report of an answer, as far as the settings name its figures; nonsense counts as none."""
-    if response is None:
-        return None
-    text = response.header(b"server-load") or (response.body if in_body else None)
-    if not text:
-        return None
-    report: dict[str, float] = {}
-    for pair in text.decode("latin-1").removeprefix("TEXT ").split(","):
-        name, _, figure = pair.partition("=")
-        if name.strip() in columns:
-            try:
-                value = float(figure)
-            except ValueError:
-                continue
-            if value - value == 0.0:  # finite
-                report[name.strip()] = value
-    return report or None
--- a/testbed/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -13,6 +13,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from sidecar.address import Address
 from sidecar.cluster.message import State
 from sidecar.cluster.settings import MembershipSettings
 from sidecar.cluster.view import Action, News
@@ -21,7 +22,6 @@
 from sidecar.members import Members
 from sidecar.peers import Peers
 from sidecar.sidecar import Sidecar
-from sidecar.upstream.client import Address
 
 _DRAINED_BYTES = 1 << 16
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,10 +12,10 @@
 
 import uvloop
 
+from sidecar.address import Address
 from sidecar.config import parse
 from sidecar.roles import Transport
 from sidecar.sidecar import Sidecar
-from sidecar.upstream.client import Address
 from sidecar.wire import Wire
 
 HOST = "127.0.0.1"
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -10,9 +10,9 @@
 from loopback import HOST, OK, line, play, request, stage, until
 
 import sidecar.sidecar
+from sidecar.address import Address
 from sidecar.downstream.listener import bound
 from sidecar.sidecar import Sidecar
-from sidecar.upstream.client import Address
 
 
 @pytest.mark.parametrize(
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -21,10 +21,10 @@
 )
 
 from balancer import balancer
+from sidecar.address import parse_address
 from sidecar.discovery import discovery as calls
 from sidecar.discovery.catalog import Listing, parse_listing
 from sidecar.discovery.discovery import Discovery
-from sidecar.upstream.client import parse_address
 
 
 class Ears:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,12 +7,12 @@
 
 from loopback import free_for_datagrams, play, until
 
+from sidecar.address import Address
 from sidecar.clock import Clock
 from sidecar.cluster.settings import MembershipSettings
 from sidecar.cluster.view import Size
 from sidecar.members import Members
 from sidecar.peers import Peers
-from sidecar.upstream.client import Address
 
 QUICK = MembershipSettings(least_period_ms=200)
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -195,12 +195,12 @@
 
 def test_load_reports_reach_the_decisions_and_nonsense_does_not() -> None:
     from sidecar.upstream.client import Response
-    from sidecar.upstream.upstream import load_report
+    from sidecar.upstream.load_report import parse_load_report
 
     def read(text: bytes) -> dict[str, float] | None:
-        return load_report(Response(200, [(b"server-load", text)], b""), ("qps", "util"))
+        return parse_load_report(Response(200, [(b"server-load", text)], b""), ("qps", "util"))
 
     assert read(b"TEXT qps=7, util=0.61, queue=2") == {"qps": 7.0, "util": 0.61}
     assert read(b"TEXT util=nan, qps=inf") is None
     assert read(b"\xff=,,=;util") is None
-    assert load_report(Response(200, [], b""), ("qps",)) is None
+    assert parse_load_report(Response(200, [], b""), ("qps",)) is None
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -19,13 +19,13 @@
 from test_ground import a_day, trouble
 from test_program import GOOD
 
+from sidecar.address import Address
 from sidecar.cluster.exchange import Kind, write
 from sidecar.cluster.message import tier_number
 from sidecar.cluster.settings import RolloutSettings
 from sidecar.cluster.tally import Tally
 from sidecar.config import Config, ConfigError, parse
 from sidecar.sidecar import Sidecar
-from sidecar.upstream.client import Address
 from testbed import events as log
 from testbed.clock import DayClock
 from testbed.emulator.copies import Sidecar as Copy
