--- a/sidecar/admin_interface.py
+++ b/sidecar/admin_interface.py
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, field
 from typing import Protocol, cast
 
+from sidecar.address import Address
 from sidecar.errors import SidecarError
 from sidecar.http import CONTINUE, Malformed, RequestHead, RequestReader, Signal, response_head
-from sidecar.upstream.client import Address
 
 MAX_CONNECTIONS = 16  # at once; each takes a descriptor
 _MAX_BODY_BYTES = 4 << 10
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -15,10 +15,10 @@
 
 from balancer import Settings
 from balancer.adapter import settings_from_wire
+from sidecar.address import Address, parse_address
 from sidecar.cluster.settings import MembershipSettings, RolloutSettings
 from sidecar.discovery.catalog import Listing, parse_listing
 from sidecar.errors import SidecarError
-from sidecar.upstream.client import Address, parse_address
 
 _FILE_VARIABLE = "BALANCER_CONFIG"
 _ADMIN_VARIABLE = "BALANCER_CONSOLE"
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -45,6 +45,7 @@
     TimerFired,
 )
 from balancer.settings import DiscoveryMode, LoadReportSource
+from sidecar.address import Address
 from sidecar.admin_interface import MAX_CONNECTIONS, AdminInterface
 from sidecar.clock import Clock
 from sidecar.configuration import Configuration, ConfigurationError
@@ -59,8 +60,9 @@
 from sidecar.persisted_exclusions import PersistedExclusions
 from sidecar.process_lock import ProcessLock
 from sidecar.roles import Sink
-from sidecar.upstream.client import Address, ClientConnection, Message, Response
-from sidecar.upstream.upstream import Call, Upstream, load_report
+from sidecar.upstream.http_exchange import OutgoingRequest, Response, UpstreamConnection
+from sidecar.upstream.load_report import parse_load_report
+from sidecar.upstream.upstream import Call, Upstream
 
 if TYPE_CHECKING:
     from sidecar.cluster.settings import MembershipSettings
@@ -338,7 +340,7 @@
     def metrics(self) -> dict[str, object]:
         members, unavailable = self._balancer.members()
         uploads = (each.incoming.upload for each in self._open.values() if each.client is not None)
-        arriving = sum(upload is not None and not upload.is_whole for upload in uploads)
+        arriving = sum(upload is not None and not upload.is_complete for upload in uploads)
         figures = self._metrics.snapshot(self._owed - arriving, members, unavailable)
         membership = self._members.figures() if self._members is not None else None
         if membership is not None:
@@ -476,13 +478,13 @@
         self._post(RequestBodyCompleted(request, remaining_us))
 
     def _answer_started(
-        self, request: int, attempt: int, source: ClientConnection, head: Response, length: int | None
+        self, request: int, attempt: int, source: UpstreamConnection, head: Response, length: int | None
     ) -> Sink | None:
         """An answer begins that is too long to be kept: it is the client's from here on, unless one was."""
         held = self._open.get(request)
         if held is None or held.client is None or held.streaming is not None:
             return None
-        if not held.client.begin(_passed_back(head), length, head.body, source):
+        if not held.client.begin(head.content_headers(), length, head.body, source):
             return None
         held.streaming = attempt
         call = held.calls[attempt]
@@ -513,13 +515,13 @@
         if held.streaming == attempt:
             self._streamed(request, outcome)
         elif outcome is Outcome.DELIVERED and response is not None and held.streaming is None:
-            self._answer(request, 200, _passed_back(response), response.body)
-        report = load_report(response, self._settings.load_report_columns)
+            self._answer(request, 200, response.content_headers(), response.body)
+        report = parse_load_report(response, self._settings.load_report_columns)
         # The server's time: a busy event loop reads answers late, which is no fault of any server.
         unread_us = response.unread_us if response is not None else 0
         elapsed = max(self._clock.now() - unread_us - sent_at, 0)
         # Whether it is answered is looked up when the event's turn comes.
-        spent = held.incoming.upload is not None and held.incoming.upload.is_spent
+        spent = held.incoming.upload is not None and held.incoming.upload.is_consumed
         self._post(AttemptEnded(request, attempt, server, outcome, elapsed, False, report, spent))
 
     def _streamed(self, request: int, outcome: Outcome) -> None:
@@ -574,7 +576,7 @@
         def done(outcome: Outcome, response: Response | None) -> None:
             self._attempt_ended(number, attempt, action.server, sent_at, outcome, response)
 
-        def begun(source: ClientConnection, head: Response, length: int | None) -> Sink | None:
+        def begun(source: UpstreamConnection, head: Response, length: int | None) -> Sink | None:
             return self._answer_started(number, attempt, source, head, length)
 
         def is_wanted() -> bool:
@@ -593,10 +595,10 @@
         in_body = self._settings.load_report_source is not LoadReportSource.NONE
 
         def done(outcome: Outcome, response: Response | None) -> None:
-            report = load_report(response, self._settings.load_report_columns, in_body=in_body)
+            report = parse_load_report(response, self._settings.load_report_columns, in_body=in_body)
             self._post(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
 
-        message = Message(b"GET", b"/_load" if in_body else b"/ping", [(b"host", server.encode())])
+        message = OutgoingRequest(b"GET", b"/_load" if in_body else b"/ping", [(b"host", server.encode())])
         self._upstream.start(Call(server, sent_at + _PROBE_WITHIN_US, lambda left_us: message, done))
 
     def _refuse(self, action: Reject) -> None:
@@ -644,8 +646,3 @@
         held = self._open.get(request)
         if held is not None and held.client is None and held.out == 0:
             del self._open[request]
-
-
-def _passed_back(response: Response) -> Headers:
-    """What describes the body goes back with it."""
-    return [each for each in response.headers if each[0] in (b"content-type", b"content-encoding")]
--- /dev/null
+++ b/sidecar/upstream/http_exchange.py
@@ -0,0 +1,357 @@
+"""One connection to a server and the HTTP/1.1 exchange on it, one at a time.
+
+Nothing is sent spontaneously and nothing twice: whoever calls `exchange` decides what is written, and when.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import Enum, unique
+from typing import cast
+
+from sidecar.downstream.body_streaming import Upload
+from sidecar.downstream.flow_control import BoundedReader
+from sidecar.http import (
+    LAST_CHUNK,
+    Headers,
+    Malformed,
+    ResponseHead,
+    ResponseReader,
+    Signal,
+    chunk,
+    request_head,
+)
+from sidecar.roles import Sink, Transport
+from sidecar.wire import Wire
+
+_CONTENT_HEADERS = (b"content-type", b"content-encoding")
+_MAX_BUFFERING_S = 0.05  # of a response of unknown length; one that takes longer is streamed
+
+
+@dataclass(slots=True)
+class OutgoingRequest:
+    """A request to write to a server."""
+
+    method: bytes
+    target: bytes
+    headers: Headers
+    body: bytes = b""
+    upload: Upload | None = None  # in place of `body`, where that is streamed
+
+
+@dataclass(slots=True)
+class Response:
+    """A complete response, or the beginning of a streamed one."""
+
+    status: int
+    headers: Headers
+    body: bytes
+    unread_us: int = 0  # how long its last bytes lay in the socket
+
+    def header(self, name: bytes) -> bytes | None:
+        """Return the first value of a header, given by its name in lower case."""
+        return next((value for key, value in self.headers if key == name), None)
+
+    def content_headers(self) -> Headers:
+        """Return the headers that describe the body and are forwarded with it."""
+        return [header for header in self.headers if header[0] in _CONTENT_HEADERS]
+
+
+@unique
+class ExchangeFailure(Enum):
+    """Why an exchange has no response."""
+
+    REQUEST_INCOMPLETE = "request incomplete"  # the connection ended before its last byte was written
+    CONNECTION_LOST = "connection lost"  # it was closed or reset after that
+    MALFORMED_RESPONSE = "malformed response"  # not HTTP as read here, or too large
+
+
+OnResult = Callable[[Response | ExchangeFailure], None]
+# A response that is too long to be buffered begins.  Given its beginning and its length, if that is known;
+# returns where it is forwarded to, or None if nobody waits for it.
+OnStreamingResponse = Callable[["UpstreamConnection", Response, int | None], Sink | None]
+
+
+class UpstreamConnection(BoundedReader):
+    """The protocol of one connection to a server."""
+
+    def __init__(
+        self,
+        max_buffered_bytes: int,
+        on_free: Callable[[UpstreamConnection], None],
+        on_closed: Callable[[UpstreamConnection], None],
+    ) -> None:
+        """`on_free` is called when the connection can be reused, `on_closed` once when it never can be again.
+
+        A response body of more than `max_buffered_bytes` is streamed, or fails where the caller of `exchange`
+        takes no streamed response.
+        """
+        self._max_buffered_bytes = max_buffered_bytes
+        self._on_free = on_free
+        self._on_closed = on_closed
+        self._transport: Transport | None = None
+        self._wire: Wire | None = None
+        self._reader = ResponseReader()
+        self._on_result: OnResult | None = None  # of the exchange in flight
+        self._on_written: Callable[[], None] | None = None
+        self._on_streaming_response: OnStreamingResponse | None = None
+        self._head: ResponseHead | None = None
+        self._body = bytearray()
+        self._is_writing_paused = False  # something that was written is still with the transport
+        self._upload: Upload | None = None  # a streamed body that is not completely written
+        self._is_upload_chunked = False
+        self._sink: Sink | None = None  # where a streamed response is forwarded to
+        self._buffering_timer: asyncio.TimerHandle | None = None
+        self.streamed_bytes = 0  # of bodies, in either direction
+        self._is_closed = False
+
+    # Called by the owner
+
+    def is_usable(self) -> bool:
+        """Whether a request may be written now: open, no exchange in flight, and nothing unread.
+
+        Guards against the race with a peer that closes an idle connection: its end may lie in the socket
+        before the event loop has seen it, and a request written then may or may not have run.
+        """
+        if self._is_closed or self._transport is None or self._transport.is_closing():
+            return False
+        if self._on_result is not None:
+            return False
+        return self._wire is not None and self._wire.is_quiet()
+
+    def exchange(
+        self,
+        request: OutgoingRequest,
+        on_result: OnResult,
+        on_written: Callable[[], None] | None = None,
+        on_streaming_response: OnStreamingResponse | None = None,
+    ) -> None:
+        """Write a request; `on_result` is called exactly once, but never from within this call.
+
+        `on_written` is called at most once, when the last byte was handed to the system.  Without
+        `on_streaming_response`, a response that is too long to be buffered counts as malformed.
+        """
+        assert self._transport is not None and self._on_result is None
+        self._on_result = on_result
+        self._head = None
+        self._body = bytearray()
+        self._on_written, self._on_streaming_response = on_written, on_streaming_response
+        head = request_head(request.method, request.target, request.headers)
+        if request.upload is not None:
+            self._upload = request.upload
+            self._is_upload_chunked = request.upload.length is None
+            self._transport.write(head)
+            request.upload.attach(self)
+            return
+        self._transport.write(head + request.body if request.body else head)
+        if self._transport.is_closing():
+            self._is_writing_paused = True  # the write failed at once; connection_lost follows
+        if not self._is_writing_paused:
+            self._notify_written()
+
+    def send_body(self, data: bytes) -> bool:
+        """Forward a piece of the request's body; return whether more may follow at once."""
+        if self._transport is None or self._is_closed:
+            return True  # it is discarded
+        self.streamed_bytes += len(data)
+        self._transport.write(chunk(data) if self._is_upload_chunked else data)
+        return not self._is_writing_paused
+
+    def end_body(self) -> None:
+        """End the request's body."""
+        if self._transport is None or self._is_closed:
+            return
+        self._upload = None
+        if self._is_upload_chunked:
+            self._transport.write(LAST_CHUNK)
+        if not self._is_writing_paused and not self._transport.is_closing():
+            self._notify_written()
+
+    @property
+    def is_streaming_response(self) -> bool:
+        """Whether the response is forwarded while it arrives."""
+        return self._sink is not None
+
+    @property
+    def is_waiting_for_server(self) -> bool:
+        """Whether the progress of a streamed body depends on the server, not on the client."""
+        is_reading = self._transport is not None and self._transport.is_reading()
+        return self._is_writing_paused or (self._sink is not None and is_reading)
+
+    def pause(self) -> None:
+        """Stop reading the response."""
+        if self._transport is not None and not self._is_closed:
+            self._transport.pause_reading()
+
+    def resume(self) -> None:
+        """Read on after `pause`."""
+        if self._transport is not None and not self._is_closed:
+            self._transport.resume_reading()
+
+    def fail(self) -> None:
+        """Close the connection and fail the exchange in flight, as when the server had closed it."""
+        self._fail(self._lost_connection())
+
+    def close(self) -> None:
+        """Close the connection; an exchange in flight is dropped without calling `on_result`.
+
+        Its sending ends within this call, before anything that the caller may write elsewhere next: the
+        transport itself closes its socket only in a later round of the event loop, and until then a further
+        attempt would be a duplicate beside this one.
+        """
+        self._on_result = None
+        self._end_streaming()
+        if self._transport is not None and not self._is_closed:
+            if self._wire is not None:
+                self._wire.end(socket.SHUT_RDWR)
+            self._transport.abort()
+        if not self._is_closed:
+            self._is_closed = True
+            self._on_closed(self)
+
+    # Called by the event loop
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        # The event loop's own class is none of asyncio's, so there is nothing to check.
+        self._transport = cast(Transport, transport)
+        self._transport.set_write_buffer_limits(high=0)  # pause_writing then means: something is unwritten
+        self._wire = Wire(self._transport)
+
+    def pause_writing(self) -> None:
+        self._is_writing_paused = True
+
+    def resume_writing(self) -> None:
+        self._is_writing_paused = False
+        if self._upload is not None:
+            self._upload.resume()
+        else:
+            self._notify_written()
+
+    def data_received(self, data: bytes) -> None:
+        if self._on_result is None:
+            self.close()  # unsolicited
+            return
+        self._read(data)
+
+    def eof_received(self) -> None:
+        if self._on_result is not None:
+            self._reader.receive_end()
+            self._read(b"")  # the end may be what frames the response
+        self._fail(self._lost_connection())
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        self._fail(self._lost_connection())
+        if self._wire is not None:
+            self._wire.release()
+
+    # Reading a response
+
+    def _read(self, data: bytes) -> None:
+        self._reader.receive(data)
+        try:
+            while not self._is_closed:
+                event = self._reader.next_event()
+                if isinstance(event, bytes):
+                    self._body_received(event)
+                elif isinstance(event, ResponseHead):
+                    self._head = event
+                    self._head_received(event)
+                elif event is Signal.END:
+                    self._response_completed()
+                    return
+                else:
+                    return
+        except Malformed:
+            self._fail(ExchangeFailure.MALFORMED_RESPONSE)
+
+    def _head_received(self, head: ResponseHead) -> None:
+        """Decide by its length whether a response is buffered; without one, only for a bounded time."""
+        if head.length is not None:
+            if head.length > self._max_buffered_bytes:
+                self._start_streaming(head.length)
+        elif self._on_streaming_response is not None and head.status == 200:
+            self._buffering_timer = asyncio.get_running_loop().call_later(
+                _MAX_BUFFERING_S, self._start_streaming, None
+            )
+
+    def _body_received(self, data: bytes) -> None:
+        if self._sink is None:
+            self._body += data
+            if len(self._body) > self._max_buffered_bytes:
+                self._start_streaming(None)
+            return
+        self.streamed_bytes += len(data)
+        if not self._sink.write(data):
+            self.pause()
+
+    def _start_streaming(self, length: int | None) -> None:
+        """Forward the response from here on as it arrives, at the pace of its reader."""
+        self._stop_buffering_timer()
+        if self._sink is not None or self._head is None or self._on_result is None:
+            return
+        if self._head.status != 200:
+            on_result = self._on_result
+            self.close()
+            on_result(Response(self._head.status, self._head.headers, b""))  # only its head is used
+            return
+        if self._on_streaming_response is None:
+            self._fail(ExchangeFailure.MALFORMED_RESPONSE)
+            return
+        assert self._wire is not None
+        unread_us = self._wire.unread_us()
+        beginning = Response(200, self._head.headers, bytes(self._body), unread_us)
+        self._body = bytearray()
+        self._sink = self._on_streaming_response(self, beginning, length)
+        if self._sink is None:
+            self._fail(ExchangeFailure.CONNECTION_LOST)  # nobody waits for it
+
+    def _stop_buffering_timer(self) -> None:
+        if self._buffering_timer is not None:
+            self._buffering_timer.cancel()
+            self._buffering_timer = None
+
+    # Ending an exchange
+
+    def _response_completed(self) -> None:
+        assert self._head is not None and self._wire is not None
+        unread_us = self._wire.unread_us()
+        response = Response(self._head.status, self._head.headers, bytes(self._body), unread_us)
+        self._body = bytearray()
+        on_result, self._on_result = self._on_result, None
+        # A response that is early, while the request is still being sent, ends the connection.
+        is_early = self._is_writing_paused or self._upload is not None
+        self._end_streaming()
+        if self._reader.is_reusable and not is_early and not self._reader.has_more:
+            self._reader.start_next()
+            self._on_free(self)
+        else:
+            self.close()
+        if on_result is not None:
+            on_result(response)
+
+    def _fail(self, failure: ExchangeFailure) -> None:
+        on_result = self._on_result
+        self.close()
+        if on_result is not None:
+            on_result(failure)
+
+    def _lost_connection(self) -> ExchangeFailure:
+        """Return what the loss of the connection means for the exchange in flight."""
+        if self._is_writing_paused or self._upload is not None:
+            return ExchangeFailure.REQUEST_INCOMPLETE
+        return ExchangeFailure.CONNECTION_LOST
+
+    def _end_streaming(self) -> None:
+        self._stop_buffering_timer()
+        self._sink = None
+        upload, self._upload = self._upload, None
+        if upload is not None:
+            upload.detach(self)
+
+    def _notify_written(self) -> None:
+        on_written, self._on_written = self._on_written, None
+        if on_written is not None:
+            on_written()
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -9,11 +9,12 @@
 
 from balancer.events import EndpointEntry, EndpointState, Outcome
 from balancer.settings import Limits
+from sidecar.address import Address
 from sidecar.clock import Clock
 from sidecar.discovery.catalog import Listing
-from sidecar.downstream.stream import KEPT, STALLED_S
+from sidecar.downstream.flow_control import MAX_BUFFERED_BODY_BYTES, STALL_TIMEOUT_S
 from sidecar.roles import Sink
-from sidecar.upstream.client import Address, ClientConnection, Failure, Message, Response
+from sidecar.upstream.http_exchange import ExchangeFailure, OutgoingRequest, Response, UpstreamConnection
 
 _IDLE_MARGIN = 0.1  # of the idle limit: a connection this near to it may be closed at the far end by now
 # What says that this machine, not the server, had no room for a connection.
@@ -21,7 +22,7 @@
 
 Done = Callable[[Outcome, Response | None], None]
 # An answer begins that passes through: where from, its head and first bytes, and its length if that is known.
-Begun = Callable[[ClientConnection, Response, int | None], Sink | None]
+Begun = Callable[[UpstreamConnection, Response, int | None], Sink | None]
 
 
 class Call:
@@ -47,7 +48,7 @@
         self,
         server: str,
         until: int,
-        message: Callable[[int], Message],
+        message: Callable[[int], OutgoingRequest],
         done: Done,
         begun: Begun | None = None,
         begin_by: int | None = None,
@@ -64,13 +65,13 @@
         self.message = message  # given the time left, in microseconds
         self.done = done
         self.ended = False
-        self.connection: ClientConnection | None = None  # once it is written
+        self.connection: UpstreamConnection | None = None  # once it is written
         self.timer: asyncio.TimerHandle | None = None
 
 
 @dataclass(slots=True)
 class _Idle:
-    connection: ClientConnection
+    connection: UpstreamConnection
     since: int
 
 
@@ -112,7 +113,7 @@
         self._most = most
         self._servers: dict[str, _Server] = {}
         self._excluded: set[str] = set()  # also of servers that are not listed now
-        self._owners: dict[ClientConnection, _Server] = {}  # of every open connection
+        self._owners: dict[UpstreamConnection, _Server] = {}  # of every open connection
         self._dialling = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._sweep: asyncio.TimerHandle | None = None
@@ -221,7 +222,7 @@
 
     def hurry(self, call: Call, until: int) -> None:
         """Wait no longer than until then."""
-        is_answered = call.connection is not None and call.connection.is_passing_on
+        is_answered = call.connection is not None and call.connection.is_streaming_response
         if not call.ended and not is_answered and until < call.until:
             call.until = until
             self._set_expiry(call)
@@ -264,11 +265,11 @@
             call.timer.cancel()
         call.done(outcome, response)
 
-    def _write(self, call: Call, connection: ClientConnection) -> None:
-        def ended(how: Response | Failure) -> None:
+    def _write(self, call: Call, connection: UpstreamConnection) -> None:
+        def ended(how: Response | ExchangeFailure) -> None:
             self._end(call, _outcome(how), how if isinstance(how, Response) else None)
 
-        def started(source: ClientConnection, head: Response, length: int | None) -> Sink | None:
+        def started(source: UpstreamConnection, head: Response, length: int | None) -> Sink | None:
             sink = call.begun(source, head, length) if call.begun is not None else None
             if sink is not None:
                 self._watch(call)
@@ -279,7 +280,7 @@
             self._set_expiry(call)
         message = call.message(max(call.until - self._clock.now(), 1_000))
         connection.exchange(message, ended, self._on_written, started if call.begun is not None else None)
-        if message.upload is not None and not message.upload.is_whole:
+        if message.upload is not None and not message.upload.is_complete:
             self._watch(call)
 
     def _watch(self, call: Call) -> None:
@@ -293,23 +294,24 @@
         """Give the call up when its server has taken or given nothing for long."""
         if call.ended or call.connection is None:
             return
-        now, moved = self._clock.now(), call.connection.moved
+        now, moved = self._clock.now(), call.connection.streamed_bytes
         if moved != call.moved or not call.connection.is_waiting_for_server:
             call.moved, call.stalled_at = moved, now
-        if now - call.stalled_at >= STALLED_S * 1e6:
-            call.connection.give_up()
+        if now - call.stalled_at >= STALL_TIMEOUT_S * 1e6:
+            call.connection.fail()
             return
-        call.timer = asyncio.get_running_loop().call_later(STALLED_S / 10, self._look, call)
+        call.timer = asyncio.get_running_loop().call_later(STALL_TIMEOUT_S / 10, self._look, call)
 
     # Connections
 
     async def _dial(self, call: Call, server: _Server) -> None:
         outcome = Outcome.CONNECT_FAILED
-        connection: ClientConnection | None = None
+        connection: UpstreamConnection | None = None
         try:
             async with asyncio.timeout(self._dial_within_s):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: ClientConnection(KEPT, self._freed, self._closed), *server.address
+                    lambda: UpstreamConnection(MAX_BUFFERED_BODY_BYTES, self._freed, self._closed),
+                    *server.address,
                 )
         except (OSError, TimeoutError) as fault:
             if isinstance(fault, OSError) and fault.errno in _OWN_FAULTS:
@@ -350,7 +352,7 @@
         oldest.idle.pop(0).connection.close()
         return True
 
-    def _take(self, server: _Server) -> ClientConnection | None:
+    def _take(self, server: _Server) -> UpstreamConnection | None:
         """The most recently used idle connection that is good, if there is one."""
         while server.idle:
             idle = server.idle.pop()
@@ -359,7 +361,7 @@
             idle.connection.close()
         return None
 
-    def _freed(self, connection: ClientConnection) -> None:
+    def _freed(self, connection: UpstreamConnection) -> None:
         server = self._owners.get(connection)
         if server is None or server.is_leaving or server.is_excluded:
             connection.close()
@@ -378,7 +380,7 @@
         if any(server.idle for server in self._servers.values()):
             self._sweep = asyncio.get_running_loop().call_later(self._use_within_us / 4e6, self._close_old)
 
-    def _closed(self, connection: ClientConnection) -> None:
+    def _closed(self, connection: UpstreamConnection) -> None:
         server = self._owners.pop(connection, None)
         if server is not None:
             server.idle = [each for each in server.idle if each.connection is not connection]
@@ -389,10 +391,10 @@
             each.connection.close()
 
 
-def _outcome(how: Response | Failure) -> Outcome:
-    if how is Failure.UNWRITTEN:
+def _outcome(how: Response | ExchangeFailure) -> Outcome:
+    if how is ExchangeFailure.REQUEST_INCOMPLETE:
         return Outcome.CONNECT_FAILED
-    if how is Failure.BROKEN:
+    if how is ExchangeFailure.CONNECTION_LOST:
         return Outcome.CONNECTION_LOST
     if isinstance(how, Response):
         if how.status == 200:
@@ -400,25 +402,3 @@
         if how.status in (503, 504) and how.header(b"not-started") == b"1":
             return Outcome.FULL
     return Outcome.ERROR
-
-
-def load_report(
-    response: Response | None, columns: tuple[str, ...], *, in_body: bool = False
-) -> dict[str, float] | None:
-    """The load report of an answer, as far as the settings name its figures; nonsense counts as none."""
-    if response is None:
-        return None
-    text = response.header(b"server-load") or (response.body if in_body else None)
-    if not text:
-        return None
-    report: dict[str, float] = {}
-    for pair in text.decode("latin-1").removeprefix("TEXT ").split(","):
-        name, _, figure = pair.partition("=")
-        if name.strip() in columns:
-            try:
-                value = float(figure)
-            except ValueError:
-                continue
-            if value - value == 0.0:  # finite
-                report[name.strip()] = value
-    return report or None
