--- a/Makefile
+++ b/Makefile
@@ -69,7 +69,7 @@
 
 # Every order of a few events among three members of the tier, deeper than the tests go.
 explore: setup
-	$(BIN)/python -c 'from testbed.tier.explore import explore; print(explore(4, 2, heal_every=3))'
+	$(BIN)/python -c 'from testbed.cluster_simulation.explore import explore; print(explore(4, 2, heal_every=3))'
 
 # Many members on this machine, real and hollow ones, each size for itself; figures go to docs/capacity.
 SIZES ?= 50 100 200 400 750
@@ -79,15 +79,15 @@
 
 # What membership costs and how quickly it finds out: tables, and the plot of docs/membership.md.
 membership: setup
-	$(BIN)/python -m testbed.tier.measure
+	$(BIN)/python -m testbed.cluster_simulation.measure
 
 # What membership costs a member by the tier's size, in peace and in each event: data of docs/CAPACITY.md.
 slopes: setup
-	$(BIN)/python -m testbed.tier.slopes $(CASES)
+	$(BIN)/python -m testbed.cluster_simulation.slopes $(CASES)
 
 # How soon all sidecars have an answer again after discovery was down, by their number: data of docs/CAPACITY.md.
 line: setup
-	$(BIN)/python -m testbed.tier.line
+	$(BIN)/python -m testbed.cluster_simulation.line
 
 # docs/CAPACITY.md and its plots, from the runs in docs/capacity/ and testbed/capacity/rows.toml.
 capacity: setup
@@ -95,4 +95,4 @@
 
 # Until a configuration is in force everywhere, and what comparing versions costs: docs/capacity/rollout-*.json.
 rollout: setup
-	$(BIN)/python -m testbed.tier.rollouts --save
+	$(BIN)/python -m testbed.cluster_simulation.rollouts --save
--- a/testbed/tier/explore.py
+++ b/testbed/cluster_simulation/explore.py
@@ -18,7 +18,7 @@
 from sidecar.cluster.message import State
 from sidecar.cluster.settings import MembershipSettings
 from sidecar.cluster.view import Action, Datagram, Wake
-from testbed.tier.virtual import agreed
+from testbed.cluster_simulation.virtual import agreed
 
 MEMBERS = 3
 _UNIX_S = 1_780_000_000.0
--- a/testbed/tier/measure.py
+++ b/testbed/cluster_simulation/measure.py
@@ -13,8 +13,8 @@
 import numpy as np
 
 from sidecar.cluster.message import State
+from testbed.cluster_simulation.virtual import VirtualTier
 from testbed.report import plots
-from testbed.tier.virtual import VirtualTier
 
 T = TypeVar("T")
 SIZES = (5, 10, 30, 100, 300, 1_000)
--- a/testbed/tier/rollouts.py
+++ b/testbed/cluster_simulation/rollouts.py
@@ -22,8 +22,8 @@
 from sidecar.cluster.table import Table
 from sidecar.cluster.tally import Tally
 from testbed.capacity.samples import Sample, save
-from testbed.tier.measure import many
-from testbed.tier.versions import VersionedTier
+from testbed.cluster_simulation.measure import many
+from testbed.cluster_simulation.versions import VersionedTier
 
 SIZES = (50, 100, 200, 400, 750, 1_000)
 SEEDS = range(11, 16)  # 1 to 5 were used in tuning
--- a/testbed/tier/slopes.py
+++ b/testbed/cluster_simulation/slopes.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from testbed.capacity.samples import Sample, save
-from testbed.tier.trial import BACK_AFTER_S, REQUESTS_PER_S, Overdue, Trial
+from testbed.cluster_simulation.trial import BACK_AFTER_S, REQUESTS_PER_S, Overdue, Trial
 
 JOBS = 4
 SIZES = (50, 100, 200, 400, 750)
--- a/testbed/tier/trial.py
+++ b/testbed/cluster_simulation/trial.py
@@ -9,7 +9,7 @@
 from sidecar.cluster.message import State
 from sidecar.cluster.view import News
 from testbed.capacity.samples import Sample
-from testbed.tier.virtual import Process, S, Told, VirtualTier
+from testbed.cluster_simulation.virtual import Process, S, Told, VirtualTier
 
 REQUESTS_PER_S = 293  # 220,000 calls a second over 750 sidecars
 BACK_AFTER_S = 5.0  # a member that was restarted
--- a/testbed/tier/versions.py
+++ b/testbed/cluster_simulation/versions.py
@@ -13,7 +13,7 @@
 from sidecar.cluster.rollout import Rollout
 from sidecar.cluster.settings import MembershipSettings, RolloutSettings
 from sidecar.cluster.view import Action, Datagram, Wake
-from testbed.tier.virtual import Process, VirtualTier
+from testbed.cluster_simulation.virtual import Process, VirtualTier
 
 _NEVER = 1 << 62
 Said = Settled | Ambiguous | Missing | Forgotten
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -15,7 +15,7 @@
 from sidecar.cluster.settings import MembershipSettings
 from sidecar.cluster.table import Table
 from sidecar.cluster.view import Datagram
-from testbed.tier.explore import Broken, World, explore
+from testbed.cluster_simulation.explore import Broken, World, explore
 
 SIZE = 4
 PACK = msgspec.msgpack.encode
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from testbed.cluster_simulation.line import Line, S, returned
 from testbed.model.queue import Queue
-from testbed.tier.line import Line, S, returned
 
 
 def test_calls_are_served_one_after_another() -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,7 @@
 from sidecar.cluster.message import MOST_BYTES, Claim, Kind, Message, State, tier_number, write
 from sidecar.cluster.settings import MembershipSettings
 from sidecar.cluster.view import Datagram, Doubled, News, Slept
-from testbed.tier.virtual import VirtualTier
+from testbed.cluster_simulation.virtual import VirtualTier
 
 HEALED_S = 60.0  # the bound that docs/membership.md states for tiers of up to 20, at rest
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -15,8 +15,8 @@
 from sidecar.cluster.table import Table
 from sidecar.cluster.tally import Tally, bit
 from sidecar.cluster.view import Datagram
-from testbed.tier.versions import File, Versioned, VersionedTier
-from testbed.tier.virtual import Process
+from testbed.cluster_simulation.versions import File, Versioned, VersionedTier
+from testbed.cluster_simulation.virtual import Process
 
 IN_FORCE_S = 6.0  # the bound with its margin of two
 S = 1_000_000
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -5,8 +5,8 @@
 import pytest
 
 from testbed.capacity.samples import Sample
-from testbed.tier.slopes import CASES, played
-from testbed.tier.trial import Overdue, Trial
+from testbed.cluster_simulation.slopes import CASES, played
+from testbed.cluster_simulation.trial import Overdue, Trial
 
 SIZE = 20
 
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -28,7 +28,7 @@
 from sidecar.cluster.table import Table
 from sidecar.cluster.tally import NO_DIGEST, PIECE, Tally, bit, members, unpacked
 from sidecar.cluster.view import Datagram
-from testbed.tier.versions import File, VersionedTier
+from testbed.cluster_simulation.versions import File, VersionedTier
 
 SIZE = 5
 TIER = tier_number("a")
