--- a/bench/member.py
+++ b/bench/member.py
@@ -19,10 +19,19 @@
 from bench.sidecars import how_built, restart_as_built
 from bench.spread import show, spread
 from sidecar.clock import Clock
+from sidecar.cluster.actions import MembershipAction, ScheduleTick, SendDatagram
 from sidecar.cluster.membership import Membership
-from sidecar.cluster.message import NOBODY, VERSION, Claim, Kind, Message, State, tier_number, write
+from sidecar.cluster.message import (
+    FORMAT_VERSION,
+    NO_TARGET,
+    MembershipUpdate,
+    MemberState,
+    Message,
+    MessageKind,
+    cluster_id,
+    encode,
+)
 from sidecar.cluster.settings import MembershipSettings
-from sidecar.cluster.view import Action, Datagram, Wake
 from sidecar.members import Members
 from sidecar.peers import Peers
 from testbed.capacity.samples import FOLDER, Sample, save
@@ -32,7 +41,7 @@
 TIER = "a"
 UNIX_S = 1_800_000_000.0
 LIFE = 1_000_000
-NEWS = 12  # claims that a datagram with news carries here
+NEWS = 12  # updates that a datagram with news carries here
 
 
 def member(size: int, seed: int = 1) -> Membership:
@@ -40,8 +49,8 @@
     own = Membership(0, size, TIER, MembershipSettings(), random.Random(seed), 0, UNIX_S)
     own.start(0)
     for number in range(1, size):
-        own.table.take(Claim.of(number, LIFE, State.PRESENT, 0, number), 0)
-    own.settle()
+        own.table.apply(MembershipUpdate.create(number, LIFE, MemberState.PRESENT, 0, number), 0)
+    own.mark_all_disseminated()
     return own
 
 
@@ -69,15 +78,30 @@
         self._random = random.Random(size)
 
     def word(
-        self, sender: int, kind: Kind, question: int, claims: list[Claim], differs: bool = False
+        self,
+        sender: int,
+        kind: MessageKind,
+        question: int,
+        updates: list[MembershipUpdate],
+        differs: bool = False,
     ) -> bytes:
         """A datagram of another member; where its belief differs, with a sketch of a table of nobody."""
         digest = self.member.table.digest ^ differs
-        sketch = bytes(100) if differs and kind is Kind.ASK else b""
+        sketch = bytes(100) if differs and kind is MessageKind.PING else b""
         message = Message(
-            VERSION, tier_number(TIER), sender, LIFE, kind, question, NOBODY, digest, 0, sketch, claims
+            FORMAT_VERSION,
+            cluster_id(TIER),
+            sender,
+            LIFE,
+            kind,
+            question,
+            NO_TARGET,
+            digest,
+            0,
+            sketch,
+            updates,
         )
-        return write(message)
+        return encode(message)
 
     def tick_us(self) -> float:
         """Until the next tick, and the tick; who is asked answers at once, beside the measurement."""
@@ -87,40 +111,41 @@
         took = time.perf_counter_ns() - began
         self._take(actions)
         for receiver, question in self._questions:
-            self._take(self.member.heard(self._now, receiver, self.word(receiver, Kind.HERE, question, [])))
+            payload = self.word(receiver, MessageKind.ACK, question, [])
+            self._take(self.member.datagram_received(self._now, receiver, payload))
         self._questions = []
         return took / 1e3
 
-    def heard_us(self, claims: list[Claim], differs: bool) -> float:
+    def heard_us(self, updates: list[MembershipUpdate], differs: bool) -> float:
         """One question of another member."""
         sender = self._random.randrange(1, len(self.member.table))
-        payload = self.word(sender, Kind.ASK, self._random.randrange(1 << 16), claims, differs)
+        payload = self.word(sender, MessageKind.PING, self._random.randrange(1 << 16), updates, differs)
         began = time.perf_counter_ns()
-        actions = self.member.heard(self._now, sender, payload)
+        actions = self.member.datagram_received(self._now, sender, payload)
         took = time.perf_counter_ns() - began
         self._take(actions)
         self._questions = []
         return took / 1e3
 
-    def _take(self, actions: list[Action]) -> None:
+    def _take(self, actions: list[MembershipAction]) -> None:
         for action in actions:
-            if isinstance(action, Wake):
+            if isinstance(action, ScheduleTick):
                 self._wake = action.at
-            elif isinstance(action, Datagram) and action.receiver is not None:
+            elif isinstance(action, SendDatagram) and action.receiver is not None:
                 asked = self._asked(action)
                 if asked is not None:
                     self._questions.append((action.receiver, asked))
 
-    def _asked(self, action: Datagram) -> int | None:
+    def _asked(self, action: SendDatagram) -> int | None:
         """The number of the question that is out, where this datagram asks it."""
-        own = self.member._questions.own
-        return own.number if own is not None and own.target == action.receiver else None
+        own = self.member._failure_detector.pings.own
+        return own.sequence_number if own is not None and own.target == action.receiver else None
 
 
-def suspects(size: int, count: int, seed: int = 2) -> Iterator[Claim]:
+def suspects(size: int, count: int, seed: int = 2) -> Iterator[MembershipUpdate]:
     """Others' word that so many are silent, as when a zone has gone."""
     for number in random.Random(seed).sample(range(2, size), count):
-        yield Claim.of(number, LIFE, State.SUSPECTED, 0, 1)
+        yield MembershipUpdate.create(number, LIFE, MemberState.SUSPECTED, 0, 1)
 
 
 def times(size: int, events: int = EVENTS) -> list[Sample]:
@@ -130,13 +155,16 @@
         rest.tick_us()
     out = spread("member.tick_us", size, [rest.tick_us() for _ in range(events)], "us")
     out += spread("member.heard_us", size, [rest.heard_us([], False) for _ in range(events)], "us")
-    news = [Claim.of(each, LIFE, State.PRESENT, 0, each) for each in range(1, min(NEWS, size))]
+    news = [
+        MembershipUpdate.create(each, LIFE, MemberState.PRESENT, 0, each)
+        for each in range(1, min(NEWS, size))
+    ]
     values = [rest.heard_us(news, False) for _ in range(events)]
     out += spread("member.heard_us", size, values, "us", "old news")
     values = [rest.heard_us([], True) for _ in range(events)]
     out += spread("member.heard_us", size, values, "us", "views differ")
-    for claim in suspects(size, size // 5):
-        rest.heard_us([claim], False)
+    for update in suspects(size, size // 5):
+        rest.heard_us([update], False)
     values = [rest.heard_us([], False) for _ in range(events)]
     out += spread("member.heard_us", size, values, "us", "a fifth suspected")
     values = [rest.tick_us() for _ in range(12)]  # few: their time is up at 45 s or later
@@ -148,7 +176,7 @@
     own = Members(0, TIER, 1, Clock(), Peers((), None, 0, lambda sender, data: None), _silent, _silent)
     own.membership = member(size)
     for number in range(1, size):
-        own.membership.table.take(Claim.of(number, LIFE, State.DEAD, 0, 1), 1)
+        own.membership.table.apply(MembershipUpdate.create(number, LIFE, MemberState.DEAD, 0, 1), 1)
     values, body = [], b""
     for _ in range(rounds):
         began = time.perf_counter_ns()
--- a/fuzz/fuzz_rollout.py
+++ b/fuzz/fuzz_rollout.py
@@ -16,17 +16,17 @@
 
 with atheris.instrument_imports(include=["sidecar.cluster"]):
     from sidecar.cluster.answer import Look
-    from sidecar.cluster.message import MOST_MEMBERS
+    from sidecar.cluster.member_table import MemberTable
+    from sidecar.cluster.message import MAX_MEMBERS
     from sidecar.cluster.rollout import Rollout
     from sidecar.cluster.settings import RolloutSettings
-    from sidecar.cluster.table import Table
 
 SIZE = 5
 
 
 def one(data: bytes) -> None:
     """Play one input; an exception is a finding."""
-    member = Rollout(0, "a", Table(SIZE, 0), RolloutSettings(), random.Random(1), 0, 1, 5)
+    member = Rollout(0, "a", MemberTable(SIZE, 0), RolloutSettings(), random.Random(1), 0, 1, 5)
     member.start(0)
     now, looks = 0, 0
     while len(data) > 2:
@@ -39,7 +39,7 @@
             assert member.tally == before, payload
         out += member.tick(now + 20_000)
         assert member.version == 1 and len(member.dropped) <= 7 and len(out) <= 16
-        assert member.tally.has < 1 << MOST_MEMBERS and member.tally.said_behind < 1 << MOST_MEMBERS
+        assert member.tally.has < 1 << MAX_MEMBERS and member.tally.said_behind < 1 << MAX_MEMBERS
         assert all(len(getattr(each, "payload", b"")) <= 256 for each in out)
         looks += sum(isinstance(each, Look) for each in out)
         assert member.answer(now).asked == SIZE
--- a/fuzz/fuzz_tier.py
+++ b/fuzz/fuzz_tier.py
@@ -29,12 +29,16 @@
         sender, length = data[0] % (SIZE + 1), data[1]
         payload, data = data[2 : 2 + length], data[2 + length :]
         now += 50_000
-        before, dropped = [each.claim for each in member.table.members], member.dropped.total()
-        out = member.heard(now, sender, payload)
+        before, dropped = [each.update for each in member.table.records], member.dropped.total()
+        out = member.datagram_received(now, sender, payload)
         if member.dropped.total() > dropped and not out:
-            assert [each.claim for each in member.table.members] == before, payload
-        assert len(member.table) == SIZE and len(member.dropped) <= 8 and len(member._suspicions) < SIZE
-        assert len(member._post.gossip) <= SIZE and len(member._questions._relayed) <= 32
+            assert [each.update for each in member.table.records] == before, payload
+        assert (
+            len(member.table) == SIZE and len(member.dropped) <= 8 and member._updates.suspicion_count < SIZE
+        )
+        assert (
+            len(member._outbox.dissemination) <= SIZE and member._failure_detector.pings.relayed_count <= 32
+        )
         assert all(len(getattr(each, "payload", b"")) <= 256 for each in out)
         member.tick(now + 20_000)
 
--- a/sidecar/cluster/__init__.py
+++ b/sidecar/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The other sidecars of the tier, without I/O: who is present, who has left, what when they disagree."""
+"""The cluster of sidecars, without I/O: who is present, and which configuration is in force where."""
--- a/sidecar/cluster/answer.py
+++ b/sidecar/cluster/answer.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from sidecar.cluster.view import Datagram, Wake
+from sidecar.cluster.actions import ScheduleTick, SendDatagram
 
 MOST_NAMED = 16  # members by number in an answer; what is beyond is counted
 
@@ -71,4 +71,4 @@
     by: int
 
 
-Step = Datagram | Wake | Look | Settled | Ambiguous | Missing | Forgotten
+Step = SendDatagram | ScheduleTick | Look | Settled | Ambiguous | Missing | Forgotten
--- a/sidecar/cluster/exchange.py
+++ b/sidecar/cluster/exchange.py
@@ -11,7 +11,8 @@
 
 import msgspec
 
-from sidecar.cluster.message import MOST_BYTES, MOST_MEMBERS, Member, Unfit
+from sidecar.cluster.limits import MAX_DATAGRAM_BYTES
+from sidecar.cluster.message import MAX_MEMBERS, DropReason, InvalidDatagram, MemberNumber
 from sidecar.cluster.tally import NO_DIGEST, PIECE, Tally, unpacked
 
 FORMAT = 2
@@ -19,7 +20,7 @@
 LAST_WAVE = 0xFFFF_FFFF
 MOST_AGE = 0xFFFF  # tenths of seconds
 _TENTH_US = 100_000
-_LAST_PIECE = (MOST_MEMBERS - 1) // PIECE
+_LAST_PIECE = (MAX_MEMBERS - 1) // PIECE
 _HEADER = 0x90  # of a MessagePack array of up to 15 entries, its length in the lower half
 
 
@@ -40,12 +41,12 @@
 
     format: Annotated[int, msgspec.Meta(ge=FORMAT, le=FORMAT)]
     tier: Word
-    sender: Member
+    sender: MemberNumber
     kind: Kind
     version: Annotated[int, msgspec.Meta(ge=0, le=LAST_VERSION)]
     wave: Annotated[int, msgspec.Meta(ge=1, le=LAST_WAVE)]
     age: Annotated[int, msgspec.Meta(ge=0, le=MOST_AGE)]  # of the wave, in tenths of seconds
-    by: Member
+    by: MemberNumber
     low: Word
     high: Word
     piece: Annotated[int, msgspec.Meta(ge=0, le=_LAST_PIECE)]
@@ -69,21 +70,21 @@
 
 
 def read(payload: bytes, tier: int, sender: int) -> Exchange:
-    """Read what came from `sender` (by its address); raise Unfit on anything that is not of this form."""
-    if len(payload) > MOST_BYTES:
-        raise Unfit("too long")
+    """Read what came from the address of `sender`; raise InvalidDatagram on anything not of this form."""
+    if len(payload) > MAX_DATAGRAM_BYTES:
+        raise InvalidDatagram(DropReason.TOO_LONG)
     try:
         given = _DECODER.decode(payload)
     except (msgspec.DecodeError, ValueError, RecursionError):
-        raise Unfit("malformed") from None
+        raise InvalidDatagram(DropReason.MALFORMED) from None
     if given.tier != tier:
-        raise Unfit("another tier")
+        raise InvalidDatagram(DropReason.OTHER_CLUSTER)
     if given.sender != sender:
-        raise Unfit("another's number")
+        raise InvalidDatagram(DropReason.WRONG_SENDER)
     if given.low > given.high and (given.low, given.high) != NO_DIGEST:
-        raise Unfit("malformed")
+        raise InvalidDatagram(DropReason.MALFORMED)
     if given.has.endswith(b"\0") or given.behind.endswith(b"\0"):
-        raise Unfit("malformed")
+        raise InvalidDatagram(DropReason.MALFORMED)
     return given
 
 
--- /dev/null
+++ b/sidecar/cluster/member_table.py
@@ -0,0 +1,103 @@
+"""What is believed of each member: one record for each, merged in any order to the same result."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from sidecar.cluster.anti_entropy import differing_updates, fingerprint
+from sidecar.cluster.cluster_size import ClusterSize
+from sidecar.cluster.message import MembershipUpdate, MemberState
+
+
+class MemberRecord:
+    """One member as the local member believes it to be.  All times are microseconds."""
+
+    __slots__ = ("disputed_death", "last_ack_at", "state_since", "update")
+
+    def __init__(self, number: int, now: int) -> None:
+        self.update = MembershipUpdate.create(number, 0, MemberState.PRESENT, 0, number)
+        self.state_since = now
+        self.last_ack_at: int | None = None  # when it last acknowledged a ping of the local member directly
+        # Reported by others of a member that acknowledged recently; the member has to hear of it.
+        self.disputed_death: MembershipUpdate | None = None
+
+    @property
+    def state(self) -> MemberState:
+        return self.update.state
+
+    @property
+    def is_unknown(self) -> bool:
+        """Whether no incarnation of it was ever heard of."""
+        return self.update.is_unknown
+
+    @property
+    def has_ended(self) -> bool:
+        return self.update.has_ended
+
+
+class MemberTable:
+    """All members by number, and a digest that is equal where two tables agree."""
+
+    def __init__(self, size: int, now: int) -> None:
+        self.records: list[MemberRecord] = []
+        self.digest = 0
+        self._size: ClusterSize | None = None  # None: to be counted
+        self.resize(size, now)
+
+    def __len__(self) -> int:
+        return len(self.records)
+
+    def __getitem__(self, number: int) -> MemberRecord:
+        return self.records[number]
+
+    def resize(self, size: int, now: int) -> None:
+        """Hold this many members: further ones are forgotten, new ones were never heard of."""
+        self._size = None
+        while len(self.records) > size:
+            self.digest ^= fingerprint(self.records.pop().update)
+        while len(self.records) < size:
+            self.records.append(MemberRecord(len(self.records), now))
+
+    def apply(self, update: MembershipUpdate, now: int) -> bool:
+        """Believe an update if it precedes what is believed; return whether it did."""
+        record = self.records[update.member]
+        if update.precedence <= record.update.precedence:
+            return False
+        if update.state is not record.state or update.incarnation != record.update.incarnation:
+            record.state_since = now
+        disputed = record.disputed_death
+        if disputed is not None and update.precedence >= disputed.precedence:
+            record.disputed_death = None
+        self.digest ^= fingerprint(record.update) ^ fingerprint(update)
+        record.update = update
+        self._size = None
+        return True
+
+    def copy_beliefs(self, other: MemberTable) -> None:
+        """Believe what another table of the same size does."""
+        for record, known in zip(self.records, other.records, strict=True):
+            record.update = known.update
+        self.digest, self._size = other.digest, None
+
+    def updates(self, first: int, count: int) -> list[MembershipUpdate]:
+        """What is believed of `count` members from `first` on, or of fewer at the end of the table."""
+        return [record.update for record in self.records[first : first + count]]
+
+    def updates_differing_from(self, first: int, salt: int, remote_sketch: bytes) -> list[MembershipUpdate]:
+        """What is known here of the members from `first` on, and differs by another member's sketch."""
+        return differing_updates(self.updates(first, 2 * len(remote_sketch)), salt, remote_sketch)
+
+    def size(self) -> ClusterSize:
+        """How many members are in which state; counted only after a change."""
+        if self._size is None:
+            states = Counter(record.state for record in self.records)
+            unknown = sum(record.is_unknown for record in self.records)
+            self._size = ClusterSize(
+                configured=len(self.records),
+                present=states[MemberState.PRESENT] - unknown,
+                suspected=states[MemberState.SUSPECTED],
+                unknown=unknown,
+                dead=states[MemberState.DEAD],
+                left=states[MemberState.LEFT],
+            )
+        return self._size
--- a/sidecar/cluster/message.py
+++ b/sidecar/cluster/message.py
@@ -1,169 +1,218 @@
-"""Datagrams between sidecars as bytes: MessagePack arrays of small whole numbers, read strictly.
+"""Membership datagrams as bytes: MessagePack arrays of small integers, decoded strictly.
 
-A message is [version, tier, sender, life, kind, question, target, digest, sketch_from, sketch, claims]; a
-claim is [member, life, mark, by].  What does not fit in every point is dropped as a whole, and counted by the
-reason.
+A message is [format version, cluster, sender, incarnation, kind, sequence number, target, digest, first
+member of the sketch, sketch, updates]; an update is [member, incarnation, status, reported by].  A datagram
+that does not fit this form in every point is rejected completely, with the reason that it is counted under.
 """
 
 from __future__ import annotations
 
-from enum import IntEnum, unique
+from enum import IntEnum, StrEnum, unique
 from typing import Annotated
 from zlib import crc32
 
 import msgspec
 
-MOST_BYTES = 256
-VERSION = 1
-MOST_LIFE = 0xFFFF_FFFF
-LAST_LIFE = MOST_LIFE - 0x1_0000  # a claim beyond leaves no room to live on after it
-MOST_ROUND = 0x3FF
-MOST_MEMBERS = 0x1_0000
-MOST_QUESTION = 0xFFFF
-NOBODY = -1
-MOST_SKETCHED = 200  # members in one sketch, half a byte each
-_MOST_CLAIMS = 64  # far more than fit into one datagram
+from sidecar.cluster.limits import MAX_DATAGRAM_BYTES
+
+FORMAT_VERSION = 1
+MAX_UINT32 = 0xFFFF_FFFF
+MAX_INCARNATION = MAX_UINT32 - 0x1_0000  # a greater one would leave no room for later incarnations
+MAX_REFUTATIONS = 0x3FF
+MAX_MEMBERS = 0x1_0000
+MAX_SEQUENCE_NUMBER = 0xFFFF
+NO_TARGET = -1
+MAX_SKETCH_MEMBERS = 200  # half a byte each
+_MAX_UPDATES = 64  # far more than fit into one datagram
+_STATE_MASK = 0b11
+_STATE_BITS = 2
+_ARRAY_HEADER_GROWTH_BYTES = 2  # the header of an array of more than 15 entries is so much longer
 
 
 @unique
-class State(IntEnum):
-    """What is believed of a life of a member."""
+class MemberState(IntEnum):
+    """What is believed of one incarnation of a member."""
 
     PRESENT = 0
     SUSPECTED = 1
-    DEAD = 2  # found out
-    LEFT = 3  # its own word
+    DEAD = 2  # declared so by another member
+    LEFT = 3  # announced by the member itself
+
+
+_STATES = tuple(MemberState)  # indexed by value
+
+
+@unique
+class MessageKind(IntEnum):
+    """What a message asks for or answers."""
+
+    PING = 0
+    ACK = 1  # of a ping; with a `target`, a relay's word that the target answered
+    PING_REQUEST = 2  # ping the `target` on behalf of the sender
+    NACK = 3  # a relay's word that it is present, but the target has not answered it
+    LEAVE = 4  # the sender's incarnation ends as planned
 
 
 @unique
-class Kind(IntEnum):
-    """What a message asks or answers."""
+class DropReason(StrEnum):
+    """Why a datagram, or an update in it, was not taken; the values are keys of the metrics."""
 
-    ASK = 0  # are you there?  `question` is the asker's
-    HERE = 1  # to that question; with a `target`, a relay's word that the target is there
-    ASK_FOR = 2  # ask the `target` for me
-    SILENT = 3  # a relay's word that it is here, but the target has not answered it
-    LEAVING = 4  # the sender's life ends as planned
+    UNKNOWN_SENDER = "a stranger"
+    TOO_LONG = "too long"
+    MALFORMED = "malformed"
+    OTHER_FORMAT_VERSION = "another version"
+    OTHER_CLUSTER = "another tier"
+    WRONG_SENDER = "another's number"
+    UNKNOWN_MEMBER = "unknown member"
+    TOO_OLD = "too old"
 
 
-Member = Annotated[int, msgspec.Meta(ge=0, lt=MOST_MEMBERS)]
-Life = Annotated[int, msgspec.Meta(ge=0, le=LAST_LIFE)]
-Mark = Annotated[int, msgspec.Meta(ge=0, le=(MOST_ROUND << 2) | 3)]
+MemberNumber = Annotated[int, msgspec.Meta(ge=0, lt=MAX_MEMBERS)]
+Incarnation = Annotated[int, msgspec.Meta(ge=0, le=MAX_INCARNATION)]
+Status = Annotated[int, msgspec.Meta(ge=0, le=(MAX_REFUTATIONS << _STATE_BITS) | _STATE_MASK)]
 
 
-class Claim(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True, gc=False):
-    """That a life of a member is in a state; `mark` holds the round (refutations so far) and the state.
+class MembershipUpdate(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True, gc=False):
+    """That an incarnation of a member is in a state.
 
-    Life 0 stands for one that was never heard of.  `by` is who saw it, or the member itself.
+    `status` holds the number of refutations so far and the state.  Incarnation 0 stands for a member that was
+    never heard of.  `reported_by` is the member that saw it, or the member itself.
     """
 
-    member: Member
-    life: Life
-    mark: Mark
-    by: Member
+    member: MemberNumber
+    incarnation: Incarnation
+    status: Status
+    reported_by: MemberNumber
 
     @staticmethod
-    def of(member: int, life: int, state: State, round_: int, by: int) -> Claim:
-        return Claim(member, life, (round_ << 2) | state, by)
+    def create(
+        member: int, incarnation: int, state: MemberState, refutations: int, reported_by: int
+    ) -> MembershipUpdate:
+        return MembershipUpdate(member, incarnation, (refutations << _STATE_BITS) | state, reported_by)
 
     @property
-    def state(self) -> State:
-        return State(self.mark & 3)
+    def state(self) -> MemberState:
+        return _STATES[self.status & _STATE_MASK]
 
     @property
-    def round(self) -> int:
-        return self.mark >> 2
+    def refutations(self) -> int:
+        return self.status >> _STATE_BITS
 
     @property
-    def key(self) -> tuple[int, int, int]:
-        """Claims of one member are ordered by it: a later life, its end, a later round, a suspicion."""
-        state = self.mark & 3
-        return (self.life, state, 0) if state >= State.DEAD else (self.life, 0, self.mark)
+    def is_unknown(self) -> bool:
+        """Whether no incarnation of the member was ever heard of."""
+        return self.incarnation == 0 and self.state is MemberState.PRESENT
+
+    @property
+    def has_ended(self) -> bool:
+        return self.status & _STATE_MASK >= MemberState.DEAD
+
+    @property
+    def precedence(self) -> tuple[int, int, int]:
+        """Total order of the updates of one member, of which the greatest is believed.
+
+        A later incarnation takes precedence, then its end, then a later refutation, then a suspicion.
+        """
+        state = self.status & _STATE_MASK
+        if state >= MemberState.DEAD:
+            return (self.incarnation, state, 0)
+        return (self.incarnation, 0, self.status)
 
 
 class Message(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """One datagram."""
+    """One datagram; the order of the fields is the order on the wire."""
 
-    version: Annotated[int, msgspec.Meta(ge=VERSION, le=VERSION)]
-    tier: Annotated[int, msgspec.Meta(ge=0, le=MOST_LIFE)]
-    sender: Member
-    life: Annotated[int, msgspec.Meta(ge=1, le=LAST_LIFE)]
-    kind: Kind
-    question: Annotated[int, msgspec.Meta(ge=0, le=MOST_QUESTION)]
-    target: Annotated[int, msgspec.Meta(ge=NOBODY, lt=MOST_MEMBERS)]
-    digest: Annotated[int, msgspec.Meta(ge=0, le=MOST_LIFE)]
-    sketch_from: Member  # the member that the sketch begins with
-    sketch: Annotated[bytes, msgspec.Meta(max_length=MOST_SKETCHED // 2)]  # see Table.sketch
-    claims: Annotated[list[Claim], msgspec.Meta(max_length=_MOST_CLAIMS)]
+    format_version: Annotated[int, msgspec.Meta(ge=FORMAT_VERSION, le=FORMAT_VERSION)]
+    cluster: Annotated[int, msgspec.Meta(ge=0, le=MAX_UINT32)]
+    sender: MemberNumber
+    incarnation: Annotated[int, msgspec.Meta(ge=1, le=MAX_INCARNATION)]
+    kind: MessageKind
+    sequence_number: Annotated[int, msgspec.Meta(ge=0, le=MAX_SEQUENCE_NUMBER)]
+    target: Annotated[int, msgspec.Meta(ge=NO_TARGET, lt=MAX_MEMBERS)]
+    digest: Annotated[int, msgspec.Meta(ge=0, le=MAX_UINT32)]
+    sketch_first: MemberNumber
+    sketch: Annotated[bytes, msgspec.Meta(max_length=MAX_SKETCH_MEMBERS // 2)]  # see `anti_entropy`
+    updates: Annotated[list[MembershipUpdate], msgspec.Meta(max_length=_MAX_UPDATES)]
 
 
 class _Head(msgspec.Struct, array_like=True):
-    """What every version begins with."""
+    """What every format version begins with."""
+
+    format_version: int
+    cluster: int
 
-    version: int
-    tier: int
 
+class InvalidDatagram(Exception):
+    """A datagram that is not taken."""
 
-class Unfit(Exception):
-    """A datagram that is not taken; the text is the reason that it is counted under."""
+    def __init__(self, reason: DropReason) -> None:
+        super().__init__(reason.value)
+        self.reason = reason
 
 
 _DECODER = msgspec.msgpack.Decoder(Message)
-_HEAD = msgspec.msgpack.Decoder(_Head)
+_HEAD_DECODER = msgspec.msgpack.Decoder(_Head)
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def tier_number(name: str) -> int:
-    """One number for a tier by its name, so that a datagram from another is known for one."""
+def cluster_id(name: str) -> int:
+    """The number of a cluster by its name, which tells its datagrams from those of other clusters."""
     return crc32(name.encode())
 
 
-def read(data: bytes, tier: int, sender: int) -> Message:
-    """Read what came from `sender` (by its address); raise Unfit on anything that is not of this form."""
-    if len(data) > MOST_BYTES:
-        raise Unfit("too long")
+def decode(data: bytes, cluster: int, sender: int) -> Message:
+    """Decode what came from the address of `sender`; raise InvalidDatagram on anything not of this form."""
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise InvalidDatagram(DropReason.TOO_LONG)
     try:
         message = _DECODER.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError):
-        raise Unfit(_why(data)) from None
-    if message.tier != tier:
-        raise Unfit("another tier")
+        raise InvalidDatagram(_decode_failure(data)) from None
+    if message.cluster != cluster:
+        raise InvalidDatagram(DropReason.OTHER_CLUSTER)
     if message.sender != sender:
-        raise Unfit("another's number")
+        raise InvalidDatagram(DropReason.WRONG_SENDER)
     return message
 
 
-def _why(data: bytes) -> str:
+def _decode_failure(data: bytes) -> DropReason:
     try:
-        head = _HEAD.decode(data)
+        head = _HEAD_DECODER.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError):
-        return "malformed"
-    return "malformed" if head.version == VERSION else "another version"
+        return DropReason.MALFORMED
+    if head.format_version == FORMAT_VERSION:
+        return DropReason.MALFORMED
+    return DropReason.OTHER_FORMAT_VERSION
 
 
-def write(message: Message) -> bytes:
-    """The bytes of a message; its claims have to fit, see `Room`."""
+def encode(message: Message) -> bytes:
+    """The bytes of a message; its updates have to fit, see `UpdatePacker`."""
     return _ENCODER.encode(message)
 
 
-def _size(number: int) -> int:
-    """How many bytes MessagePack makes of a whole number."""
-    return 1 if number < 0x80 else 2 if number < 0x100 else 3 if number < 0x1_0000 else 5
+def _integer_size_bytes(number: int) -> int:
+    """How many bytes MessagePack needs for a non-negative integer."""
+    if number < 0x80:
+        return 1
+    if number < 0x100:
+        return 2
+    return 3 if number < 0x1_0000 else 5
 
 
-class Room:
-    """How many claims a message still holds."""
+class UpdatePacker:
+    """Adds updates to a message as long as the datagram does not become too long."""
 
     def __init__(self, message: Message) -> None:
-        # An array of over 15 entries has a header of three bytes in place of one.
-        self._left = MOST_BYTES - len(_ENCODER.encode(message)) - 2
-        self._claims = message.claims
-
-    def add(self, claim: Claim) -> bool:
-        """Put a claim into the message; no if it does not fit."""
-        size = 1 + sum(map(_size, (claim.member, claim.life, claim.mark, claim.by)))
-        if size > self._left or len(self._claims) >= _MOST_CLAIMS:
+        used_bytes = len(_ENCODER.encode(message)) + _ARRAY_HEADER_GROWTH_BYTES
+        self._free_bytes = MAX_DATAGRAM_BYTES - used_bytes
+        self._updates = message.updates
+
+    def try_add(self, update: MembershipUpdate) -> bool:
+        """Add an update; return False if it does not fit."""
+        numbers = (update.member, update.incarnation, update.status, update.reported_by)
+        size_bytes = 1 + sum(map(_integer_size_bytes, numbers))
+        if size_bytes > self._free_bytes or len(self._updates) >= _MAX_UPDATES:
             return False
-        self._left -= size
-        self._claims.append(claim)
+        self._free_bytes -= size_bytes
+        self._updates.append(update)
         return True
--- /dev/null
+++ b/sidecar/cluster/rate_limiter.py
@@ -0,0 +1,48 @@
+"""Token bucket for datagrams, filled at a steady rate and by each request that the sidecar takes."""
+
+from __future__ import annotations
+
+import math
+
+_CAPACITY_S = 6.0  # what is unused may be saved up for this long
+_REPLY_OVERDRAFT = 16.0  # replies may exceed the bucket: a member that does not reply is suspected
+_REQUEST_DECAY_US = 5_000_000  # the rate of requests is averaged over this
+
+
+class RateLimiter:
+    """How many datagrams may be sent.  All times are microseconds."""
+
+    def __init__(self, now: int, per_s: float, per_request: float) -> None:
+        self.per_s, self.per_request = per_s, per_request
+        self._tokens = per_s * _CAPACITY_S
+        self._filled_at = now
+        self._recent_requests = 0.0  # decays exponentially
+
+    def add_requests(self, now: int, requests: int) -> None:
+        """The sidecar took this many requests."""
+        self._fill(now)
+        self._recent_requests += requests
+        self._tokens = min(self._tokens + requests * self.per_request, self._capacity())
+
+    def rate_per_s(self, now: int) -> float:
+        """The rate in datagrams a second at which the bucket fills at present."""
+        self._fill(now)
+        return self.per_s + self.per_request * self._recent_requests / (_REQUEST_DECAY_US / 1e6)
+
+    def try_acquire(self, now: int, is_reply: bool = False) -> bool:
+        """Take the token of one datagram; return False if it may not be sent."""
+        self._fill(now)
+        if self._tokens - 1 < (-_REPLY_OVERDRAFT if is_reply else 0.0):
+            return False
+        self._tokens -= 1
+        return True
+
+    def _capacity(self) -> float:
+        return self.per_s * _CAPACITY_S + self.per_request * self._recent_requests
+
+    def _fill(self, now: int) -> None:
+        if now > self._filled_at:
+            elapsed_us = now - self._filled_at
+            self._recent_requests *= math.exp(-elapsed_us / _REQUEST_DECAY_US)
+            self._tokens = min(self._tokens + self.per_s * elapsed_us / 1e6, self._capacity())
+            self._filled_at = now
--- a/sidecar/cluster/rollout.py
+++ b/sidecar/cluster/rollout.py
@@ -12,14 +12,14 @@
 import random
 from collections import Counter
 
+from sidecar.cluster.actions import ScheduleTick, SendDatagram
 from sidecar.cluster.answer import MOST_NAMED, Ambiguous, Answer, Forgotten, Look, Missing, Settled, Step
-from sidecar.cluster.budget import Budget
 from sidecar.cluster.exchange import LAST_WAVE, Kind, read, write
-from sidecar.cluster.message import State, Unfit, tier_number
+from sidecar.cluster.member_table import MemberTable
+from sidecar.cluster.message import DropReason, InvalidDatagram, MemberState, cluster_id
+from sidecar.cluster.rate_limiter import RateLimiter
 from sidecar.cluster.settings import RolloutSettings
-from sidecar.cluster.table import Table
 from sidecar.cluster.tally import PIECE, Tally, bit, members
-from sidecar.cluster.view import Datagram, Wake
 
 _MOST_PER_S = 10.0  # datagrams in all, whatever comes; six seconds' worth may be saved up
 _HURRY_US = 250_000  # between two exchanges while a new version spreads
@@ -45,7 +45,7 @@
         self,
         me: int,
         tier: str,
-        table: Table,
+        table: MemberTable,
         settings: RolloutSettings,
         rng: random.Random,
         now: int,
@@ -57,14 +57,14 @@
         self.version, self.digest = version, digest
         self.heard_from = me  # who told of the newest version first
         self.heard_at = now
-        self.dropped: Counter[str] = Counter()  # datagrams that were not taken, by reason
-        self._tier = tier_number(tier)
+        self.dropped: Counter[DropReason] = Counter()  # datagrams that were not taken, by reason
+        self._tier = cluster_id(tier)
         self._table, self._settings, self._random = table, settings, rng
         self.tally = self._fresh(version, 1, me, now)
         self._before: Tally | None = None  # of the last wave of this version that had its time
         self._forgotten: tuple[int, int] | None = None
         self._corrected_at: int | None = None  # when a wave was begun because of a false word on oneself
-        self._budget = Budget(now, _MOST_PER_S, 0.0)
+        self._limiter = RateLimiter(now, _MOST_PER_S, 0.0)
         self._quiet = 0  # exchanges in a row that brought nothing new
         self._exchanges = 0
         self._next_ask = now
@@ -88,14 +88,14 @@
         """A datagram came from the address of a member."""
         try:
             if not 0 <= sender < len(self._table) or sender == self.me:
-                raise Unfit("a stranger")
+                raise InvalidDatagram(DropReason.UNKNOWN_SENDER)
             given = read(payload, self._tier, sender)
-        except Unfit as reason:
-            self.dropped[str(reason)] += 1
+        except InvalidDatagram as invalid:
+            self.dropped[invalid.reason] += 1
             return []
         theirs = given.tally(now)
         if now - theirs.began > _OLD * self.wave_us or theirs.key == self._forgotten:
-            self.dropped["too old"] += 1
+            self.dropped[DropReason.TOO_OLD] += 1
             return self._done(now)
         self._merge(now, sender, theirs)
         if given.kind is Kind.ASK and self._lacks(theirs, given.piece):
@@ -103,7 +103,7 @@
         return self._done(now)
 
     def tick(self, now: int) -> list[Step]:
-        """The time that the last Wake named has come, or passed."""
+        """The time that the last ScheduleTick named has come, or passed."""
         self._follow_wave(now)
         if self._next_ask <= now:
             self._ask(now)
@@ -149,12 +149,12 @@
         """Whether the newest version heard of is in force everywhere, by the last wave that can say so."""
         size = self._table.size()
         needed, dead = 0, 0
-        for number, member in enumerate(self._table.members):
+        for number, member in enumerate(self._table.records):
             if not member.has_ended:
                 needed |= bit(number)
-            elif member.state is State.DEAD:
+            elif member.state is MemberState.DEAD:
                 dead |= bit(number)
-        if size.in_minority:
+        if size.is_in_minority:
             needed |= dead  # it is rather this copy that is cut off: their word is lacking
         tally, has, behind = self.tally, self.tally.has, self.tally.behind
         low, high = tally.low, tally.high
@@ -166,7 +166,7 @@
             low, high = min(low, tally.low), max(high, tally.high)
         behind &= needed
         unheard = needed & ~has & ~behind
-        everywhere = False if behind else None if unheard or size.in_minority else True
+        everywhere = False if behind else None if unheard or size.is_in_minority else True
         return Answer(
             self.tally.version,
             everywhere,
@@ -300,8 +300,8 @@
         return not same or own.piece(piece) != theirs.piece(piece)
 
     def _send(self, now: int, receiver: int | None, kind: Kind, piece: int, owed: bool = False) -> None:
-        if receiver is not None and self._budget.spend(now, 1, owed):
-            self._out.append(Datagram(receiver, write(self._tier, self.me, kind, self.tally, piece, now)))
+        if receiver is not None and self._limiter.try_acquire(now, owed):
+            self._out.append(SendDatagram(receiver, write(self._tier, self.me, kind, self.tally, piece, now)))
 
     # The file
 
@@ -327,7 +327,7 @@
             self._out.append(Ambiguous(tally.version, tally.low, tally.high))
         if self._settled == tally.version:
             return
-        may_be = tally.has.bit_count() >= self._table.size().high
+        may_be = tally.has.bit_count() >= self._table.size().at_most
         is_late = now - self.heard_at >= self.wave_us and self._not_settled != tally.version
         if not (may_be or is_late):
             return
@@ -350,5 +350,5 @@
         looks = self._follow_file(now)
         if self._look_at is not None:
             dues.append(self._look_at)
-        out, self._out = [*self._out, Wake(max(min(dues), now)), *looks], []
+        out, self._out = [*self._out, ScheduleTick(max(min(dues), now)), *looks], []
         return out
--- a/sidecar/members.py
+++ b/sidecar/members.py
@@ -12,17 +12,30 @@
 from collections.abc import Callable
 
 from sidecar.clock import Alarm, Clock
+from sidecar.cluster.actions import (
+    DuplicateMember,
+    MembershipAction,
+    MemberStateChanged,
+    ProcessStalled,
+    ScheduleTick,
+    SendDatagram,
+)
+from sidecar.cluster.cluster_size import ClusterSize
 from sidecar.cluster.membership import Membership
-from sidecar.cluster.message import State
+from sidecar.cluster.message import DropReason, MemberState
 from sidecar.cluster.settings import MembershipSettings
-from sidecar.cluster.view import Action, Datagram, Doubled, News, Size, Slept, Wake
 from sidecar.peers import Peers
 
 _SAY_EVERY_S = 1.0  # what changed is told in one line, at most so often
 _MOST_NAMED = 8  # changes in one line; what is beyond is counted
 _MOST_LISTED = 64  # members in the figures by name; the view holds all
 _AGAIN_US = 1_000_000  # after a defect, the next tick
-_LETTERS = {State.PRESENT: "p", State.SUSPECTED: "s", State.DEAD: "d", State.LEFT: "l"}
+_LETTERS = {
+    MemberState.PRESENT: "p",
+    MemberState.SUSPECTED: "s",
+    MemberState.DEAD: "d",
+    MemberState.LEFT: "l",
+}
 _UNKNOWN = "?"
 
 
@@ -37,7 +50,7 @@
         clock: Clock,
         peers: Peers,
         log: Callable[[str], None],
-        on_size: Callable[[Size], None],
+        on_size: Callable[[ClusterSize], None],
     ) -> None:
         """`on_size` hears the tier's size after each event, whether it changed or not."""
         self.membership: Membership | None = None
@@ -56,7 +69,9 @@
         size, now = self._peers.size, self._clock.now()
         self._informs = settings.informs
         if not (settings.on and settings.informs):
-            self._on_size(Size(size, size, 0, 0, 0, 0))  # from here on the decisions go by what is configured
+            self._on_size(
+                ClusterSize(size, size, 0, 0, 0, 0)
+            )  # from here on the decisions go by what is configured
         if not settings.on or not 0 <= self._me < size:
             self.leave()
         elif self.membership is None:
@@ -68,7 +83,7 @@
 
     def heard(self, sender: int, payload: bytes) -> None:
         """A datagram from a member."""
-        self._play(lambda membership, now: membership.heard(now, sender, payload))
+        self._play(lambda membership, now: membership.datagram_received(now, sender, payload))
 
     def leave(self, has_successor: bool = False) -> None:
         """This process ends: say so, unless another goes on in its place."""
@@ -87,16 +102,16 @@
         membership = self.membership
         if membership is None:
             return None
-        now, size, members = self._clock.now(), membership.size(), membership.table.members
+        now, size, members = self._clock.now(), membership.size(), membership.table.records
         absent = [
             {
                 "member": number,
                 "state": each.state.name.lower(),
-                "since_s": round((now - each.since) / 1e6, 1),
-                "by": each.claim.by,
+                "since_s": round((now - each.state_since) / 1e6, 1),
+                "by": each.update.reported_by,
             }
             for number, each in enumerate(members)
-            if each.state is not State.PRESENT
+            if each.state is not MemberState.PRESENT
         ]
         return {
             "configured": size.configured,
@@ -105,15 +120,18 @@
             "unknown": size.unknown,
             "dead": size.dead,
             "left": size.left,
-            "at_least": size.low,
-            "at_most": size.high,
-            "in_minority": size.in_minority,
-            "doubled": membership.is_doubled,
-            "life": membership.life,
+            "at_least": size.at_least,
+            "at_most": size.at_most,
+            "in_minority": size.is_in_minority,
+            "doubled": membership.is_duplicate,
+            "life": membership.incarnation,
             "doubt_of_itself": membership.health.score,
             "period_s": round(membership.period_us / 1e6, 3),
-            "nobody_heard_for_s": round(membership.silent_for(now) / 1e6, 1),
-            "dropped": {**membership.dropped, "a stranger": self._peers.strangers},
+            "nobody_heard_for_s": round(membership.silence_us(now) / 1e6, 1),
+            "dropped": {
+                **{reason.value: count for reason, count in membership.dropped.items()},
+                DropReason.UNKNOWN_SENDER.value: self._peers.strangers,
+            },
             "view": "".join(_UNKNOWN if each.is_unknown else _LETTERS[each.state] for each in members),
             "absent": absent[:_MOST_LISTED],
         }
@@ -121,33 +139,35 @@
     def _tick(self) -> None:
         self._play(Membership.tick)
 
-    def _play(self, event: Callable[[Membership, int], list[Action]]) -> None:
+    def _play(self, event: Callable[[Membership, int], list[MembershipAction]]) -> None:
         """Bring an event to membership; live on after a defect in it."""
         membership, now = self.membership, self._clock.now()
         if membership is None:
             return
         requests, self.requests = self.requests, 0
         try:
-            membership.worked(now, requests)
+            membership.requests_taken(now, requests)
             self._carry_out(event(membership, now))
         except Exception as fault:
             self._log(f"internal error: {fault!r} (membership)")
             if not self._alarm.is_set:
                 self._alarm.at(now + _AGAIN_US)
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _carry_out(self, actions: list[MembershipAction]) -> None:
         for action in actions:
             match action:
-                case Datagram():
+                case SendDatagram():
                     self._peers.tell(action.receiver, action.payload)
-                case Wake():
+                case ScheduleTick():
                     self._alarm.at(action.at)
-                case News():
-                    self._changed(f"{action.member} {action.state.name.lower()} (by {action.by})")
-                case Doubled():
+                case MemberStateChanged():
+                    self._changed(f"{action.member} {action.state.name.lower()} (by {action.reported_by})")
+                case DuplicateMember():
                     self._log(f"another process claims this sidecar's number {action.member}: look for it")
-                case Slept():
-                    self._log(f"stood still for {action.late_us / 1e6:.1f} s: doubts its own sight for now")
+                case ProcessStalled():
+                    self._log(
+                        f"stood still for {action.duration_us / 1e6:.1f} s: doubts its own sight for now"
+                    )
         if self.membership is not None and self._informs:
             self._on_size(self.membership.size())
 
@@ -172,5 +192,5 @@
         for name in ("suspected", "unknown", "dead", "left"):
             if getattr(size, name):
                 counted += f", {getattr(size, name)} {name}"
-        minority = "; this copy sees half or fewer" if size.in_minority else ""
+        minority = "; this copy sees half or fewer" if size.is_in_minority else ""
         self._log(f"members: {counted}{minority}: {named}{more}")
--- a/sidecar/rollout.py
+++ b/sidecar/rollout.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 
 from sidecar.clock import Alarm, Clock
+from sidecar.cluster.actions import ScheduleTick, SendDatagram
 from sidecar.cluster.answer import Ambiguous, Answer, Forgotten, Look, Missing, Settled, Step
 from sidecar.cluster.exchange import is_exchange
+from sidecar.cluster.member_table import MemberTable
 from sidecar.cluster.membership import Membership
 from sidecar.cluster.rollout import Rollout
-from sidecar.cluster.table import Table
-from sidecar.cluster.view import Datagram, Wake
 from sidecar.config import Config
 from sidecar.peers import Peers
 
@@ -38,7 +38,7 @@
     ) -> None:
         """`look` reads the file again, and brings back what it holds through `configure`."""
         self._rollout: Rollout | None = None
-        self._table: Table | None = None  # membership's, that the rollout goes by
+        self._table: MemberTable | None = None  # membership's, that the rollout goes by
         self._refused = 0  # files with a lower version, since the start
         self._me, self._tier = me, tier
         self._random = random.Random(f"rollout {seed}")
@@ -121,7 +121,7 @@
             "wave": answer.wave,
             "age_s": round(answer.age_us / 1e6, 1),
             "refused": self._refused,
-            "dropped": dict(rollout.dropped),
+            "dropped": {reason.value: count for reason, count in rollout.dropped.items()},
         }
 
     def _tick(self) -> None:
@@ -142,9 +142,9 @@
     def _carry_out(self, steps: list[Step]) -> None:
         for each in steps:
             match each:
-                case Datagram():
+                case SendDatagram():
                     self._peers.tell(each.receiver, each.payload)
-                case Wake():
+                case ScheduleTick():
                     self._alarm.at(each.at)
                 case Look():
                     self._look()
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -63,8 +63,8 @@
 from sidecar.upstream.upstream import Call, Upstream, load_report
 
 if TYPE_CHECKING:
+    from sidecar.cluster.cluster_size import ClusterSize
     from sidecar.cluster.settings import MembershipSettings
-    from sidecar.cluster.view import Size
     from sidecar.members import Members
     from sidecar.rollout import Versions
 
@@ -223,9 +223,9 @@
             self._compare_versions(config, is_whole=not kept)
         return kept
 
-    def _tier_sized(self, size: Size) -> None:
+    def _tier_sized(self, size: ClusterSize) -> None:
         """The others' number is told to the decisions where it changed."""
-        told = ClusterSizeChanged(size.configured, size.high, size.low, size.in_minority)
+        told = ClusterSizeChanged(size.configured, size.at_most, size.at_least, size.is_in_minority)
         if told != self._told_size:
             self._told_size = told
             self._post(told)
--- a/testbed/cluster_simulation/explore.py
+++ b/testbed/cluster_simulation/explore.py
@@ -14,10 +14,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
+from sidecar.cluster.actions import MembershipAction, ScheduleTick, SendDatagram
 from sidecar.cluster.membership import Membership
-from sidecar.cluster.message import State
+from sidecar.cluster.message import MemberState
 from sidecar.cluster.settings import MembershipSettings
-from sidecar.cluster.view import Action, Datagram, Wake
 from testbed.cluster_simulation.virtual import agreed
 
 MEMBERS = 3
@@ -91,12 +91,12 @@
         own.membership = Membership(number, MEMBERS, "a", _SETTINGS, Chance(seed), own.now, unix_s)
         self._carry_out(number, own.membership.start(own.now))
 
-    def _carry_out(self, number: int, actions: list[Action]) -> None:
+    def _carry_out(self, number: int, actions: list[MembershipAction]) -> None:
         own = self.members[number]
         for action in actions:
-            if isinstance(action, Wake):
+            if isinstance(action, ScheduleTick):
                 own.wake = action.at
-            elif isinstance(action, Datagram):
+            elif isinstance(action, SendDatagram):
                 everybody = [each for each in range(MEMBERS) if each != number]
                 for target in everybody if action.receiver is None else [action.receiver]:
                     self.links[number, target].append(action.payload)
@@ -145,7 +145,7 @@
     def _deliver(self, source: int, target: int, payload: bytes) -> None:
         receiver = self.members[target]
         if receiver.membership is not None:
-            self._carry_out(target, receiver.membership.heard(receiver.now, source, payload))
+            self._carry_out(target, receiver.membership.datagram_received(receiver.now, source, payload))
 
     def _tick(self, number: int) -> None:
         own = self.members[number]
@@ -163,13 +163,13 @@
             return
         if len(membership.table) != MEMBERS:
             raise Broken(f"the table of {number} holds {len(membership.table)}")
-        for of, member in enumerate(membership.table.members):
-            life = of, member.claim.life
-            if member.state >= State.DEAD:
+        for of, member in enumerate(membership.table.records):
+            life = of, member.update.incarnation
+            if member.state >= MemberState.DEAD:
                 own.ended.add(life)
             elif life in own.ended:
                 raise Broken(f"to {number}, life {life[1]} of {of} came back")
-        if (number, membership.life) in own.ended and not membership.is_doubled:
+        if (number, membership.incarnation) in own.ended and not membership.is_duplicate:
             raise Broken(f"{number} goes on with a life that it knows to be over")
 
     def heal(self) -> int:
@@ -207,8 +207,8 @@
             if membership is None:
                 out.append(own.now)
                 continue
-            claims = tuple((each.claim.life, each.claim.mark) for each in membership.table.members)
-            out.append((own.now, own.wake, membership.life, membership.health.score, claims))
+            claims = tuple((each.update.incarnation, each.update.status) for each in membership.table.records)
+            out.append((own.now, own.wake, membership.incarnation, membership.health.score, claims))
         return tuple(out)
 
 
--- a/testbed/cluster_simulation/measure.py
+++ b/testbed/cluster_simulation/measure.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from sidecar.cluster.message import State
+from sidecar.cluster.message import MemberState
 from testbed.cluster_simulation.virtual import VirtualTier
 from testbed.report import plots
 
@@ -66,13 +66,13 @@
     knows: set[int] = set()
     while len(knows) < size - 1 and tier.queue.now - began < _MOST_S * 1e6:
         tier.run(_STEP_S)
-        knows = {by for _, by, _ in tier.news(State.DEAD, killed)}
+        knows = {by for _, by, _ in tier.news(MemberState.DEAD, killed)}
 
-    def first(state: State) -> float:
+    def first(state: MemberState) -> float:
         return (tier.news(state, killed)[0][0] - began) / 1e6
 
-    last = max(at for at, _, _ in tier.news(State.DEAD, killed))
-    return Found(size, seed, first(State.SUSPECTED), first(State.DEAD), (last - began) / 1e6)
+    last = max(at for at, _, _ in tier.news(MemberState.DEAD, killed))
+    return Found(size, seed, first(MemberState.SUSPECTED), first(MemberState.DEAD), (last - began) / 1e6)
 
 
 def quiet(size: int, seed: int, loss: float, slow: float, seconds: float) -> Quiet:
@@ -86,10 +86,10 @@
     tier.run(seconds)
     per = 1.0 / size / seconds
     suspected = {
-        (what.member, what.life, what.by, at // _ONE_SUSPICION_US)
-        for at, _, what in tier.news(State.SUSPECTED)
+        (what.member, what.incarnation, what.reported_by, at // _ONE_SUSPICION_US)
+        for at, _, what in tier.news(MemberState.SUSPECTED)
     }
-    dead = {(what.member, what.life) for _, _, what in tier.news(State.DEAD)}
+    dead = {(what.member, what.incarnation) for _, _, what in tier.news(MemberState.DEAD)}
     return Quiet(
         size,
         seed,
--- a/testbed/cluster_simulation/rollouts.py
+++ b/testbed/cluster_simulation/rollouts.py
@@ -16,10 +16,10 @@
 
 from sidecar.cluster.answer import Settled
 from sidecar.cluster.exchange import Kind, write
-from sidecar.cluster.message import tier_number
+from sidecar.cluster.member_table import MemberTable
+from sidecar.cluster.message import cluster_id
 from sidecar.cluster.rollout import Rollout
 from sidecar.cluster.settings import RolloutSettings
-from sidecar.cluster.table import Table
 from sidecar.cluster.tally import Tally
 from testbed.capacity.samples import Sample, save
 from testbed.cluster_simulation.measure import many
@@ -167,7 +167,7 @@
 
 def alone(size: int) -> tuple[float, float]:
     """Bytes that a member holds for it, and processor microseconds for a datagram heard and answered."""
-    table, payloads = Table(size, 0), [_payload(size, 1, wave) for wave in range(1, _EVENTS + 1)]
+    table, payloads = MemberTable(size, 0), [_payload(size, 1, wave) for wave in range(1, _EVENTS + 1)]
     _member(table, payloads)  # what is made once for all
     tracemalloc.start()
     rollout = _member(table, payloads)
@@ -179,7 +179,7 @@
     return kept, (time.process_time_ns() - began) / 1e3 / _EVENTS
 
 
-def _member(table: Table, payloads: Sequence[bytes]) -> Rollout:
+def _member(table: MemberTable, payloads: Sequence[bytes]) -> Rollout:
     """A member that has heard of some waves."""
     rollout = Rollout(0, "a", table, RolloutSettings(), random.Random(1), 0, 1, 5)
     rollout.start(0)
@@ -191,7 +191,7 @@
 def _payload(size: int, sender: int, wave: int) -> bytes:
     """A question with news in it: the next wave, all members but the hearer in it."""
     tally = Tally(1, wave, sender, wave * 150_000, 5, 5, (1 << size) - 2)
-    return write(tier_number("a"), sender, Kind.ASK, tally, 0, wave * 150_000)
+    return write(cluster_id("a"), sender, Kind.ASK, tally, 0, wave * 150_000)
 
 
 # Figures
--- a/testbed/cluster_simulation/trial.py
+++ b/testbed/cluster_simulation/trial.py
@@ -6,8 +6,8 @@
 
 import numpy as np
 
-from sidecar.cluster.message import State
-from sidecar.cluster.view import News
+from sidecar.cluster.actions import MemberStateChanged
+from sidecar.cluster.message import MemberState
 from testbed.capacity.samples import Sample
 from testbed.cluster_simulation.virtual import Process, S, Told, VirtualTier
 
@@ -31,7 +31,7 @@
         self.samples: list[Sample] = []
         self.tier = VirtualTier(size, seed, loss=loss, is_known=is_known)
         self.tier.on_told = self._told
-        self._born = {number: self.tier.of(number).life for number in range(size)}
+        self._born = {number: self.tier.of(number).incarnation for number in range(size)}
         self._killed: dict[int, int] = {}  # when
         self._known: dict[int, dict[int, int]] = {}  # of a killed one: who knew when
         self._wrong: set[tuple[int, int]] = set()  # member and life
@@ -68,7 +68,7 @@
         """A process with the next version goes on beside the present one, which ends a little later."""
         ended = list(self.tier.processes[number])
         self.tier.upgrade(number, OVERLAP_US)
-        self._born[number] = self.tier.of(number).life
+        self._born[number] = self.tier.of(number).incarnation
         self.tier.queue.after(OVERLAP_US, self._keep, number, ended)
 
     def _keep(self, number: int, ended: Sequence[Process]) -> None:
@@ -78,7 +78,7 @@
                 self._ended[number][count] += getattr(own, count)
 
     def _start(self, number: int) -> None:
-        self._born[number] = self.tier.start(number).membership.life
+        self._born[number] = self.tier.start(number).membership.incarnation
 
     def load(self) -> None:
         """From now on every member is told of the requests that it takes, once a second."""
@@ -87,7 +87,7 @@
 
     def _worked(self, number: int) -> None:
         for own in self.tier.processes.get(number, []):
-            own.membership.worked(self.tier.queue.now, REQUESTS_PER_S)
+            own.membership.requests_taken(self.tier.queue.now, REQUESTS_PER_S)
         self.tier.queue.after(S, self._worked, number)
 
     # What is waited for
@@ -155,13 +155,13 @@
         Across a cut that is no error, also where it is told later.
         """
         at, hearer, what = told
-        if not isinstance(what, News) or what.state is not State.DEAD:
+        if not isinstance(what, MemberStateChanged) or what.state is not MemberState.DEAD:
             return
         if what.member in self._killed:
             self._known[what.member].setdefault(hearer, at)
-        elif what.member in self.tier.processes and what.life >= self._born[what.member]:
-            if not self._were_cut(what.by, what.member):
-                self._wrong.add((what.member, what.life))
+        elif what.member in self.tier.processes and what.incarnation >= self._born[what.member]:
+            if not self._were_cut(what.reported_by, what.member):
+                self._wrong.add((what.member, what.incarnation))
 
     def _were_cut(self, one: int, other: int) -> bool:
         return self._has_been_cut and self._side(one) is not self._side(other)
--- a/testbed/cluster_simulation/versions.py
+++ b/testbed/cluster_simulation/versions.py
@@ -8,11 +8,11 @@
 import random
 from dataclasses import dataclass
 
+from sidecar.cluster.actions import MembershipAction, ScheduleTick, SendDatagram
 from sidecar.cluster.answer import Ambiguous, Answer, Forgotten, Look, Missing, Settled, Step
 from sidecar.cluster.exchange import is_exchange
 from sidecar.cluster.rollout import Rollout
 from sidecar.cluster.settings import MembershipSettings, RolloutSettings
-from sidecar.cluster.view import Action, Datagram, Wake
 from testbed.cluster_simulation.virtual import Process, VirtualTier
 
 _NEVER = 1 << 62
@@ -54,7 +54,7 @@
         elif self._versions.are_versions_on:
             self.step(self.rollout.heard(self._versions.queue.now, sender, payload))
 
-    def carry_out(self, actions: list[Action]) -> None:
+    def carry_out(self, actions: list[MembershipAction]) -> None:
         if self._versions.is_membership_on:
             super().carry_out(actions)
 
@@ -62,11 +62,11 @@
         tier = self._versions
         for each in steps:
             match each:
-                case Datagram():
+                case SendDatagram():
                     self.exchanges += 1
                     self.exchange_bytes += len(each.payload)
                     tier.carry(self, each)
-                case Wake():
+                case ScheduleTick():
                     self._next_step = each.at
                     tier.queue.at(each.at + self.late_us, self._tick_versions, each.at)
                 case Look():
--- a/testbed/cluster_simulation/virtual.py
+++ b/testbed/cluster_simulation/virtual.py
@@ -8,26 +8,33 @@
 import random
 from collections.abc import Callable, Iterable, Mapping, Sequence
 
+from sidecar.cluster.actions import (
+    DuplicateMember,
+    MembershipAction,
+    MemberStateChanged,
+    ProcessStalled,
+    ScheduleTick,
+    SendDatagram,
+)
+from sidecar.cluster.member_table import MemberTable
 from sidecar.cluster.membership import Membership
-from sidecar.cluster.message import Claim, State
+from sidecar.cluster.message import MembershipUpdate, MemberState
 from sidecar.cluster.settings import MembershipSettings
-from sidecar.cluster.table import Table
-from sidecar.cluster.view import Action, Datagram, Doubled, News, Slept, Wake
 from testbed.model.queue import Queue
 
 S = 1_000_000
 UNIX_S = 1_780_000_000.0  # the wall clock when virtual time begins
 _NEVER = 1 << 62
-Told = tuple[int, int, Action]  # at, by which member, what
+Told = tuple[int, int, MembershipAction]  # at, by which member, what
 
 
-def agreed(tables: Mapping[int, Table]) -> bool:
+def agreed(tables: Mapping[int, MemberTable]) -> bool:
     """Whether all that live, by number, hold the same lives and ends, and just those that live present."""
     if len({each.digest for each in tables.values()}) != 1:
         return False
-    views = {bytes([each.claim.mark & 3 for each in table.members]) for table in tables.values()}
+    views = {bytes([each.update.state for each in table.records]) for table in tables.values()}
     return len(views) == 1 and all(
-        each == State.PRESENT if number in tables else each >= State.DEAD
+        each == MemberState.PRESENT if number in tables else each >= MemberState.DEAD
         for number, each in enumerate(views.pop())
     )
 
@@ -61,18 +68,18 @@
         elif self.is_alive:
             self.heard += 1
             self.heard_bytes += len(payload)
-            self.carry_out(self.membership.heard(self._tier.queue.now, sender, payload))
+            self.carry_out(self.membership.datagram_received(self._tier.queue.now, sender, payload))
 
-    def carry_out(self, actions: list[Action]) -> None:
+    def carry_out(self, actions: list[MembershipAction]) -> None:
         now = self._tier.queue.now
         for action in actions:
             match action:
-                case Datagram():
+                case SendDatagram():
                     self._tier.carry(self, action)
-                case Wake():
+                case ScheduleTick():
                     self._wake = action.at
                     self._tier.queue.at(action.at + self.late_us, self._tick, action.at)
-                case News() | Doubled() | Slept():
+                case MemberStateChanged() | DuplicateMember() | ProcessStalled():
                     self._tier.on_told((now, self.number, action))
 
     def _tick(self, at: int) -> None:
@@ -136,12 +143,14 @@
         """Have everybody know everybody, as after a long rest; what was to be told of it is told."""
         first, *others = [each[0].membership for each in self.processes.values()]
         for number in self.alive:
-            life = self.of(number).life
-            first.table.take(Claim.of(number, life, State.PRESENT, 0, number), self.queue.now)
+            life = self.of(number).incarnation
+            first.table.apply(
+                MembershipUpdate.create(number, life, MemberState.PRESENT, 0, number), self.queue.now
+            )
         for each in others:
-            each.table.adopt(first.table)
+            each.table.copy_beliefs(first.table)
         for each in (first, *others):
-            each.settle()
+            each.mark_all_disseminated()
 
     # Who lives
 
@@ -180,7 +189,7 @@
 
     # What lies between
 
-    def carry(self, source: Process, datagram: Datagram) -> None:
+    def carry(self, source: Process, datagram: SendDatagram) -> None:
         targets: Sequence[int] = (datagram.receiver,) if datagram.receiver is not None else ()
         if datagram.receiver is None:
             targets = [each for each in range(self.size) if each != source.number]
@@ -222,10 +231,12 @@
             self.run(step_s)
         return None
 
-    def news(self, state: State, member: int | None = None) -> list[tuple[int, int, News]]:
+    def news(
+        self, state: MemberState, member: int | None = None
+    ) -> list[tuple[int, int, MemberStateChanged]]:
         """What was told of members becoming so, in order of time."""
         return [
             (at, by, what)
             for at, by, what in self.told
-            if isinstance(what, News) and what.state is state and member in (None, what.member)
+            if isinstance(what, MemberStateChanged) and what.state is state and member in (None, what.member)
         ]
--- a/testbed/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from sidecar.cluster.message import State
+from sidecar.cluster.actions import MembershipAction, MemberStateChanged
+from sidecar.cluster.message import MemberState
 from sidecar.cluster.settings import MembershipSettings
-from sidecar.cluster.view import Action, News
 from sidecar.config import Config
 from sidecar.discovery.catalog import Listing
 from sidecar.members import Members
@@ -68,12 +68,12 @@
         """Whether a datagram from one to another is lost; asked once for each."""
         return self.is_cut(one, other) or (self.loss > 0.0 and self._chance() < self.loss)
 
-    def hear(self, by: int, news: News) -> None:
+    def hear(self, by: int, news: MemberStateChanged) -> None:
         """A member has come to believe that another is gone."""
         self.on_gone(by, news.member)
         since = self.since.get(news.member)
-        if news.state is State.DEAD and since is not None and news.life >= since:
-            self.wrongly_dead.add((news.member, news.life))
+        if news.state is MemberState.DEAD and since is not None and news.incarnation >= since:
+            self.wrongly_dead.add((news.member, news.incarnation))
 
 
 class GroundPeers(Peers):
@@ -124,11 +124,11 @@
 class GroundMembers(Members):
     """The program's membership; who is believed gone is written down."""
 
-    on_gone: Callable[[News], None]
+    on_gone: Callable[[MemberStateChanged], None]
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _carry_out(self, actions: list[MembershipAction]) -> None:
         for each in actions:
-            if isinstance(each, News) and each.state >= State.DEAD:
+            if isinstance(each, MemberStateChanged) and each.state >= MemberState.DEAD:
                 self.on_gone(each)
         super()._carry_out(actions)
 
--- a/testbed/scale/worker.py
+++ b/testbed/scale/worker.py
@@ -20,8 +20,9 @@
 import msgspec
 import uvloop
 
-from sidecar.cluster.membership import Membership, life_at
-from sidecar.cluster.message import State
+from sidecar.cluster.local_member import incarnation_at
+from sidecar.cluster.membership import Membership
+from sidecar.cluster.message import MemberState
 from sidecar.config import load
 from sidecar.reload import Reload
 from testbed.scale.hollow import Counts, Ground, Hollow, Watch, unheard
@@ -98,7 +99,7 @@
                 self._end(order.members, lambda each: each.leave())
             case "settle":
                 for membership in self._memberships():
-                    membership.settle()
+                    membership.mark_all_disseminated()
             case "cut":
                 self._ground.border = order.members[0] if order.members else None
             case "loss":
@@ -134,7 +135,7 @@
 
     async def _start(self, members: list[int]) -> None:
         """New lives; the loop turns between two of them, so that others are heard."""
-        least = life_at(time.time()) - 1
+        least = incarnation_at(time.time()) - 1
         for number in members:
             self._ground.since[number] = least
             if number in self._sockets and number not in self._alive:
@@ -181,7 +182,9 @@
         digests = {each.table.digest for each in tiers}
         sizes = [each.size() for each in tiers]
         gone = [
-            number for number, each in enumerate(tiers[0].table.members) if each.claim.mark & 3 >= State.DEAD
+            number
+            for number, each in enumerate(tiers[0].table.records)
+            if each.update.state >= MemberState.DEAD
         ]
         unsettled = sum(each.suspected + each.unknown for each in sizes)
         return Reply(digests=list(digests)[:2], unsettled=unsettled, gone=gone)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -10,11 +10,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from sidecar.cluster.actions import SendDatagram
+from sidecar.cluster.anti_entropy import sketch
+from sidecar.cluster.limits import MAX_DATAGRAM_BYTES
+from sidecar.cluster.member_table import MemberTable
 from sidecar.cluster.membership import Membership
-from sidecar.cluster.message import MOST_BYTES, Claim, Kind, Message, State, tier_number
+from sidecar.cluster.message import (
+    MAX_SKETCH_MEMBERS,
+    MembershipUpdate,
+    MemberState,
+    Message,
+    MessageKind,
+    cluster_id,
+)
+from sidecar.cluster.refutation import Refutation
 from sidecar.cluster.settings import MembershipSettings
-from sidecar.cluster.table import Table
-from sidecar.cluster.view import Datagram
 from testbed.cluster_simulation.explore import Broken, World, explore
 
 SIZE = 4
@@ -42,13 +52,17 @@
 
 
 def test_a_life_that_came_back_would_be_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Claim, "key", property(lambda self: (self.life, 0, self.mark >> 2, -(self.mark & 3))))
+    monkeypatch.setattr(
+        MembershipUpdate,
+        "precedence",
+        property(lambda own: (own.incarnation, 0, own.refutations, -own.state)),
+    )
     with pytest.raises(Broken):
         wandered(300)
 
 
 def test_a_member_that_does_not_speak_for_itself_would_be_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Membership, "_hear_of_oneself", lambda self, now, claim: None)
+    monkeypatch.setattr(Refutation, "local_update_received", lambda self, now, update: None)
     with pytest.raises(Broken):
         wandered(100)
 
@@ -64,7 +78,7 @@
 claims = st.tuples(st.integers(0, 5), st.integers(0, 20), st.integers(0, 40), st.integers(0, 5))
 near = st.tuples(
     st.just(1),
-    st.just(tier_number("a")),
+    st.just(cluster_id("a")),
     st.just(1),
     st.integers(1, 20),
     st.integers(0, 5),
@@ -91,13 +105,13 @@
     own, now = member(), 0
     for payload in payloads:
         now += 50_000
-        before, dropped = [each.claim for each in own.table.members], own.dropped.total()
-        out = own.heard(now, 1, payload)
+        before, dropped = [each.update for each in own.table.records], own.dropped.total()
+        out = own.datagram_received(now, 1, payload)
         if not out:
             assert own.dropped.total() == dropped + 1
-            assert [each.claim for each in own.table.members] == before
+            assert [each.update for each in own.table.records] == before
         assert len(own.table) == SIZE and len(own.dropped) <= 8
-        assert all(len(each.payload) <= MOST_BYTES for each in out if isinstance(each, Datagram))
+        assert all(len(each.payload) <= MAX_DATAGRAM_BYTES for each in out if isinstance(each, SendDatagram))
         own.tick(now + 10_000)
 
 
@@ -106,35 +120,45 @@
 def test_claims_taken_in_any_order_and_number_give_the_same_table(
     given_claims: list[tuple[int, int, int, int]], rng: random.Random
 ) -> None:
-    made = [Claim(*each) for each in given_claims]
+    made = [MembershipUpdate(*each) for each in given_claims]
     shuffled = [*made, *made]
     rng.shuffle(shuffled)
-    tables = Table(6, 0), Table(6, 0)
+    tables = MemberTable(6, 0), MemberTable(6, 0)
     for table, order in zip(tables, (made, shuffled), strict=True):
         for claim in order:
-            table.take(claim, 1)
+            table.apply(claim, 1)
     one, other = tables
     assert one.digest == other.digest
-    assert [each.claim.key for each in one.members] == [each.claim.key for each in other.members]
+    assert [each.update.precedence for each in one.records] == [
+        each.update.precedence for each in other.records
+    ]
+
+
+def differing_from(one: MemberTable, other: MemberTable, first: int, salt: int) -> list[MembershipUpdate]:
+    """What `other` would tell `one` after a ping with a sketch of one piece of its table."""
+    sent = sketch(one.updates(first, MAX_SKETCH_MEMBERS), salt)
+    return other.updates_differing_from(first, salt, sent)
 
 
 def test_a_sketch_names_just_what_differs() -> None:
-    one, other = Table(300, 0), Table(300, 0)
+    one, other = MemberTable(300, 0), MemberTable(300, 0)
     for number in range(300):
-        one.take(Claim.of(number, 5, State.PRESENT, 0, number), 1)
-        other.take(Claim.of(number, 5 + (number in (3, 7, 222)), State.PRESENT, 0, number), 1)
+        one.apply(MembershipUpdate.create(number, 5, MemberState.PRESENT, 0, number), 1)
+        other.apply(
+            MembershipUpdate.create(number, 5 + (number in (3, 7, 222)), MemberState.PRESENT, 0, number), 1
+        )
     missed = set()
     for salt in range(20):  # one in sixteen is equal by chance, but not each time
-        named = {each.member for each in other.differing(0, salt, one.sketch(0, salt))}
+        named = {each.member for each in differing_from(one, other, 0, salt)}
         assert named <= {3, 7}
         missed |= named
     assert missed == {3, 7}
-    later = [each.member for salt in range(20) for each in other.differing(200, salt, one.sketch(200, salt))]
+    later = [each.member for salt in range(20) for each in differing_from(one, other, 200, salt)]
     assert set(later) == {222}
 
 
 def test_a_message_is_read_as_it_was_written() -> None:
-    claim = Claim.of(3, 77, State.SUSPECTED, 9, 2)
-    assert (claim.state, claim.round) == (State.SUSPECTED, 9)
-    message = Message(1, 2, 3, 4, Kind.ASK, 5, -1, 6, 7, b"ab", [claim])
+    claim = MembershipUpdate.create(3, 77, MemberState.SUSPECTED, 9, 2)
+    assert (claim.state, claim.refutations) == (MemberState.SUSPECTED, 9)
+    message = Message(1, 2, 3, 4, MessageKind.PING, 5, -1, 6, 7, b"ab", [claim])
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(message), type=Message) == message
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -8,8 +8,8 @@
 from loopback import free_for_datagrams, play, until
 
 from sidecar.clock import Clock
+from sidecar.cluster.cluster_size import ClusterSize
 from sidecar.cluster.settings import MembershipSettings
-from sidecar.cluster.view import Size
 from sidecar.members import Members
 from sidecar.peers import Peers
 from sidecar.upstream.client import Address
@@ -24,7 +24,7 @@
     members: Members
     peers: Peers
     lines: list[str] = field(default_factory=list)
-    sizes: list[Size] = field(default_factory=list)
+    sizes: list[ClusterSize] = field(default_factory=list)
 
     def figure(self, name: str) -> object:
         figures = self.members.figures()
@@ -36,7 +36,7 @@
     for me in range(count):
         peers = Peers(addresses, None, me, lambda by, data, me=me: out[me].members.heard(by, data))  # type: ignore[misc]
         lines: list[str] = []
-        sizes: list[Size] = []
+        sizes: list[ClusterSize] = []
         members = Members(me, "0", me, Clock(), peers, lines.append, sizes.append)
         out.append(Copy(members, peers, lines, sizes))
         await peers.listen(addresses[me])
@@ -53,7 +53,7 @@
         three.members.leave()
         await until(lambda: one.figure("left") == two.figure("left") == 1)
         assert three.members.figures() is None
-        assert one.sizes[-1].high == 2 and one.figure("view") == "ppl"
+        assert one.sizes[-1].at_most == 2 and one.figure("view") == "ppl"
         assert "member" in str(one.figure("absent"))
         await until(lambda: any("2 left (by 2)" in line for line in one.lines))
         for each in everybody:
@@ -68,9 +68,9 @@
         one, two = await copies(free_for_datagrams(2), 2)
         await until(lambda: one.figure("present") == 2)
         two.members.leave()
-        await until(lambda: one.sizes[-1].high == 1)
+        await until(lambda: one.sizes[-1].at_most == 1)
         one.members.configure(MembershipSettings(on=False))
-        assert one.sizes[-1] == Size(2, 2, 0, 0, 0, 0) and one.members.figures() is None
+        assert one.sizes[-1] == ClusterSize(2, 2, 0, 0, 0, 0) and one.members.figures() is None
         for each in (one, two):
             each.members.close()
             each.peers.close()
@@ -83,11 +83,11 @@
         one, two = await copies(free_for_datagrams(2), 2)
         await until(lambda: one.figure("present") == 2)
         two.members.leave()
-        await until(lambda: one.sizes[-1].high == 1)
+        await until(lambda: one.sizes[-1].at_most == 1)
         one.members.configure(MembershipSettings(informs=False))
-        assert one.sizes[-1].high == 2
+        assert one.sizes[-1].at_most == 2
         one.members.configure(QUICK)
-        assert one.sizes[-1].high == 1
+        assert one.sizes[-1].at_most == 1
         for each in (one, two):
             each.members.close()
             each.peers.close()
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -7,14 +7,14 @@
 
 import pytest
 
+from sidecar.cluster.actions import SendDatagram
 from sidecar.cluster.answer import MOST_NAMED, Ambiguous, Forgotten, Look, Missing, Settled
 from sidecar.cluster.exchange import LAST_VERSION, LAST_WAVE, Kind, is_exchange, write
-from sidecar.cluster.message import tier_number
+from sidecar.cluster.member_table import MemberTable
+from sidecar.cluster.message import DropReason, cluster_id
 from sidecar.cluster.rollout import Rollout
 from sidecar.cluster.settings import RolloutSettings
-from sidecar.cluster.table import Table
 from sidecar.cluster.tally import Tally, bit
-from sidecar.cluster.view import Datagram
 from testbed.cluster_simulation.versions import File, Versioned, VersionedTier
 from testbed.cluster_simulation.virtual import Process
 
@@ -144,7 +144,7 @@
     receivers: list[int | None] = []
     carry = tier.carry
 
-    def noted(source: Process, datagram: Datagram) -> None:
+    def noted(source: Process, datagram: SendDatagram) -> None:
         if is_exchange(datagram.payload):
             receivers.append(datagram.receiver)
         carry(source, datagram)
@@ -252,7 +252,7 @@
 def test_a_member_that_falls_silent_falls_out_of_the_tally_within_two_waves() -> None:
     tier = at_rest(8)
     tier.versioned(3).rollout = Rollout(
-        3, "elsewhere", Table(8, 0), RolloutSettings(), random.Random(1), 0, 1, 0
+        3, "elsewhere", MemberTable(8, 0), RolloutSettings(), random.Random(1), 0, 1, 0
     )  # its process lives and says nothing that the others take
     tier.run(2 * tier.versioned(0).rollout.wave_us / 1e6)
     assert tier.answer(0).everywhere is None and tier.answer(0).unheard == (3,)
@@ -274,7 +274,9 @@
     found = tier.answer(7)
     assert found.everywhere is None and found.unheard == (0, 1, 2, 3) and found.count == 4
     old = tier.of(0)
-    assert old.dropped["another version"] > 0 and set(old.dropped) == {"another version"}
+    assert old.dropped[DropReason.OTHER_FORMAT_VERSION] > 0 and set(old.dropped) == {
+        DropReason.OTHER_FORMAT_VERSION
+    }
     assert tier.is_agreed()  # membership goes on as it did
     tier.before = frozenset()
     for number in range(4):
@@ -339,7 +341,7 @@
 
 def lie(tier: VersionedTier, sender: int, version: int, wave: int = 1, has: int = 0) -> None:
     tally = Tally(version, wave, sender, tier.queue.now, 1, 1, has or bit(sender))
-    payload = write(tier_number(tier.name), sender, Kind.TELL, tally, 0, tier.queue.now)
+    payload = write(cluster_id(tier.name), sender, Kind.TELL, tally, 0, tier.queue.now)
     for each in tier.everyone:
         if each.number != sender:
             each.hear(sender, payload)
@@ -401,8 +403,8 @@
     rollout = tier.versioned(0).rollout
     now = tier.queue.now
     old = Tally(9, 1, 2, now - 3 * rollout.wave_us - S, 1, 1, bit(2))
-    rollout.heard(now, 2, write(tier_number(tier.name), 2, Kind.ASK, old, 0, now))
-    assert rollout.tally.version == 1 and rollout.dropped["too old"] == 1
+    rollout.heard(now, 2, write(cluster_id(tier.name), 2, Kind.ASK, old, 0, now))
+    assert rollout.tally.version == 1 and rollout.dropped[DropReason.TOO_OLD] == 1
 
 
 def test_names_in_an_answer_are_bounded_and_the_rest_is_counted() -> None:
@@ -432,9 +434,9 @@
     rollout = tier.versioned(0).rollout
     now = tier.queue.now
     news = Tally(9, 1, 2, now, 1, 1, bit(2))
-    out = rollout.heard(now, 2, write(tier_number(tier.name), 2, Kind.TELL, news, 0, now))
+    out = rollout.heard(now, 2, write(cluster_id(tier.name), 2, Kind.TELL, news, 0, now))
     assert isinstance(out[-1], Look)
-    assert {each.receiver for each in out if isinstance(each, Datagram)} <= {1}
+    assert {each.receiver for each in out if isinstance(each, SendDatagram)} <= {1}
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,8 +16,8 @@
 from msgspec.structs import replace
 from test_emulator import PROGRAM, ROOT, running_below
 
-from sidecar.cluster.message import State
-from sidecar.cluster.view import News
+from sidecar.cluster.actions import MemberStateChanged
+from sidecar.cluster.message import MemberState
 from testbed import cli
 from testbed.capacity.samples import load_all
 from testbed.emulator.copies import PlayError
@@ -173,12 +173,12 @@
 def test_a_death_is_wrong_where_that_life_goes_on() -> None:
     ground = Ground(0, random.Random(1))
     ground.since = {5: 100}
-    ground.hear(1, News(5, State.DEAD, 99, 2))  # an earlier life of it
-    ground.hear(1, News(6, State.DEAD, 100, 2))  # it was killed
-    ground.hear(1, News(5, State.LEFT, 100, 5))
+    ground.hear(1, MemberStateChanged(5, MemberState.DEAD, 99, 2))  # an earlier life of it
+    ground.hear(1, MemberStateChanged(6, MemberState.DEAD, 100, 2))  # it was killed
+    ground.hear(1, MemberStateChanged(5, MemberState.LEFT, 100, 5))
     assert ground.wrongly_dead == set()
-    ground.hear(1, News(5, State.DEAD, 100, 2))
-    ground.hear(2, News(5, State.DEAD, 100, 2))
+    ground.hear(1, MemberStateChanged(5, MemberState.DEAD, 100, 2))
+    ground.hear(2, MemberStateChanged(5, MemberState.DEAD, 100, 2))
     assert ground.wrongly_dead == {(5, 100)}
 
 
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -12,6 +12,7 @@
 from hypothesis import strategies as st
 
 from sidecar.cluster import message
+from sidecar.cluster.actions import SendDatagram
 from sidecar.cluster.exchange import (
     LAST_VERSION,
     LAST_WAVE,
@@ -22,16 +23,16 @@
     read,
     write,
 )
-from sidecar.cluster.message import MOST_BYTES, MOST_MEMBERS, Unfit, tier_number
+from sidecar.cluster.limits import MAX_DATAGRAM_BYTES
+from sidecar.cluster.member_table import MemberTable
+from sidecar.cluster.message import MAX_MEMBERS, InvalidDatagram, cluster_id
 from sidecar.cluster.rollout import Rollout
 from sidecar.cluster.settings import RolloutSettings
-from sidecar.cluster.table import Table
 from sidecar.cluster.tally import NO_DIGEST, PIECE, Tally, bit, members, unpacked
-from sidecar.cluster.view import Datagram
 from testbed.cluster_simulation.versions import File, VersionedTier
 
 SIZE = 5
-TIER = tier_number("a")
+TIER = cluster_id("a")
 QUICKLY = how(max_examples=150, deadline=None, derandomize=True)
 
 
@@ -154,19 +155,19 @@
 GREATEST = Tally(
     LAST_VERSION,
     LAST_WAVE,
-    MOST_MEMBERS - 1,
+    MAX_MEMBERS - 1,
     -(10**12),
     0xFFFF_FFFE,
     0xFFFF_FFFF,
-    (1 << MOST_MEMBERS) - 1,
-    (1 << MOST_MEMBERS) - 1,
+    (1 << MAX_MEMBERS) - 1,
+    (1 << MAX_MEMBERS) - 1,
 )
 
 
 def test_the_longest_datagram_fits() -> None:
-    payload = write(0xFFFF_FFFF, MOST_MEMBERS - 1, Kind.ASK, GREATEST, (MOST_MEMBERS - 1) // PIECE - 1, 0)
-    assert 200 < len(payload) <= MOST_BYTES
-    given = read(payload, 0xFFFF_FFFF, MOST_MEMBERS - 1)
+    payload = write(0xFFFF_FFFF, MAX_MEMBERS - 1, Kind.ASK, GREATEST, (MAX_MEMBERS - 1) // PIECE - 1, 0)
+    assert 200 < len(payload) <= MAX_DATAGRAM_BYTES
+    given = read(payload, 0xFFFF_FFFF, MAX_MEMBERS - 1)
     assert given.age == MOST_AGE and len(given.has) == PIECE // 8
 
 
@@ -183,10 +184,10 @@
 
 def test_membership_and_the_version_before_drop_it_as_another_version() -> None:
     payload = write(TIER, 1, Kind.ASK, Tally(1, 1, 1, 0), 0, 0)
-    with pytest.raises(Unfit, match="another version"):
-        message.read(payload, TIER, 1)
-    own = message.Message(1, TIER, 1, 7, message.Kind.ASK, 0, -1, 0, 0, b"", [])
-    assert not is_exchange(message.write(own))
+    with pytest.raises(InvalidDatagram, match="another version"):
+        message.decode(payload, TIER, 1)
+    own = message.Message(1, TIER, 1, 7, message.MessageKind.PING, 0, -1, 0, 0, b"", [])
+    assert not is_exchange(message.encode(own))
     assert not is_exchange(b"") and not is_exchange(b"\x9d")
 
 
@@ -216,7 +217,7 @@
         (fields(wave=0), "malformed"),
         (fields(wave=LAST_WAVE + 1), "malformed"),
         (fields(age=MOST_AGE + 1), "malformed"),
-        (fields(by=MOST_MEMBERS), "malformed"),
+        (fields(by=MAX_MEMBERS), "malformed"),
         (fields(low=6, high=5), "malformed"),
         (fields(piece=82), "malformed"),
         (fields(has=bytes(101)), "malformed"),
@@ -236,7 +237,7 @@
 
 
 def a_member() -> tuple[Rollout, Tally]:
-    rollout = Rollout(0, "a", Table(SIZE, 0), RolloutSettings(), random.Random(1), 0, 1, 5)
+    rollout = Rollout(0, "a", MemberTable(SIZE, 0), RolloutSettings(), random.Random(1), 0, 1, 5)
     rollout.start(0)
     return rollout, rollout.tally
 
@@ -274,8 +275,8 @@
         assert len(rollout.dropped) <= 6 and rollout.version == 1
         out += rollout.tick(now)
         assert len(out) <= 16
-        assert all(len(each.payload) <= MOST_BYTES for each in out if isinstance(each, Datagram))
-        assert rollout.tally.has < 1 << MOST_MEMBERS
+        assert all(len(each.payload) <= MAX_DATAGRAM_BYTES for each in out if isinstance(each, SendDatagram))
+        assert rollout.tally.has < 1 << MAX_MEMBERS
         assert rollout.answer(now).asked == SIZE
 
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -20,7 +20,7 @@
 from test_program import GOOD
 
 from sidecar.cluster.exchange import Kind, write
-from sidecar.cluster.message import tier_number
+from sidecar.cluster.message import DropReason, cluster_id
 from sidecar.cluster.settings import RolloutSettings
 from sidecar.cluster.tally import Tally
 from sidecar.config import Config, ConfigError, parse
@@ -178,10 +178,10 @@
         assert sidecar.reconfigure(lower) == []  # taken over as ever
         if sidecar._members is not None:
             await until(lambda: len(heard) >= 2)
-            exchange = write(tier_number("0"), 1, Kind.ASK, Tally(9, 1, 1, 0), 0, 0)
+            exchange = write(cluster_id("0"), 1, Kind.ASK, Tally(9, 1, 1, 0), 0, 0)
             sidecar._message_received(1, exchange)
             assert sidecar._members.membership is not None
-            assert sidecar._members.membership.dropped["another version"] == 1
+            assert sidecar._members.membership.dropped[DropReason.OTHER_FORMAT_VERSION] == 1
         assert all(each[1] == 1 for each in heard)  # membership's, as the version before sends them
         sidecar.close()
         ear.close()
