--- a/tests/cluster_vocabulary.py
+++ b/tests/cluster_vocabulary.py
@@ -9,12 +9,18 @@
 import random
 from typing import Any
 
+from sidecar.cluster.actions import (
+    DuplicateMember,
+    MemberStateChanged,
+    ProcessStalled,
+    ScheduleTick,
+    SendDatagram,
+)
 from sidecar.cluster.answer import Ambiguous, Answer, Forgotten, Look, Missing, Settled
 from sidecar.cluster.exchange import is_exchange
 from sidecar.cluster.membership import Membership
 from sidecar.cluster.rollout import Rollout
 from sidecar.cluster.settings import MembershipSettings, RolloutSettings
-from sidecar.cluster.view import Datagram, Doubled, News, Slept, Wake
 
 Output = list[Any]
 Event = list[Any]
@@ -40,13 +46,13 @@
                 data = bytes.fromhex(payload)
                 if is_exchange(data):
                     return self._rendered([], rollout.heard(now, sender, data))
-                return self._rendered(membership.heard(now, sender, data), [])
+                return self._rendered(membership.datagram_received(now, sender, data), [])
             case ["tick", "membership"]:
                 return self._rendered(membership.tick(now), [])
             case ["tick", "versions"]:
                 return self._rendered([], rollout.tick(now))
             case ["worked", requests]:
-                membership.worked(now, requests)
+                membership.requests_taken(now, requests)
                 return []
             case ["in force", version, digest]:
                 return self._rendered([], rollout.in_force(now, version, digest))
@@ -62,14 +68,19 @@
     def belief(self, now: int) -> Output:
         """What is believed of the others, and of the version that is in force."""
         membership = self._membership
-        members = [[m.claim.life, m.claim.mark, m.claim.by] for m in membership.table.members]
+        members = [
+            [m.update.incarnation, m.update.status, m.update.reported_by] for m in membership.table.records
+        ]
         size = membership.size()
         counts = [size.configured, size.present, size.suspected, size.unknown, size.dead, size.left]
-        return [members, counts, membership.life, _answer(self._rollout.answer(now))]
+        return [members, counts, membership.incarnation, _answer(self._rollout.answer(now))]
 
     def dropped(self) -> list[dict[str, int]]:
         """How many datagrams were not taken, by reason, of either kind."""
-        return [dict(self._membership.dropped), dict(self._rollout.dropped)]
+        return [
+            {reason.value: count for reason, count in self._membership.dropped.items()},
+            {reason.value: count for reason, count in self._rollout.dropped.items()},
+        ]
 
     @staticmethod
     def _rendered(membership: list[Any], versions: list[Any]) -> list[Output]:
@@ -96,15 +107,15 @@
 
 def _rendered(part: str, action: object) -> Output:
     match action:
-        case Datagram(receiver, payload):
+        case SendDatagram(receiver, payload):
             return ["send", receiver, payload.hex()]
-        case Wake(at):
+        case ScheduleTick(at):
             return ["wake", part, at]
-        case News(member, state, life, by):
+        case MemberStateChanged(member, state, life, by):
             return ["news", member, int(state), life, by]
-        case Doubled(member):
+        case DuplicateMember(member):
             return ["doubled", member]
-        case Slept(late_us):
+        case ProcessStalled(late_us):
             return ["slept", late_us]
         case Look():
             return ["look"]
--- a/tests/test_recorded_samples.py
+++ b/tests/test_recorded_samples.py
@@ -26,6 +26,7 @@
 from sidecar.admin_interface import AdminInterface
 from sidecar.clock import Clock
 from sidecar.cluster import exchange, message
+from sidecar.cluster.limits import MAX_DATAGRAM_BYTES
 from sidecar.cluster.settings import MembershipSettings, RolloutSettings
 from sidecar.configuration import Configuration
 from sidecar.members import Members
@@ -40,7 +41,7 @@
 
 ROOT = Path(__file__).parent.parent
 RECORDED = Path(__file__).parent / "data" / "samples"
-CLUSTER = message.tier_number("cluster")
+CLUSTER = message.cluster_id("cluster")
 NOW_US = 7_000_000_000
 
 
@@ -68,7 +69,7 @@
 def _again(sender: int, data: bytes, tier: int = CLUSTER) -> bytes:
     """Read a datagram of either kind, and write what was read."""
     if not exchange.is_exchange(data):
-        return message.write(message.read(data, tier, sender))
+        return message.encode(message.decode(data, tier, sender))
     given = exchange.read(data, tier, sender)
     return exchange.write(tier, sender, given.kind, given.tally(NOW_US), given.piece, NOW_US)
 
@@ -77,7 +78,7 @@
     datagrams = set(_conversed())
     assert len(datagrams) > 500
     assert [data for sender, data in datagrams if _again(sender, data) != data] == []
-    assert max(len(data) for _, data in datagrams) <= MOST_BYTES == message.MOST_BYTES
+    assert max(len(data) for _, data in datagrams) <= MOST_BYTES == MAX_DATAGRAM_BYTES
 
 
 def test_conversed_datagrams_are_of_every_kind() -> None:
