--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -184,7 +184,7 @@
     def _offer(
         self, instance: SimulatedInstance, kind: dict[str, Any], tenant: str | None, flags: int
     ) -> None:
-        work_us = int(self._scenario.work_us * self._rng.choice((0.3, 0.6, 1.0, 1.0, 1.6, 6.0)))
+        work_us = int(self._scenario.work_us * self._rng.choice(self._scenario.work_parts))
         remaining_us = int(kind["giveUpUs"] * self._rng.uniform(0.6, 1.0))
         arriving = self._chance(self._scenario.arriving)
         number, self._next_request = self._next_request, self._next_request + 1
--- a/tests/simulator_scenarios.py
+++ b/tests/simulator_scenarios.py
@@ -42,6 +42,7 @@
     lists_sizes: bool = False
     queue_per_size: float = 8.0
     work_us: int = 25 * MS
+    work_parts: tuple[float, ...] = (0.3, 0.6, 1.0, 1.0, 1.6, 6.0)  # of it, one of these a request
     hints: float = 0.7
     leaving: float = 0.01
     client_retries: float = 0.5
@@ -129,6 +130,7 @@
     return boot
 
 
+EVEN = (0.9, 1.0, 1.1)  # parts of the work
 CAUTIOUS = {"secondCopies": False, "mayCancel": False, "retryAfter": False, "sendCap": 2}
 LATENCIES = {"source": "piggyback", "columns": ["latency_ms"]}
 CROSSINGS = {"crossZone": 0.03}
@@ -271,6 +273,29 @@
         Fault("behaviour", 9 * S, 4 * S, 3, verdict="silent"),
         Fault("unreachable", 15 * S, 3 * S, zone="east"),
     )),
+    Scenario("long-outage", 124, _boot(lanes=LANES[:1]), servers=8, arrivals_per_s=30.0, span_us=60 * S,
+        lane_weights=(1.0,), faults=(
+        Fault("behaviour", 2 * S, 50 * S, 3),
+        Fault("unreachable", 10 * S, 45 * S, 1),
+    )),
+    Scenario("many-silent", 125, _boot(), servers=17, arrivals_per_s=330.0, work_us=40 * MS, span_us=6 * S,
+        faults=(Fault("behaviour", 2 * S, 3 * S, 8, verdict="silent"),)),
+    Scenario("far-zones-busy", 126, _boot(prices=CROSSINGS), servers=12, zones=ZONES, arrivals_per_s=100.0,
+        work_us=40 * MS, work_parts=EVEN, span_us=8 * S, faults=(
+        Fault("slow", 3 * S, 2 * S, zone="east", factor=1.2),
+        Fault("slow", 6 * S, 1 * S, factor=1.3),
+    )),
+    Scenario("slow-by-nature", 127, _boot(), servers=6, arrivals_per_s=30.0, work_us=140 * MS,
+        work_parts=EVEN, span_us=20 * S, queue_per_size=100.0, faults=(
+        Fault("burst", 5 * S, 5 * S, factor=4.0),
+        Fault("burst", 14 * S, 3 * S, factor=6.0),
+    )),
+    Scenario("few-in-flight", 128, _boot(report=REPORTS), servers=2, arrivals_per_s=24.0, work_us=60 * MS,
+        span_us=40 * S, queue_per_size=100.0, faults=(
+        Fault("burst", 8 * S, 6 * S, factor=2.5),
+        Fault("slow", 20 * S, 8 * S, 1, factor=4.0),
+        Fault("burst", 32 * S, 4 * S, factor=4.0),
+    )),
     Scenario("exclusions", 201, _boot(guarantees={"letGoInUs": 500 * MS}), servers=6, span_us=30 * S,
         is_direct=True, arriving=0.2, zones=ZONES[:2], faults=(
         Fault("exclude", 3 * S, 3 * S, 2),
@@ -296,7 +321,7 @@
         is_direct=True, zones=ZONES, span_us=24 * S, call_failures=0.3, faults=(
         Fault("tier", 1 * S, factor=30),
         Fault("discovery", 3 * S, 6 * S),
-        Fault("tier", 4 * S, factor=12),
+        Fault("tier", 2 * S, factor=12),
         Fault("unreachable", 10 * S, 4 * S, zone="west"),
         Fault("tier", 11 * S, factor=24),
         Fault("down", 16 * S, 2 * S, 4),
