--- a/bench/ground.py
+++ b/bench/ground.py
@@ -18,13 +18,13 @@
 from msgspec.structs import replace
 
 from testbed import events as log
+from testbed.checker import account, judge
+from testbed.checker.history import gather
 from testbed.emulator.play import Ground, play
-from testbed.model.play import play as play_model
 from testbed.report import plots
-from testbed.rules import account, judge
-from testbed.rules.history import gather
-from testbed.world import Day, draw, read
-from testbed.world.read import parse
+from testbed.scenario import Day, draw, read
+from testbed.scenario.read import parse
+from testbed.simulation.play import play as play_model
 
 ROOT = Path(__file__).resolve().parent.parent
 PLOT = ROOT / "docs" / "model-growth.svg"
--- a/testbed/catalog.py
+++ b/testbed/catalog.py
@@ -5,7 +5,7 @@
 from bisect import bisect_right
 from dataclasses import dataclass
 
-from testbed.world.day import Day
+from testbed.scenario.day import Day
 
 ACTIVE, LEAVING, LEFT = "active", "leaving", "left"
 
--- a/testbed/rules/history.py
+++ b/testbed/checker/history.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from testbed import events as log
-from testbed.world.day import Day
+from testbed.scenario.day import Day
 
 _ENDS = ("killed", "ended")
 
--- a/testbed/rules/judge.py
+++ b/testbed/checker/judge.py
@@ -8,10 +8,10 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
+from testbed.checker.history import Attempt, History, Request, gather
 from testbed.events import Event, Told
-from testbed.rules.history import Attempt, History, Request, gather
-from testbed.world.day import US, Server
-from testbed.world.settings import (
+from testbed.scenario.day import US, Server
+from testbed.scenario.settings import (
     ANSWER_SLACK_US,
     DRAIN_GRACE_US,
     FALL_MULTIPLE,
--- a/testbed/rules/series.py
+++ b/testbed/checker/series.py
@@ -7,9 +7,9 @@
 import msgspec
 import numpy as np
 
+from testbed.checker.history import History, gather
+from testbed.checker.tier import looks
 from testbed.events import Event
-from testbed.rules.history import History, gather
-from testbed.rules.tier import looks
 
 _MOST_BINS = 240
 _LEAST_BIN_US = 100_000
--- a/testbed/rules/tier.py
+++ b/testbed/checker/tier.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from testbed.rules.history import History
+from testbed.checker.history import History
 
 PRESENT, DEAD, LEFT = "p", "d", "l"
 BELIEFS = {
--- a/testbed/rules/worth.py
+++ b/testbed/checker/worth.py
@@ -8,9 +8,9 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
+from testbed.checker.history import History, gather
 from testbed.events import Event
-from testbed.rules.history import History, gather
-from testbed.world.day import US
+from testbed.scenario.day import US
 
 PRICES = {"cross_zone": 0.03, "handshake": 0.05, "connection": 0.05, "waste": 0.05, "peer": 0.01}
 _PEER_BYTES = 256  # delivered for each first try, at which the whole price of peers is due
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -20,6 +20,8 @@
 from rich.progress import Progress
 
 from testbed import events as log
+from testbed.checker import account, judge
+from testbed.checker.history import History, gather
 from testbed.emulator.copies import PlayError, built, deployed
 from testbed.emulator.play import Ground
 from testbed.emulator.play import play as play_real
@@ -28,16 +30,14 @@
 from testbed.experiment.grid import play as play_grid
 from testbed.experiment.store import Key, Store, StoreError
 from testbed.experiment.variants import HELP, Variant, variant
-from testbed.model.play import play as play_model
-from testbed.model.policies import POLICIES
 from testbed.report import tables
 from testbed.report.page import of_one_day, page
-from testbed.rules import account, judge
-from testbed.rules.history import History, gather
 from testbed.scale.keep import kept
 from testbed.scale.plan import Event, Plan, check, fitted
 from testbed.scale.play import play as play_scale
-from testbed.world import WorldError, draw, read, shipped, shipped_worlds, text_of
+from testbed.scenario import WorldError, draw, read, shipped, shipped_worlds, text_of
+from testbed.simulation.play import play as play_model
+from testbed.simulation.policies import POLICIES
 
 EXIT_CODES = {"kept": 0, "broken": 1}
 USER_ERROR, SAYS_NOTHING, INTERRUPTED = 2, 3, 130
--- a/testbed/cluster_simulation/line.py
+++ b/testbed/cluster_simulation/line.py
@@ -19,7 +19,7 @@
 from balancer.actions import SetTimer, WatchEndpoints
 from balancer.events import EndpointEntry, EndpointListKind, EndpointListReceived, Event, TimerFired
 from testbed.capacity.samples import Sample, save
-from testbed.model.queue import Queue
+from testbed.simulation.queue import Queue
 
 SIZES = (50, 100, 200, 400, 750, 1_000)
 CALLS_MS = (1, 2, 5, 10, 20, 50)
--- a/testbed/cluster_simulation/virtual.py
+++ b/testbed/cluster_simulation/virtual.py
@@ -20,7 +20,7 @@
 from sidecar.cluster.membership import Membership
 from sidecar.cluster.message import MembershipUpdate, MemberState
 from sidecar.cluster.settings import MembershipSettings
-from testbed.model.queue import Queue
+from testbed.simulation.queue import Queue
 
 S = 1_000_000
 UNIX_S = 1_780_000_000.0  # the wall clock when virtual time begins
--- a/testbed/emulator/copies.py
+++ b/testbed/emulator/copies.py
@@ -20,8 +20,8 @@
 from testbed import events as log
 from testbed.clock import DayClock
 from testbed.emulator import program
-from testbed.world.day import Copy, Day
-from testbed.world.settings import killed_after_us, settings
+from testbed.scenario.day import Copy, Day
+from testbed.scenario.settings import killed_after_us, settings
 
 _LOOK_S = 0.02
 _MOST_LOG = 4 << 20  # bytes kept of what one copy writes
--- a/testbed/emulator/discovery.py
+++ b/testbed/emulator/discovery.py
@@ -13,7 +13,7 @@
 from testbed.clock import DayClock
 from testbed.emulator.message import Requests, Unreadable, answer
 from testbed.emulator.switch import Handler, Passage
-from testbed.world.day import Day
+from testbed.scenario.day import Day
 
 _WATCH = re.compile(rb"[?&]after=([0-9]+)&wait_ms=([0-9]+)")
 _LONGEST_MS = 60_000
--- a/testbed/emulator/play.py
+++ b/testbed/emulator/play.py
@@ -24,8 +24,8 @@
 from testbed.emulator.switch import Gate
 from testbed.links import Links
 from testbed.load import worker as loads
+from testbed.scenario.day import DISCOVERY, Copy, Day, Trouble
 from testbed.streams import MOST_LINE, seeded
-from testbed.world.day import DISCOVERY, Copy, Day, Trouble
 
 __all__ = ["Ground", "PlayError", "play"]
 
--- a/testbed/emulator/servers.py
+++ b/testbed/emulator/servers.py
@@ -11,8 +11,8 @@
 from testbed.clock import DayClock
 from testbed.emulator.message import Requests, Unreadable, answer, header
 from testbed.emulator.switch import Gate, Handler, Passage
+from testbed.scenario.day import Server, Trouble
 from testbed.station import Job, Place, Station
-from testbed.world.day import Server, Trouble
 
 _WORK = re.compile(rb"[?&]work=([0-9]{1,12})")
 _ID = re.compile(rb"[0-9a-f]{16}")
--- a/testbed/emulator/shard.py
+++ b/testbed/emulator/shard.py
@@ -20,8 +20,8 @@
 from testbed.emulator.servers import StandIn
 from testbed.emulator.switch import Gate
 from testbed.links import Links
+from testbed.scenario import Day
 from testbed.streams import lines_of_input, seeded
-from testbed.world import Day
 
 
 class Plan(msgspec.Struct, frozen=True):
--- a/testbed/events.py
+++ b/testbed/events.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from testbed.world.day import Day
+from testbed.scenario.day import Day
 
 
 class _Event(msgspec.Struct, tag_field="is", kw_only=True, omit_defaults=True):
--- a/testbed/experiment/cell.py
+++ b/testbed/experiment/cell.py
@@ -18,15 +18,15 @@
 from msgspec.structs import replace
 
 from testbed import events as log
+from testbed.checker import account, judge, series
+from testbed.checker.history import gather
 from testbed.emulator.play import Ground
 from testbed.emulator.play import play as play_real
 from testbed.experiment.variants import PARTS
-from testbed.model.play import play as play_model
 from testbed.report import tables
-from testbed.rules import account, judge, series
-from testbed.rules.history import gather
-from testbed.world import Day, draw
-from testbed.world.read import parse
+from testbed.scenario import Day, draw
+from testbed.scenario.read import parse
+from testbed.simulation.play import play as play_model
 
 
 class Cell(msgspec.Struct, frozen=True):
--- a/testbed/experiment/compare.py
+++ b/testbed/experiment/compare.py
@@ -9,7 +9,7 @@
 import numpy as np
 
 from testbed.experiment.store import Key
-from testbed.world.draw import stream
+from testbed.scenario.draw import stream
 
 RESAMPLES = 2_000
 LEVEL = 0.95
--- a/testbed/experiment/variants.py
+++ b/testbed/experiment/variants.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 from testbed.emulator.copies import PlayError
-from testbed.model.earlier_module import PACKAGE
-from testbed.model.policies import POLICIES
+from testbed.simulation.earlier_module import PACKAGE
+from testbed.simulation.policies import POLICIES
 
 PACKAGES = ("balancer", "sidecar", "testbed")
 EARLIER_PACKAGES = (PACKAGE, "micadeck", "plumtrestle")
--- a/testbed/links.py
+++ b/testbed/links.py
@@ -6,7 +6,7 @@
 
 from msgspec.structs import replace
 
-from testbed.world.day import Day, Trouble
+from testbed.scenario.day import Day, Trouble
 
 NEVER = 1 << 62
 _CLOSING = ("cut", "hold")
--- a/testbed/load/client.py
+++ b/testbed/load/client.py
@@ -13,7 +13,7 @@
 from testbed import events as log
 from testbed.clock import DayClock
 from testbed.load.habits import MOST_RETRIES, Habits
-from testbed.world import Arrival, Day
+from testbed.scenario import Arrival, Day
 
 
 class Ask:
--- a/testbed/load/habits.py
+++ b/testbed/load/habits.py
@@ -4,8 +4,8 @@
 
 import random
 
-from testbed.world.arrivals import Arrival
-from testbed.world.day import Day
+from testbed.scenario.arrivals import Arrival
+from testbed.scenario.day import Day
 
 MOST_RETRIES = 16  # a request's number is that of its first try times this, and the place of the try
 REFUSED = (429, 503)
--- a/testbed/load/worker.py
+++ b/testbed/load/worker.py
@@ -16,8 +16,8 @@
 from testbed import events as log
 from testbed.clock import DayClock, watch_lateness
 from testbed.load.client import Application
+from testbed.scenario import Day, arrivals
 from testbed.streams import lines_of_input, seeded
-from testbed.world import Day, arrivals
 
 
 class Plan(msgspec.Struct, frozen=True):
--- a/testbed/report/page.py
+++ b/testbed/report/page.py
@@ -8,12 +8,12 @@
 from jinja2 import Environment, PackageLoader, select_autoescape
 from msgspec import to_builtins
 
+from testbed.checker import Account, Verdict, series
+from testbed.checker.history import History
 from testbed.experiment.compare import Row, compared
 from testbed.experiment.store import Key
 from testbed.report import plots
 from testbed.report.tables import plain
-from testbed.rules import Account, Verdict, series
-from testbed.rules.history import History
 
 _MOST_BREACHES = 3
 _ONE_DAY = "one day"  # in a digest's place, where nothing is compared
--- a/testbed/report/plots.py
+++ b/testbed/report/plots.py
@@ -12,7 +12,7 @@
 from matplotlib.figure import Figure
 from matplotlib.patches import Patch
 
-from testbed.rules.tier import BELIEFS
+from testbed.checker.tier import BELIEFS
 
 matplotlib.rcParams.update(
     {
--- a/testbed/report/tables.py
+++ b/testbed/report/tables.py
@@ -11,10 +11,10 @@
 from rich.table import Table
 
 from testbed.capacity.samples import Sample
+from testbed.checker import Account, Verdict
+from testbed.checker.history import History
 from testbed.experiment.compare import Row
-from testbed.rules import Account, Verdict
-from testbed.rules.history import History
-from testbed.world.day import US
+from testbed.scenario.day import US
 
 _MOST_BREACHES = 10
 _COLOURS = {"kept": "green", "broken": "red"}
--- a/testbed/scale/discovery.py
+++ b/testbed/scale/discovery.py
@@ -11,8 +11,8 @@
 from testbed.emulator.discovery import StandInDiscovery
 from testbed.emulator.switch import Gate
 from testbed.links import Links
+from testbed.scenario.day import DISCOVERY, Day
 from testbed.streams import seeded
-from testbed.world.day import DISCOVERY, Day
 
 
 class _Counting(log.Writer):
--- a/testbed/scale/plan.py
+++ b/testbed/scale/plan.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from testbed.emulator.copies import PlayError
-from testbed.world.day import Day
-from testbed.world.draw import draw
-from testbed.world.read import parse
-from testbed.world.settings import settings
+from testbed.scenario.day import Day
+from testbed.scenario.draw import draw
+from testbed.scenario.read import parse
+from testbed.scenario.settings import settings
 
 MOST_PROCESSES = 200
 MOST_MEMORY_PART = 0.5  # of the machine's
--- a/testbed/scale/real.py
+++ b/testbed/scale/real.py
@@ -12,7 +12,7 @@
 from testbed import events as log
 from testbed.clock import DayClock
 from testbed.emulator.copies import Sidecar, _asked
-from testbed.world.day import Day
+from testbed.scenario.day import Day
 
 _GONE = "dl"  # letters of a view
 
--- a/testbed/world/arrivals.py
+++ b/testbed/scenario/arrivals.py
@@ -5,8 +5,8 @@
 import msgspec
 import numpy as np
 
-from testbed.world.day import US, Day
-from testbed.world.draw import stream
+from testbed.scenario.day import US, Day
+from testbed.scenario.draw import stream
 
 
 class Arrival(msgspec.Struct, frozen=True, array_like=True):
--- a/testbed/world/draw.py
+++ b/testbed/scenario/draw.py
@@ -8,8 +8,8 @@
 import numpy as np
 from msgspec.structs import replace
 
-from testbed.world import day, schema
-from testbed.world.day import DISCOVERY, Day
+from testbed.scenario import day, schema
+from testbed.scenario.day import DISCOVERY, Day
 
 
 def stream(seed: int, subject: str) -> np.random.Generator:
--- a/testbed/world/read.py
+++ b/testbed/scenario/read.py
@@ -9,9 +9,9 @@
 
 from pydantic import ValidationError
 
-from testbed.world.schema import World
+from testbed.scenario.schema import World
 
-_SHIPPED = resources.files("testbed.world") / "worlds"
+_SHIPPED = resources.files("testbed.scenario") / "scenarios"
 
 
 class WorldError(Exception):
--- a/testbed/world/settings.py
+++ b/testbed/scenario/settings.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from testbed.world.day import Day
+from testbed.scenario.day import Day
 
 ANSWER_SLACK_US = 50_000
 DRAIN_GRACE_US = 2_000_000
--- a/testbed/model/clients.py
+++ b/testbed/simulation/clients.py
@@ -10,10 +10,10 @@
 from balancer.events import RequestArrived
 from testbed import events as log
 from testbed.load.habits import MOST_RETRIES, Habits
-from testbed.model.queue import Queue
-from testbed.model.servers import Sink
-from testbed.world.arrivals import Arrival
-from testbed.world.day import Day
+from testbed.scenario.arrivals import Arrival
+from testbed.scenario.day import Day
+from testbed.simulation.queue import Queue
+from testbed.simulation.servers import Sink
 
 Take = Callable[[int, RequestArrived, int], bool]  # whether somebody is there to take it
 
--- a/testbed/model/discovery.py
+++ b/testbed/simulation/discovery.py
@@ -9,9 +9,9 @@
 from testbed import events as log
 from testbed.catalog import Catalog, Change
 from testbed.links import NEVER, Links
-from testbed.model.queue import Queue
-from testbed.model.servers import Sink
-from testbed.world.day import DISCOVERY, Day
+from testbed.scenario.day import DISCOVERY, Day
+from testbed.simulation.queue import Queue
+from testbed.simulation.servers import Sink
 
 WATCH_US = 20_000_000  # how long a sidecar's watch may wait for news
 _ANSWER_WITHIN_US = 5_000_000  # and how long it waits for an answer that is owed at once
--- a/testbed/model/play.py
+++ b/testbed/simulation/play.py
@@ -13,16 +13,16 @@
 from testbed.catalog import server_lives
 from testbed.links import NEVER, Link, Links
 from testbed.load.habits import MOST_RETRIES
-from testbed.model.clients import Clients
-from testbed.model.discovery import ModelDiscovery
-from testbed.model.policies import Policy, SeesTrueState, policy_named
-from testbed.model.queue import Queue
-from testbed.model.servers import ModelServer, Sink
-from testbed.model.sidecar import EPOCH_US, Sidecar
+from testbed.scenario.arrivals import Arrival, arrivals
+from testbed.scenario.day import Day, Trouble
+from testbed.scenario.settings import killed_after_us, settings
+from testbed.simulation.clients import Clients
+from testbed.simulation.discovery import ModelDiscovery
+from testbed.simulation.policies import Policy, SeesTrueState, policy_named
+from testbed.simulation.queue import Queue
+from testbed.simulation.servers import ModelServer, Sink
+from testbed.simulation.sidecar import EPOCH_US, Sidecar
 from testbed.streams import seeded
-from testbed.world.arrivals import Arrival, arrivals
-from testbed.world.day import Day, Trouble
-from testbed.world.settings import killed_after_us, settings
 
 START_US = 150_000  # from a process's start to its readiness, as real ones take on a quiet machine
 _LISTENS_ON_US = 400_000  # after SIGTERM
--- a/testbed/model/policies.py
+++ b/testbed/simulation/policies.py
@@ -20,7 +20,7 @@
     TimerFired,
 )
 from balancer.settings import DiscoveryMode, Idempotency
-from testbed.model.earlier_module import EarlierModule
+from testbed.simulation.earlier_module import EarlierModule
 
 _EARLY_US = 10_000  # before a request's time is up, it is answered as failed
 _ASK_AGAIN_US = 500_000
--- a/testbed/model/servers.py
+++ b/testbed/simulation/servers.py
@@ -7,9 +7,9 @@
 
 from testbed import events as log
 from testbed.links import NEVER, Links
-from testbed.model.queue import Queue
+from testbed.scenario.day import Day, Server
+from testbed.simulation.queue import Queue
 from testbed.station import Job, Place, Station
-from testbed.world.day import Day, Server
 
 Sink = Callable[[log.Event], None]
 # Told at the copy: how the attempt ended there (served, error, full, lost, refused, cut off).
--- a/testbed/model/sidecar.py
+++ b/testbed/simulation/sidecar.py
@@ -32,12 +32,12 @@
 from balancer.settings import Settings
 from testbed.catalog import Change
 from testbed.links import NEVER, Link
-from testbed.model.clients import Clients
-from testbed.model.discovery import WATCH_US, ModelDiscovery
-from testbed.model.policies import CountsMembers, Policy
-from testbed.model.queue import Queue
-from testbed.model.servers import ModelServer
-from testbed.world.day import Day
+from testbed.scenario.day import Day
+from testbed.simulation.clients import Clients
+from testbed.simulation.discovery import WATCH_US, ModelDiscovery
+from testbed.simulation.policies import CountsMembers, Policy
+from testbed.simulation.queue import Queue
+from testbed.simulation.servers import ModelServer
 
 EPOCH_US = 1_700_000_000_000_000  # the module's clock at the day's beginning
 _IDLE_MARGIN = 0.9  # of the idle limit, after which a connection is not used again
--- a/testbed/model/wire.py
+++ b/testbed/simulation/wire.py
@@ -1,11 +1,11 @@
-"""A policy on the simulator's wire, in place of `sim`: `python -m testbed.model.wire POLICY`."""
+"""A policy on the simulator's wire, in place of `sim`: `python -m testbed.simulation.wire POLICY`."""
 
 from __future__ import annotations
 
 import sys
 
 from balancer import adapter
-from testbed.model.policies import POLICIES
+from testbed.simulation.policies import POLICIES
 
 
 def main() -> int:
--- a/testbed/station.py
+++ b/testbed/station.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-from testbed.world.day import Server, Trouble
+from testbed.scenario.day import Server, Trouble
 
 
 @unique
--- a/testbed/streams.py
+++ b/testbed/streams.py
@@ -6,7 +6,7 @@
 import random
 import sys
 
-from testbed.world.draw import stream
+from testbed.scenario.draw import stream
 
 MOST_LINE = 1 << 26  # bytes: a day with all of its parties
 
--- a/tests/test_judge.py
+++ b/tests/test_checker.py
@@ -9,9 +9,9 @@
 import pytest
 
 from testbed import events as log
-from testbed.rules import account, judge
-from testbed.world import Day, draw
-from testbed.world.read import parse
+from testbed.checker import account, judge
+from testbed.scenario import Day, draw
+from testbed.scenario.read import parse
 
 WORLD = """
 name = "judged"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,7 +11,7 @@
 import pytest
 from loopback import play, until
 from test_emulator import read_small, running_below
-from test_world import SMALL
+from test_scenario import SMALL
 
 from testbed import events as log
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -18,14 +18,14 @@
 from test_ground import a_day, trouble
 
 from testbed import events as log
+from testbed.checker import judge
 from testbed.clock import DayClock
 from testbed.emulator.copies import PlayError, Sidecar
 from testbed.emulator.play import Ground
 from testbed.emulator.play import play as play_day
 from testbed.emulator.switch import Gate, Handler, Passage
 from testbed.links import Links
-from testbed.rules import judge
-from testbed.world import Day, arrivals, draw, read
+from testbed.scenario import Day, arrivals, draw, read
 
 ROOT = Path(__file__).parent.parent
 PROGRAM = f"exec {sys.executable} -m sidecar"
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -21,8 +21,8 @@
 from testbed.experiment.store import Key, Store
 from testbed.experiment.variants import PARTS, variant
 from testbed.report.page import page
-from testbed.world import draw, read
-from testbed.world.settings import settings
+from testbed.scenario import draw, read
+from testbed.scenario.settings import settings
 
 MODULE, RANDOM = variant("module"), variant("random")
 
--- a/tests/test_ground.py
+++ b/tests/test_ground.py
@@ -9,9 +9,9 @@
 
 from testbed.catalog import Catalog
 from testbed.links import NEVER, Links
+from testbed.scenario import Day, draw
+from testbed.scenario.read import parse
 from testbed.station import Job, Place, Station
-from testbed.world import Day, draw
-from testbed.world.read import parse
 
 S = 1_000_000
 BASE = """
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -5,7 +5,7 @@
 import pytest
 
 from testbed.cluster_simulation.line import Line, S, returned
-from testbed.model.queue import Queue
+from testbed.simulation.queue import Queue
 
 
 def test_calls_are_served_one_after_another() -> None:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -15,7 +15,7 @@
 from testbed import events as log
 from testbed.clock import DayClock
 from testbed.load.client import Application, Ask, Connection
-from testbed.world import Arrival
+from testbed.scenario import Arrival
 
 ARRIVAL = Arrival(0, 0, 0, 0, -1, 7, 1_000)
 Act = Callable[[Application, Connection, socket.socket], Awaitable[None]]
--- a/tests/test_members_real.py
+++ b/tests/test_members_real.py
@@ -9,11 +9,11 @@
 from test_ground import a_day, trouble
 
 from testbed import events as log
+from testbed.checker import judge
+from testbed.checker.history import History, gather
+from testbed.checker.tier import Agreement, agreement, looks
 from testbed.emulator.play import play as play_day
-from testbed.rules import judge
-from testbed.rules.history import History, gather
-from testbed.rules.tier import Agreement, agreement, looks
-from testbed.world import Day, draw, read
+from testbed.scenario import Day, draw, read
 
 QUICK = "\n[sidecars.membership]\nleast_period_ms = 200\nsuspicion_periods = 1.0\n"
 
--- a/tests/test_world.py
+++ b/tests/test_scenario.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from testbed.world import Arrival, Day, WorldError, arrivals, draw, read, shipped_worlds
-from testbed.world.read import parse
+from testbed.scenario import Arrival, Day, WorldError, arrivals, draw, read, shipped_worlds
+from testbed.scenario.read import parse
 
 SMALL = """
 name = "small"
--- a/tests/test_model.py
+++ b/tests/test_simulation.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 import pytest
+from test_checker import WORLD, judged_day
 from test_ground import trouble
-from test_judge import WORLD, judged_day
 
 from balancer.actions import SendAttempt
 from balancer.adapter import settings_from_wire
@@ -22,12 +22,12 @@
     RequestArrived,
 )
 from testbed import events as log
-from testbed.model.play import play, play_into
-from testbed.model.policies import POLICIES, SeesTrueState
-from testbed.rules import account, judge
-from testbed.world import Day, draw, read, shipped_worlds
-from testbed.world.read import parse
-from testbed.world.settings import settings
+from testbed.checker import account, judge
+from testbed.scenario import Day, draw, read, shipped_worlds
+from testbed.scenario.read import parse
+from testbed.scenario.settings import settings
+from testbed.simulation.play import play, play_into
+from testbed.simulation.policies import POLICIES, SeesTrueState
 
 
 def modelled(day: Day, policy: str = "module") -> list[log.Event]:
@@ -130,7 +130,7 @@
 
 
 def test_a_baseline_speaks_on_the_simulators_wire() -> None:
-    command = [sys.executable, "-m", "testbed.model.wire"]
+    command = [sys.executable, "-m", "testbed.simulation.wire"]
     batch = '["FRAME",1]\n["COMMIT"]\n'
     done = subprocess.run([*command, "best-of-2"], input=batch, capture_output=True, text=True, check=False)
     assert (done.returncode, done.stdout) == (0, '["DONE"]\n')
