--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -5,10 +5,16 @@
 import random
 
 import pytest
-from helpers import MS, START, S, Stage, names, serve_singly, settings
+from helpers import IDEMPOTENT, MS, NOT_IDEMPOTENT, START, S, Stage, names, serve_singly, settings
+from mechanisms import make_context, make_endpoint
 
 from balancer.actions import CancelAttempt, Reject
+from balancer.admission_control import AdmissionController
+from balancer.concurrency_window import ConcurrencyWindow
 from balancer.events import Outcome
+from balancer.in_flight import InFlightTracker
+from balancer.requests import Attempt
+from balancer.settings import Tenant
 
 
 def _overload(stage: Stage, spans: int) -> None:
@@ -228,3 +234,46 @@
         assert min(waits) > 0 and max(waits) <= 400 * MS
     else:
         assert waits == {0}
+
+
+# The mechanism by itself
+
+
+def _fill_three_quarters(window: ConcurrencyWindow, in_flight: InFlightTracker) -> None:
+    window.size = 40.0
+    for index in range(30):
+        in_flight.start(Attempt(index, make_endpoint(), START, 0))
+
+
+def test_admission_rejects_the_lower_priority_sooner() -> None:
+    context = make_context()
+    in_flight = InFlightTracker(context)
+    window = ConcurrencyWindow(context, in_flight)
+    admission = AdmissionController(context, window)
+    _fill_three_quarters(window, in_flight)
+    low = high = 0
+    for _ in range(400):
+        low += admission.admits(IDEMPOTENT, None)
+        high += admission.admits(NOT_IDEMPOTENT, None)
+    assert low < 0.5 * high
+
+
+def test_admission_rejects_a_tenant_beyond_its_quota_sooner() -> None:
+    tenants = (Tenant("small", quota_share=1.0), Tenant("large", quota_share=3.0))
+    context = make_context(settings(tenants=tenants, over_quota_weight=0.2))
+    in_flight = InFlightTracker(context)
+    window = ConcurrencyWindow(context, in_flight)
+    admission = AdmissionController(context, window)
+    _fill_three_quarters(window, in_flight)
+    admitted = {"small": 0, "large": 0}
+    for _ in range(400):  # both demand the same, which is twice the quota of one of them
+        for tenant in admitted:
+            admitted[tenant] += admission.admits(IDEMPOTENT, tenant)
+    assert admitted["small"] < 0.5 * admitted["large"]
+
+
+def test_admission_admits_all_while_the_window_is_half_free() -> None:
+    context = make_context()
+    window = ConcurrencyWindow(context, InFlightTracker(context))
+    admission = AdmissionController(context, window)
+    assert all(admission.admits(IDEMPOTENT, None) for _ in range(100))
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -3,10 +3,13 @@
 from __future__ import annotations
 
 import pytest
-from helpers import MS, S, Stage, names, serve_singly, settings
+from helpers import MS, START, S, Stage, names, serve_singly, settings
+from mechanisms import make_context, make_endpoint
 
 from balancer.actions import CloseIdleConnections, Log
+from balancer.connection_reuse import ConnectionReuse
 from balancer.events import EndpointEntry, EndpointListKind, EndpointState, Outcome
+from balancer.requests import Attempt
 
 
 def _with_reaped_connections(stage: Stage, count: int) -> list[int]:
@@ -87,3 +90,26 @@
     stage.servers(names(2))
     stage.drain("10.0.0.1:80")
     assert stage.said(CloseIdleConnections) == []
+
+
+# The mechanism by itself
+
+
+def test_connection_reuse_closes_idle_connections_once_one_was_stale() -> None:
+    context = make_context()
+    connections = ConnectionReuse(context)
+    attempt = Attempt(0, make_endpoint(), START, 0)
+    attempt.idle_us = 2 * S
+    assert connections.record_silence(attempt)
+    assert context.actions == [CloseIdleConnections("10.0.0.1:80")]
+    other = make_endpoint("10.0.0.2:80")
+    other.idle_since = START - 3 * S
+    assert connections.use_connection(other) == 0
+    assert context.actions[1:] == [CloseIdleConnections("10.0.0.2:80")]
+
+
+def test_connection_reuse_does_not_blame_a_connection_in_steady_use() -> None:
+    context = make_context()
+    connections = ConnectionReuse(context)
+    assert not connections.record_silence(Attempt(0, make_endpoint(), START, 0))
+    assert context.actions == []
--- a/tests/test_discovery_polling.py
+++ b/tests/test_discovery_polling.py
@@ -6,9 +6,12 @@
 
 import pytest
 from helpers import MS, START, S, Stage, names, settings
+from mechanisms import make_context
 
 from balancer.actions import PollEndpoints, WatchEndpoints
+from balancer.discovery_polling import DiscoveryPoller
 from balancer.events import EndpointListKind, EndpointListReceived
+from balancer.scheduler import Scheduler
 from balancer.settings import DiscoveryMode
 
 
@@ -91,3 +94,20 @@
     times = [at for at, each in stage.log if isinstance(each, WatchEndpoints)]
     assert len(times) > 1
     assert all(later - earlier < 10 * S for earlier, later in itertools.pairwise(times))
+
+
+# The mechanism by itself
+
+
+def test_discovery_polling_plans_replace_each_other() -> None:
+    context = make_context()
+    poller = DiscoveryPoller(context, Scheduler())
+    poller.poll()
+    planned = START + int(0.25 * 10 * S)
+    assert poller.is_planned_at(planned)
+    poller.record_failure()
+    assert not poller.is_planned_at(planned)
+    poller.record_list()
+    context.begin_event(START + 60 * S)
+    poller.poll_if_due()
+    assert context.actions == []
--- /dev/null
+++ b/tests/test_latency.py
@@ -0,0 +1,37 @@
+"""Latency estimates by themselves."""
+
+from __future__ import annotations
+
+import pytest
+from helpers import IDEMPOTENT, MS
+from mechanisms import make_context, make_endpoint, make_request
+
+from balancer.endpoints import EndpointTable
+from balancer.in_flight import InFlightTracker
+from balancer.latency import LatencyEstimator
+
+
+def test_latency_follows_an_endpoint_relative_to_the_usual() -> None:
+    context = make_context()
+    endpoints = EndpointTable(context)
+    latency = LatencyEstimator(context, endpoints, InFlightTracker(context))
+    quick, slow = make_endpoint("quick"), make_endpoint("slow")
+    for _ in range(40):
+        latency.record_response(quick, make_request(), 20 * MS)
+        latency.record_response(slow, make_request(), 60 * MS)
+    assert slow.relative_latency > 2 * quick.relative_latency
+
+
+def test_latency_of_an_error_counts_as_slow() -> None:
+    context = make_context()
+    latency = LatencyEstimator(context, EndpointTable(context), InFlightTracker(context))
+    endpoint = make_endpoint()
+    latency.record_error(endpoint, make_request())
+    assert endpoint.relative_latency > 1.0
+
+
+@pytest.mark.parametrize("hint", [None, 0, -5])
+def test_latency_takes_a_request_without_a_cost_hint_for_one_of_mean_cost(hint: int | None) -> None:
+    context = make_context()
+    latency = LatencyEstimator(context, EndpointTable(context), InFlightTracker(context))
+    assert latency.relative_cost(IDEMPOTENT, hint) == 1.0
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -2,11 +2,16 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 import pytest
-from helpers import MS, S, Stage, cells, names, settings
+from helpers import IDEMPOTENT, MS, NOT_IDEMPOTENT, START, WITH_KEY, S, Stage, cells, names, settings
+from mechanisms import make_context, make_endpoint, make_request
 
 from balancer.actions import CancelAttempt, Fail, Reject
 from balancer.events import EndpointEntry, EndpointListKind, Outcome
+from balancer.retry_policy import NO_LIMIT, NOT_ALLOWED, RetryPolicy
+from balancer.settings import IdempotencyScope, ServiceClass
 
 
 def test_retries_after_failures_are_bounded() -> None:
@@ -169,3 +174,53 @@
     request = stage.request("look")
     stage.end(request, Outcome.FULL)
     assert len(stage.sends(request)) == 2
+
+
+# The mechanism by itself
+
+
+@pytest.mark.parametrize(
+    ("service_class", "send_by"),
+    [
+        (IDEMPOTENT, NO_LIMIT),
+        (NOT_IDEMPOTENT, NOT_ALLOWED),
+        (WITH_KEY, START + 2 * S - 5 * MS),  # one tick before servers forget the key
+    ],
+    ids=lambda value: getattr(value, "name", str(value)),
+)
+def test_retry_policy_limits_retries_after_an_attempt_that_may_have_executed(
+    service_class: ServiceClass, send_by: int
+) -> None:
+    policy = RetryPolicy(make_context())
+    assert policy.send_by(make_request(service_class, make_endpoint())) == send_by
+
+
+def test_retry_policy_allows_any_retry_after_attempts_that_did_not_execute() -> None:
+    policy = RetryPolicy(make_context())
+    request = make_request(NOT_IDEMPOTENT, make_endpoint())
+    request.attempts[0].may_have_executed = False
+    assert policy.send_by(request) == NO_LIMIT and policy.is_safe_to_repeat(request)
+
+
+@pytest.mark.parametrize(
+    ("scope", "allowed"),
+    [(IdempotencyScope.ALL, 3), (IdempotencyScope.ZONE, 2), (IdempotencyScope.CELL, 1)],
+)
+def test_retry_policy_keeps_a_retry_with_a_key_in_its_scope(scope: IdempotencyScope, allowed: int) -> None:
+    policy = RetryPolicy(make_context())
+    request = make_request(replace(WITH_KEY, idempotency_scope=scope), make_endpoint(zone="east", cell=1))
+    others = [make_endpoint(zone="east", cell=1), make_endpoint(zone="east"), make_endpoint(zone="west")]
+    assert sum(policy.is_in_scope(request, endpoint) for endpoint in others) == allowed
+
+
+def test_retry_policy_budget_is_a_part_of_the_requests() -> None:
+    policy = RetryPolicy(make_context())
+    while policy.has_budget():
+        policy.spend()
+    for _ in range(100):
+        policy.record_arrival()
+    allowed = 0
+    while policy.has_budget():
+        policy.spend()
+        allowed += 1
+    assert 10 <= allowed <= 20
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -3,9 +3,13 @@
 from __future__ import annotations
 
 import pytest
-from helpers import MS, S, Stage, names
+from helpers import MS, START, S, Stage, names
+from mechanisms import make_context, make_endpoint
 
+from balancer.endpoints import EndpointTable
 from balancer.events import EndpointEntry, EndpointListKind, Outcome
+from balancer.in_flight import InFlightTracker
+from balancer.slow_start import SlowStart
 
 
 @pytest.mark.parametrize(("every_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
@@ -91,3 +95,19 @@
         first += [] if first[seed:] else [4 * S]
     early = sum(1 for each in first if each < 1 * S)
     assert 3 < early < 80  # some within the first second, and by no means all
+
+
+# The mechanism by itself
+
+
+def test_slow_start_capacity_grows_from_its_first_part_to_all() -> None:
+    context = make_context()
+    endpoints = EndpointTable(context)
+    slow_start = SlowStart(context, endpoints, InFlightTracker(context))
+    endpoint = make_endpoint()
+    slow_start.begin(endpoint, START)
+    assert slow_start.capacity_fraction(endpoint) == pytest.approx(0.2)
+    context.begin_event(START + 5 * S)
+    assert slow_start.capacity_fraction(endpoint) == pytest.approx(0.6)
+    context.begin_event(START + 10 * S)
+    assert slow_start.capacity_fraction(endpoint) == 1.0 and not slow_start.is_warming_up(endpoint)
