--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -1,4 +1,4 @@
-"""Magpiemux: the decisions of a sidecar balancer, by best-of-k with redraw."""
+"""Load-balancing decisions of a sidecar: events in, actions out, no I/O."""
 
 from balancer.balancer import Balancer
 from balancer.settings import Settings
--- a/balancer/actions.py
+++ b/balancer/actions.py
@@ -1,6 +1,6 @@
-"""Actions: everything that the balancer asks of the program around it.
+"""Actions: everything that the program around the balancer is to do.
 
-Times are whole microseconds.  Actions are plain slotted dataclasses; treat them as values.
+Times are integers in microseconds.  Actions are plain slotted dataclasses; treat them as values.
 """
 
 from __future__ import annotations
@@ -10,32 +10,32 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Start an attempt; a request's attempts are numbered from 0 in the order they are sent."""
+    """Send a request to an endpoint; its attempts are numbered from 0 in the order they are sent."""
 
     request: int
     server: str
     deadline: int  # clock time at which the attempt is abandoned
-    send_by: int | None = None  # and by which its first byte has to leave, or it stays unsent; None: `until`
+    send_by: int | None = None  # clock time by which its first byte has to be sent; None: `deadline`
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: refused; trying again is harmless."""
+    """Final response: rejected; a retry by the client is safe."""
 
     request: int
-    retry_after_us: int = 0
+    retry_after_us: int = 0  # 0: nothing is said
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed; nothing is promised."""
+    """Final response: failed; the request may have been executed."""
 
     request: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Abandon an attempt."""
 
     request: int
     attempt: int
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired."""
+    """Deliver a `TimerFired` with this token after the delay."""
 
     delay_us: int
     token: str
@@ -51,21 +51,21 @@
 
 @dataclass(slots=True)
 class HealthCheck:
-    """Test a server."""
+    """Check the health of an endpoint."""
 
     server: str
 
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close the idle connections to a server."""
+    """Close the idle connections to an endpoint."""
 
     server: str
 
 
 @dataclass(slots=True)
 class SendPeerMessage:
-    """Send a message to one balancer of the tier, or to all (None)."""
+    """Send a message to one balancer of the cluster, or to all (None)."""
 
     receiver: int | None
     payload: bytes
@@ -73,19 +73,19 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Subscribe to changes of the server list, or end that."""
+    """Subscribe to changes of the endpoint list, or end the subscription."""
 
     is_enabled: bool = True
 
 
 @dataclass(slots=True)
 class PollEndpoints:
-    """Ask once for the complete server list."""
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a line to the log."""
 
     text: str
 
--- a/balancer/events.py
+++ b/balancer/events.py
@@ -1,6 +1,6 @@
-"""Events: everything that the balancer is told.
+"""Events: everything that the balancer learns from the program around it.
 
-Times are whole microseconds.  Events are plain slotted dataclasses; treat them as values.
+Times are integers in microseconds.  Events are plain slotted dataclasses; treat them as values.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @unique
 class EndpointState(Enum):
-    """What the server list says of a server."""
+    """The state of an endpoint in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -21,12 +21,12 @@
 
 @unique
 class EndpointListKind(Enum):
-    """How a server list is to be read."""
+    """How the entries of an endpoint list are to be read."""
 
     CHANGES = "changes"  # changed entries only
-    COMPLETE = "complete"  # who is missing is gone
-    CACHED = "remembered"  # complete, but as last held before a restart
-    FAILED = "failed"  # a call failed or the subscription broke; nothing changes
+    COMPLETE = "complete"  # endpoints without an entry are gone
+    CACHED = "remembered"  # complete, but as last known before a restart
+    FAILED = "failed"  # a call to discovery failed or the watch broke; nothing changes
 
 
 @unique
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """A line of the server list."""
+    """An entry of the endpoint list."""
 
     server: str
     zone: str = ""
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class EndpointListReceived:
-    """The server list was heard, or a call for it failed."""
+    """An endpoint list was received, or a call for it failed."""
 
     kind: EndpointListKind
     entries: Sequence[EndpointEntry] = ()
@@ -67,24 +67,23 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request; one final answer is owed from here on."""
+    """A client's request; exactly one final response is owed from here on."""
 
     request: int
     service_class: str
     tenant: str | None
     key: int | None
     remaining_us: int
-    cost_us: int | None = None  # a hint of the work, where the client gave one
+    cost_us: int | None = None  # a hint of the processing time, where the client gave one
     is_client_retry: bool = False
     is_write: bool = False
-    is_body_streaming: bool = (
-        False  # its body is still coming, and passes through: RequestBodyCompleted begins its time
-    )
+    # Whether its body is still arriving and is streamed; `RequestBodyCompleted` then begins its deadline.
+    is_body_streaming: bool = False
 
 
 @dataclass(slots=True)
 class RequestBodyCompleted:
-    """The last byte of a request that was arriving is here; its time runs from now."""
+    """The last byte of a streamed request body has arrived; its deadline begins now."""
 
     request: int
     remaining_us: int
@@ -92,7 +91,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The streamed answer of an attempt has begun; the attempt now belongs to the client."""
+    """The streamed response of an attempt has begun; no other attempt can answer the client any more."""
 
     request: int
     attempt: int
@@ -102,37 +101,36 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended.  `answered`: the client has its final answer, by this outcome or an earlier one."""
+    """An attempt ended."""
 
     request: int
     attempt: int
     server: str
     outcome: Outcome
     elapsed_us: int
-    is_request_answered: bool
+    is_request_answered: bool  # the client has its final response, by this outcome or an earlier one
     load_report: Mapping[str, float] | None = None
-    is_body_consumed: bool = (
-        False  # of the request's body some was sent on and not kept: it can't be sent again
-    )
+    # Whether a part of the streamed request body was sent and not kept, so that it cannot be sent again.
+    is_body_consumed: bool = False
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client went away; nothing is owed any more."""
+    """The client disconnected; nothing is owed any more."""
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set earlier is due."""
+    """A timer that was set earlier is due."""
 
     token: str
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """A probe came back."""
+    """A health check ended."""
 
     server: str
     outcome: Outcome
@@ -142,24 +140,25 @@
 
 @dataclass(slots=True)
 class EndpointExcluded:
-    """The operators want nothing more sent to a server, whatever is listed, until they include it again."""
+    """Operators excluded an endpoint: it gets no requests, whatever is listed, until it is included again."""
 
     server: str
 
 
 @dataclass(slots=True)
 class EndpointIncluded:
-    """The operators want a server used again."""
+    """Operators included an endpoint again."""
 
     server: str
 
 
 @dataclass(slots=True)
 class ClusterSizeChanged:
-    """How many balancers of the tier are believed to be there, this one included; never sent: as configured.
+    """How many balancers of the cluster are believed to be present, this one included.
 
-    `present` counts those that may be there (suspected and never heard of as well), `certain` just those
-    that answered; `in_minority`: no more than half of those that did not leave by their own word are seen.
+    Until the first event of this kind, all are.  `present` includes suspected members and those never heard
+    of, `certain` just those that acknowledged; `in_minority` means that no more than half of the members that
+    did not announce their leaving are seen.
     """
 
     configured: int
@@ -170,7 +169,7 @@
 
 @dataclass(slots=True)
 class PeerMessageReceived:
-    """A message from another balancer of the tier."""
+    """A message from another balancer of the cluster."""
 
     sender: int
     payload: bytes
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,8 +1,8 @@
 """Typed settings of the balancer.
 
-Durations are whole microseconds.  Settings carry what a decision, or the program around the balancer, can
-act on; the balancer itself does not read all of them.  The names of zones and services are left out on
-purpose: a decision that followed a name would be wrong elsewhere.  How they are read from the platform's
+Durations are integers in microseconds.  Settings carry what a decision, or the program around the balancer,
+can act on; the balancer itself does not read all of them.  The names of services are left out on purpose: a
+decision that followed a name would be wrong elsewhere.  How settings are read from the platform's
 format is in `settings_wire`.
 """
 
@@ -69,11 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """One class of requests."""
+    """One class of requests and what its clients expect."""
 
     name: str
-    deadline_us: int
-    latency_objective_us: int
+    deadline_us: int  # clients give up then
+    latency_objective_us: int  # no more than the deadline
     priority_weight: float = 1.0
     late_priority_weight: float = 0.0
     idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
@@ -85,10 +85,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and what it may ask of the whole fleet."""
+    """One tenant and its quota of the fleet's capacity."""
 
     name: str
-    quota_share: float = 1.0
+    quota_share: float = 1.0  # relative to those of the other tenants
     quota_per_s: float = 0.0
 
 
@@ -106,14 +106,14 @@
     connect_timeout_us: int = 250_000
     idle_timeout_us: int = 15_000_000
     streams_per_connection: int = 1
-    max_open_requests: int | None = None  # requests held at once, kept by the sidecar; None: no limit
-    cpu_us_per_s: int | None = None  # of CPU, for the whole instance
-    cpu_us_per_request: float = 0.0  # of CPU, for a request with its outcomes, on average; 0: no limit
+    max_open_requests: int | None = None  # at once, enforced by the sidecar; None: no limit
+    cpu_us_per_s: int | None = None  # CPU time of the instance; None: no limit
+    cpu_us_per_request: float = 0.0  # average CPU time; 0: no limit
 
 
 @dataclass(frozen=True, slots=True)
 class Guarantees:
-    """The figures of the rules.  The defaults are the cautious ends."""
+    """What the platform guarantees and requires.  The defaults are the cautious ends."""
 
     response_slack_us: int = 0
     max_poll_interval_us: int = 10_000_000
@@ -122,11 +122,11 @@
     slow_start_us: int = 30_000_000
     overload_multiple: float = 1.0
     overload_window_us: int = 2_000_000
-    full_may_have_executed: bool = False  # servers may answer full for work that they had begun
-    close_idle_within_us: int | None = None  # idle connections to draining servers go; None: no such rule
+    full_may_have_executed: bool = False  # "full" does not prove that nothing was done
+    close_idle_within_us: int | None = None  # of a drain; None: not required
 
     def proves_not_executed(self, outcome: Outcome) -> bool:
-        """Whether the outcome proves that the server did nothing of the request: the one place to ask."""
+        """Whether the outcome proves that the server did nothing of the request."""
         if outcome is Outcome.FULL:
             return not self.full_may_have_executed
         return outcome in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
@@ -134,33 +134,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """What extra traffic costs, as a part of all service, mostly for one a request."""
+    """What extra work costs, as a fraction of the value of all service, mostly for one unit a request."""
 
     cross_zone: float = 0.0
     health_check: float = 0.0
     peer_message: float = 0.0  # for 256 bytes a request, delivered
-    wasted_work: float = 0.0  # for server work without an answer, as much as was asked for
+    wasted_work: float = 0.0  # server time without a response, as much as was requested
     handshake: float = 0.0
     connection: float = 0.0  # for a hundred open connections a server
-    discovery: float = 0.0  # for a hundred list lines a request
-    late_failure: float = 0.0  # for all worth ending unserved after its aim
+    discovery: float = 0.0  # for a hundred entries of endpoint lists a request
+    late_failure: float = 0.0  # for all requests failing after their latency objective
 
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """What counts how much of the whole; all zero: not told."""
+    """How the deployment is judged: the weights of its measures; all zero: not known."""
 
     total: float = 0.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
     tail: float = 0.0
-    tail_slack: float = 0.0  # the part of requests that may miss their aim before the tail shrinks
+    tail_slack: float = 0.0  # fraction of requests that may miss their objective
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an instance is told at its start."""
+    """All that an instance knows at its start."""
 
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -178,6 +178,6 @@
     guarantees: Guarantees = field(default_factory=Guarantees)
     costs: Costs = field(default_factory=Costs)
     objective: Objective = field(default_factory=Objective)
-    machine_types: tuple[str, ...] = ()  # the kinds of machines that lists may name
+    machine_types: tuple[str, ...] = ()  # that endpoint lists may name
     clients_mark_retries: bool = False
-    warm_keys: bool = False  # a server that met a key lately needs less work for it
+    warm_keys: bool = False  # a server that has met a key lately needs less time for it
