--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -16,7 +16,7 @@
 from balancer.context import DecisionContext
 from balancer.discovery_polling import DiscoveryPoller
 from balancer.endpoint_updates import EndpointUpdater
-from balancer.endpoints import Endpoint, EndpointTable
+from balancer.endpoints import Endpoint, EndpointCounts, EndpointTable
 from balancer.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -105,15 +105,13 @@
         self._set_timer()
         return self._context.actions
 
-    def members(self) -> tuple[int, int]:
+    def endpoint_counts(self) -> EndpointCounts:
         """How many endpoints are listed, and how many of these get no ordinary request now."""
-        listed = self._endpoints.listed()
-        avoided = sum(not endpoint.is_available or endpoint.ejected_until is not None for endpoint in listed)
-        return len(listed), avoided
+        return self._endpoints.counts()
 
-    def knows(self, server: str) -> bool:
-        """Whether a server was ever listed, or excluded."""
-        return server in self._endpoints.by_name
+    def knows_endpoint(self, name: str) -> bool:
+        """Whether an endpoint was ever listed, or excluded."""
+        return name in self._endpoints.by_name
 
     def _endpoint_list_received(self, event: EndpointListReceived) -> None:
         if event.kind is EndpointListKind.FAILED:
--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -5,6 +5,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from balancer.context import DecisionContext
 from balancer.events import EndpointState
 
@@ -75,6 +77,14 @@
         return self.state is EndpointState.READY and not self.is_excluded
 
 
+@dataclass(frozen=True, slots=True)
+class EndpointCounts:
+    """How many endpoints are listed, and how many of these are draining, excluded or ejected."""
+
+    listed: int
+    unavailable: int
+
+
 class ZoneLatency:
     """Sums of relative latency over the endpoints of the balancer's own zone and of all others."""
 
@@ -104,9 +114,13 @@
             endpoint = self.by_name[name] = Endpoint(name, self._context.random_stream.random())
         return endpoint
 
-    def listed(self) -> list[Endpoint]:
-        """The endpoints that are in the endpoint list, draining ones included."""
-        return [endpoint for endpoint in self.by_name.values() if endpoint.state is not EndpointState.GONE]
+    def counts(self) -> EndpointCounts:
+        """Count the endpoints of the current list, draining ones included."""
+        listed = [endpoint for endpoint in self.by_name.values() if endpoint.state is not EndpointState.GONE]
+        unavailable = sum(
+            not endpoint.is_available or endpoint.ejected_until is not None for endpoint in listed
+        )
+        return EndpointCounts(len(listed), unavailable)
 
     def refresh(self) -> None:
         """Find the available endpoints anew after states, exclusions or capacities have changed."""
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -337,10 +337,10 @@
         return self.frontend.takes_clients
 
     def figures(self) -> dict[str, object]:
-        members, unavailable = self._balancer.members()
+        counts = self._balancer.endpoint_counts()
         uploads = (each.incoming.upload for each in self._open.values() if each.client is not None)
         arriving = sum(upload is not None and not upload.is_whole for upload in uploads)
-        figures = self._telemetry.figures(self._owed - arriving, members, unavailable)
+        figures = self._telemetry.figures(self._owed - arriving, counts.listed, counts.unavailable)
         membership = self._members.figures() if self._members is not None else None
         if membership is not None:
             figures["membership"] = membership
@@ -358,7 +358,7 @@
         return self._called(member, False)
 
     def _called(self, member: str, is_out: bool) -> bool:
-        if not self._balancer.knows(member):
+        if not self._balancer.knows_endpoint(member):
             return False
         if self._handover is not None:
             self._handover.record(member, is_out, self._upstream.excluded)
--- a/testbed/model/sidecar.py
+++ b/testbed/model/sidecar.py
@@ -138,7 +138,10 @@
 
     def members(self) -> tuple[int, int] | None:
         """Servers listed, and how many of them are avoided; None where the decisions don't say."""
-        return self._policy.members() if isinstance(self._policy, Balancer) else None
+        if not isinstance(self._policy, Balancer):
+            return None
+        counts = self._policy.endpoint_counts()
+        return counts.listed, counts.unavailable
 
     def _when_running(self, act: Callable[[], None]) -> None:
         if self.is_over:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -42,7 +42,9 @@
             assert (await scene.ask("lodge")).status == 200  # a server is dialled, a newcomer is served
             scene.discovery.servers = [line("s-1", scene.servers[1].address)]
             await scene.discovery.start(port)
-            await until(lambda: scene.sidecar._balancer.members()[0] == 1)  # the list is heard again
+            await until(
+                lambda: scene.sidecar._balancer.endpoint_counts().listed == 1
+            )  # the list is heard again
             assert frontend.open_connections <= frontend._most
             assert (await scene.ask("lodge")).status == 200
             for each in idle:
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -9,6 +9,7 @@
 from loopback import OK, Heard, line, play, stage, until
 
 from balancer.actions import CloseIdleConnections, Reject
+from balancer.endpoints import EndpointCounts
 from balancer.events import (
     EndpointEntry,
     EndpointExcluded,
@@ -130,15 +131,15 @@
 def test_counts_of_members_and_of_those_avoided() -> None:
     stage = Stage()
     stage.servers(SMALL)
-    assert stage.balancer.members() == (4, 0)
+    assert stage.balancer.endpoint_counts() == EndpointCounts(4, 0)
     stage.play(EndpointExcluded(OUT))
     stage.play(EndpointExcluded(OUT))
-    assert stage.balancer.members() == (4, 1)
+    assert stage.balancer.endpoint_counts() == EndpointCounts(4, 1)
     stage.drain(SMALL[1])
-    assert stage.balancer.members() == (4, 2)
+    assert stage.balancer.endpoint_counts() == EndpointCounts(4, 2)
     stage.drain(OUT, EndpointState.GONE)
-    assert stage.balancer.members() == (3, 1)
-    assert stage.balancer.knows(OUT) and not stage.balancer.knows("unheard-of")
+    assert stage.balancer.endpoint_counts() == EndpointCounts(3, 1)
+    assert stage.balancer.knows_endpoint(OUT) and not stage.balancer.knows_endpoint("unheard-of")
 
 
 def test_idle_connections_to_it_are_closed_where_a_rule_asks_for_it() -> None:
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -314,7 +314,7 @@
             await until(lambda: len(scene.heard) == 1)
             (number,) = scene.sidecar._open
             scene.discovery.tell(line("s", slow.address))
-            await until(lambda: balancer.knows("s"))
+            await until(lambda: balancer.knows_endpoint("s"))
             scene.sidecar._carry_out(
                 SendAttempt(number, "s", 2**60)
             )  # as the decisions do for an overdue attempt
@@ -353,7 +353,7 @@
             client.send(request("amend", timeout="50"))
             await until(lambda: len(scene.heard) == 1)
             scene.discovery.tell(line("s", slow.address))
-            await until(lambda: scene.sidecar._balancer.knows("s"))
+            await until(lambda: scene.sidecar._balancer.knows_endpoint("s"))
             is_listed.set()
             await until(lambda: scene.sidecar._upstream._dialling == 1)
             answer = await client.answer()  # long before its time is up: the window is what ends it
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -12,6 +12,7 @@
 from test_evacuation import health
 
 from balancer.actions import CancelAttempt, Fail, Reject
+from balancer.endpoints import EndpointCounts
 from balancer.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -94,14 +95,14 @@
     for number in range(900, 940):
         arrive(scene, number, "look")
     scene.wait(20 * S)
-    assert scene.balancer.members() == (4, 0)
+    assert scene.balancer.endpoint_counts() == EndpointCounts(4, 0)
     for number in range(900, 940):
         scene.play(RequestBodyCompleted(number, 2 * S))
         scene.play(ResponseStarted(number, 0, scene.target(number), 0))
     scene.wait(20 * S)
     before = len(scene.said(Reject))
     scene.serve(100)
-    assert len(scene.said(Reject)) == before and scene.balancer.members() == (4, 0)
+    assert len(scene.said(Reject)) == before and scene.balancer.endpoint_counts() == EndpointCounts(4, 0)
 
 
 def test_an_answer_that_began_keeps_other_attempts_from_answering_or_being_sent() -> None:
@@ -133,7 +134,7 @@
         scene.wait(5 * S)
         scene.play(ClientDisconnected(number))
         scene.play(AttemptEnded(number, 0, scene.target(number), Outcome.CANCELLED, 5 * S, True, None, True))
-    assert scene.balancer.members() == (4, 0)
+    assert scene.balancer.endpoint_counts() == EndpointCounts(4, 0)
     last = scene.request()
     assert len(scene.sends(last)) == 1
 
