--- a/testbed/simulation/earlier_module.py
+++ b/testbed/simulation/earlier_module.py
@@ -1,7 +1,7 @@
 """Plays the decisions of an earlier commit, whose packages and message types may have their earlier names.
 
-Messages are translated by position: the renames kept the order of the fields, and an earlier class may lack
-the last ones.  Enumerations are translated by their values, which are the same.
+Messages are translated by position: the renames kept the order of the fields and of the members of
+enumerations, and an earlier class may lack the last fields.
 """
 
 from __future__ import annotations
@@ -14,6 +14,7 @@
 
 from balancer import Settings, actions
 from balancer.actions import Action
+from balancer.endpoints import EndpointCounts
 from balancer.events import Event
 
 PACKAGE = "magpiemux"  # of the decisions, in commits before the packages were named after their jobs
@@ -66,17 +67,16 @@
         earlier = self._balancer.handle(now, to_earlier(event, self._interface))
         return [_action_today(action) for action in earlier]
 
-    def members(self) -> tuple[int, int]:
-        """Count the listed servers, and those of them that are avoided."""
-        counts: tuple[int, int] = self._balancer.members()
-        return counts
+    def endpoint_counts(self) -> EndpointCounts:
+        """Count the listed endpoints, and those of them that are avoided."""
+        return EndpointCounts(*self._balancer.members())
 
 
 def to_earlier(value: Any, interface: ModuleType) -> Any:
     """Translate a message or setting, with all that it holds, into the earlier classes."""
     name = EARLIER_TYPES.get(type(value).__name__, type(value).__name__)
     if isinstance(value, Enum):
-        return getattr(interface, name)(value.value)
+        return list(getattr(interface, name))[list(type(value)).index(value)]
     if dataclasses.is_dataclass(value):
         earlier = getattr(interface, name)
         count = len(dataclasses.fields(earlier))
--- a/testbed/simulation/policies.py
+++ b/testbed/simulation/policies.py
@@ -8,6 +8,7 @@
 
 from balancer import Balancer, Settings
 from balancer.actions import Action, Fail, Reject, SendAttempt, SetTimer, WatchEndpoints
+from balancer.endpoints import EndpointCounts
 from balancer.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -33,10 +34,10 @@
 
 
 @runtime_checkable
-class CountsMembers(Protocol):
-    """A policy that says how many servers it knows, and how many of them it avoids."""
+class CountsEndpoints(Protocol):
+    """A policy that says how many endpoints it knows, and how many of them it avoids."""
 
-    def members(self) -> tuple[int, int]: ...
+    def endpoint_counts(self) -> EndpointCounts: ...
 
 
 class _Open:
--- a/testbed/simulation/sidecar.py
+++ b/testbed/simulation/sidecar.py
@@ -35,7 +35,7 @@
 from testbed.scenario.day import Day
 from testbed.simulation.clients import Clients
 from testbed.simulation.discovery import WATCH_US, ModelDiscovery
-from testbed.simulation.policies import CountsMembers, Policy
+from testbed.simulation.policies import CountsEndpoints, Policy
 from testbed.simulation.queue import Queue
 from testbed.simulation.servers import ModelServer
 
@@ -137,7 +137,10 @@
 
     def members(self) -> tuple[int, int] | None:
         """Servers listed, and how many of them are avoided; None where the decisions don't say."""
-        return self._policy.members() if isinstance(self._policy, CountsMembers) else None
+        if not isinstance(self._policy, CountsEndpoints):
+            return None
+        counts = self._policy.endpoint_counts()
+        return counts.listed, counts.unavailable
 
     def _when_running(self, act: Callable[[], None]) -> None:
         if self.is_over:
--- a/tests/balancer_vocabulary.py
+++ b/tests/balancer_vocabulary.py
@@ -25,7 +25,6 @@
     SetTimer,
     WatchEndpoints,
 )
-from balancer.adapter import Adapter, settings_from_wire
 from balancer.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -45,8 +44,10 @@
     ResponseStarted,
     TimerFired,
 )
+from balancer.settings_wire import settings_from_wire
+from balancer.simulator_adapter import SimulatorAdapter
 
-__all__ = ["Adapter", "Balancer", "begin", "counts", "event", "rendered"]
+__all__ = ["Balancer", "SimulatorAdapter", "begin", "counts", "event", "rendered"]
 
 Message = list[Any]
 
@@ -77,7 +78,8 @@
 
 def counts(balancer: Balancer) -> tuple[int, int]:
     """How many servers are listed, and how many of these are unavailable."""
-    return balancer.members()
+    counts = balancer.endpoint_counts()
+    return counts.listed, counts.unavailable
 
 
 def _listed(line: Message) -> EndpointEntry:
--- a/tests/simulator_ports.py
+++ b/tests/simulator_ports.py
@@ -20,12 +20,12 @@
     """Plays batches through the adapter, as the simulator would."""
 
     def __init__(self) -> None:
-        self._adapter = vocabulary.Adapter()
+        self._adapter = vocabulary.SimulatorAdapter()
 
     def exchange(self, now: int, batch: list[Message]) -> list[str]:
         for message in (["FRAME", now], *batch):
-            assert self._adapter.line(json.dumps(message)) is None
-        reply = self._adapter.line('["COMMIT"]')
+            assert self._adapter.receive_line(json.dumps(message)) is None
+        reply = self._adapter.receive_line('["COMMIT"]')
         assert reply is not None
         return reply
 
