--- a/fuzz/fuzz_rollout.py
+++ b/fuzz/fuzz_rollout.py
@@ -15,10 +15,10 @@
 sys.path[:0] = [str(ROOT)]
 
 with atheris.instrument_imports(include=["sidecar.cluster"]):
-    from sidecar.cluster.answer import Look
     from sidecar.cluster.member_table import MemberTable
     from sidecar.cluster.message import MAX_MEMBERS
     from sidecar.cluster.rollout import Rollout
+    from sidecar.cluster.rollout_actions import ReadConfiguration
     from sidecar.cluster.settings import RolloutSettings
 
 SIZE = 5
@@ -33,16 +33,16 @@
         sender, length = data[0] % (SIZE + 1), data[1]
         payload, data = data[2 : 2 + length], data[2 + length :]
         now += 50_000
-        before, dropped = member.tally, member.dropped.total()
-        out = member.heard(now, sender, payload)
+        before, dropped = member.round, member.dropped.total()
+        out = member.datagram_received(now, sender, payload)
         if member.dropped.total() > dropped and not out:
-            assert member.tally == before, payload
+            assert member.round == before, payload
         out += member.tick(now + 20_000)
         assert member.version == 1 and len(member.dropped) <= 7 and len(out) <= 16
-        assert member.tally.has < 1 << MAX_MEMBERS and member.tally.said_behind < 1 << MAX_MEMBERS
+        assert member.round.in_force < 1 << MAX_MEMBERS and member.round.reported_behind < 1 << MAX_MEMBERS
         assert all(len(getattr(each, "payload", b"")) <= 256 for each in out)
-        looks += sum(isinstance(each, Look) for each in out)
-        assert member.answer(now).asked == SIZE
+        looks += sum(isinstance(each, ReadConfiguration) for each in out)
+        assert member.status(now).required_count == SIZE
     assert looks <= 2 + now / 250_000
 
 
--- /dev/null
+++ b/sidecar/cluster/configuration_file_checks.py
@@ -0,0 +1,48 @@
+"""When to read the configuration file again, while it lacks the newest version."""
+
+from __future__ import annotations
+
+from sidecar.cluster.rollout_state import RolloutState
+
+_FIRST_INTERVAL_US = 250_000  # doubled at each check ...
+_MAX_INTERVAL_US = 4_000_000  # ... up to this
+_MISSING_AFTER_US = 60_000_000  # the version is reported missing, ...
+_MISSING_INTERVAL_US = 60_000_000  # ... and checked for this often
+
+
+class ConfigurationFileChecks:
+    """Schedules the checks of one member.  All times are microseconds."""
+
+    def __init__(self, state: RolloutState, now: int) -> None:
+        self._state = state
+        self.next_at: int | None = None  # None: the newest version is in force here
+        self._last_at = now - _FIRST_INTERVAL_US
+        self._interval_us = _FIRST_INTERVAL_US
+        self._is_missing = False
+
+    def start(self, now: int) -> None:
+        """Another member has a newer version: check soon, but not all members at once."""
+        self._is_missing = False
+        self._interval_us = _FIRST_INTERVAL_US
+        spread_us = int(self._state.settings.spread_s * 1e6 * self._state.random.random())
+        self.next_at = max(now + spread_us, self._last_at + _FIRST_INTERVAL_US)
+
+    def stop(self) -> None:
+        self.next_at = None
+
+    def is_due(self, now: int) -> bool:
+        return self.next_at is not None and self.next_at <= now
+
+    def becomes_missing(self, now: int) -> bool:
+        """Whether the version is to be reported missing now; true once after each `start`."""
+        if self._is_missing or now - self._state.newest_heard_at < _MISSING_AFTER_US:
+            return False
+        self._is_missing = True
+        return True
+
+    def checked(self, now: int) -> None:
+        """The file is read now: schedule the next check, ever later."""
+        self._last_at = now
+        interval_us = _MISSING_INTERVAL_US if self._is_missing else self._interval_us
+        self.next_at = now + self._state.jittered(interval_us)
+        self._interval_us = min(2 * self._interval_us, _MAX_INTERVAL_US)
--- a/sidecar/cluster/rollout.py
+++ b/sidecar/cluster/rollout.py
@@ -1,41 +1,31 @@
-"""Which version of the configuration is in force where, as one sidecar knows it; no I/O.
+"""Which configuration version is in force where, as one sidecar sees it: events in, actions out, no I/O.
 
-Members compare versions by rumour mongering (a newer one is pushed at once to a few) and anti-entropy (each
-asks one other after a while, and both then hold what either did).  What they hold is the tally of one wave; a
-wave begins anew every so often, so who has gone back or has been replaced falls out of it.
-docs/rollout.md says what is promised.
+Members aggregate in rounds who has the newest version in force.  A round starts anew every so often, so that
+a member that went back to an older version, or was replaced, drops out of it.  docs/rollout.md states the
+guarantees.
 """
 
 from __future__ import annotations
 
-import math
 import random
 from collections import Counter
 
-from sidecar.cluster.actions import ScheduleTick, SendDatagram
-from sidecar.cluster.answer import MOST_NAMED, Ambiguous, Answer, Forgotten, Look, Missing, Settled, Step
-from sidecar.cluster.exchange import LAST_WAVE, Kind, read, write
+from sidecar.cluster.actions import ScheduleTick
+from sidecar.cluster.aggregation import AggregationRound
+from sidecar.cluster.configuration_file_checks import ConfigurationFileChecks
+from sidecar.cluster.member_set import member_bit
 from sidecar.cluster.member_table import MemberTable
-from sidecar.cluster.message import DropReason, InvalidDatagram, MemberState, cluster_id
-from sidecar.cluster.rate_limiter import RateLimiter
+from sidecar.cluster.message import DropReason, InvalidDatagram, cluster_id
+from sidecar.cluster.rollout_actions import ReadConfiguration, RolloutAction, VersionForgotten, VersionMissing
+from sidecar.cluster.rollout_exchanges import RolloutExchanges
+from sidecar.cluster.rollout_message import MAX_ROUND_NUMBER, ExchangeKind, RolloutMessage, decode
+from sidecar.cluster.rollout_reports import RolloutReports
+from sidecar.cluster.rollout_state import RolloutState
+from sidecar.cluster.rollout_status import RolloutStatus, rollout_status
 from sidecar.cluster.settings import RolloutSettings
-from sidecar.cluster.tally import PIECE, Tally, bit, members
-
-_MOST_PER_S = 10.0  # datagrams in all, whatever comes; six seconds' worth may be saved up
-_HURRY_US = 250_000  # between two exchanges while a new version spreads
-_HURRIES_FOR_US = 10_000_000  # since it was heard of
-_QUIET = 4  # exchanges in a row that brought nothing new: then only the beat is kept
-_BEAT = 5  # periods between two exchanges where there is nothing new
-_TRIES = (
-    8  # draws of a partner; each so many-th exchange may also go to one called dead, as a cut may be over
-)
-_FILLS = 2.0  # rounds that a wave takes to fill, times log2 of the size, by push and pull ...
-_FILLS_MORE = 6.0  # ... and the last few
-_OLD = 3  # waves after which a tally is nobody's word any more
-_LOOK_US = 250_000  # between two looks at the file at first, doubled each time ...
-_LOOK_MOST_US = 4_000_000  # ... up to this
-_LOOKS_FOR_US = 60_000_000  # then it is said so
-_LOOK_SELDOM_US = 60_000_000  # and looked so often
+
+_FIRST_ROUND = 1
+_OBSOLETE_ROUNDS = 3  # a round that started this many intervals ago is not taken any more
 
 
 class Rollout:
@@ -43,8 +33,8 @@
 
     def __init__(
         self,
-        me: int,
-        tier: str,
+        number: int,
+        cluster: str,
         table: MemberTable,
         settings: RolloutSettings,
         rng: random.Random,
@@ -53,302 +43,238 @@
         digest: int,
     ) -> None:
         """`table` is membership's, read only; `version` is in force, with contents of this digest."""
-        self.me = me
-        self.version, self.digest = version, digest
-        self.heard_from = me  # who told of the newest version first
-        self.heard_at = now
-        self.dropped: Counter[DropReason] = Counter()  # datagrams that were not taken, by reason
-        self._tier = cluster_id(tier)
-        self._table, self._settings, self._random = table, settings, rng
-        self.tally = self._fresh(version, 1, me, now)
-        self._before: Tally | None = None  # of the last wave of this version that had its time
-        self._forgotten: tuple[int, int] | None = None
-        self._corrected_at: int | None = None  # when a wave was begun because of a false word on oneself
-        self._limiter = RateLimiter(now, _MOST_PER_S, 0.0)
-        self._quiet = 0  # exchanges in a row that brought nothing new
-        self._exchanges = 0
-        self._next_ask = now
-        self._look_at: int | None = None  # None: this sidecar has the newest version that it heard of
-        self._looked_at = now - _LOOK_US
-        self._look_wait = _LOOK_US
-        self._has_missed = False
-        self._settled = -1  # the version that was last said to be in force everywhere, ...
-        self._not_settled = -1  # ... or not to be after its time
-        self._told_ambiguous = -1
-        self._out: list[Step] = []
+        self.dropped: Counter[DropReason] = Counter()
+        self._cluster = cluster_id(cluster)
+        first_round = AggregationRound(version, _FIRST_ROUND, number, now).with_in_force(number, digest)
+        self._state = RolloutState(
+            number, table, settings, rng, version, digest, now, newest_heard_from=number, round=first_round
+        )
+        self._exchanges = RolloutExchanges(self._state, self._cluster, now)
+        self._file_checks = ConfigurationFileChecks(self._state, now)
+        self._reports = RolloutReports(self._state)
+        self._forgotten_version: VersionForgotten | None = None  # to be reported
+        self._forgotten_round: tuple[int, int] | None = None
+        self._corrected_at: int | None = None  # when a round was started because of a wrong one
 
     # Events
 
-    def start(self, now: int) -> list[Step]:
-        """Ask somebody at once: this process may be back with an older file."""
-        self._ask(now)
-        return self._done(now)
+    def start(self, now: int) -> list[RolloutAction]:
+        """Exchange at once: this process may have started with an older file."""
+        self._begin_exchange(now)
+        return self._finish_event(now)
 
-    def heard(self, now: int, sender: int, payload: bytes) -> list[Step]:
-        """A datagram came from the address of a member."""
+    def datagram_received(self, now: int, sender: int, payload: bytes) -> list[RolloutAction]:
+        """A datagram came from the address of the member `sender`."""
         try:
-            if not 0 <= sender < len(self._table) or sender == self.me:
-                raise InvalidDatagram(DropReason.UNKNOWN_SENDER)
-            given = read(payload, self._tier, sender)
+            message = self._decode(sender, payload)
         except InvalidDatagram as invalid:
             self.dropped[invalid.reason] += 1
             return []
-        theirs = given.tally(now)
-        if now - theirs.began > _OLD * self.wave_us or theirs.key == self._forgotten:
+        remote = message.aggregation_round(now)
+        is_obsolete = now - remote.started_at > _OBSOLETE_ROUNDS * self.round_interval_us
+        if is_obsolete or remote.key == self._forgotten_round:
             self.dropped[DropReason.TOO_OLD] += 1
-            return self._done(now)
-        self._merge(now, sender, theirs)
-        if given.kind is Kind.ASK and self._lacks(theirs, given.piece):
-            self._send(now, sender, Kind.TELL, given.piece, owed=True)
-        return self._done(now)
-
-    def tick(self, now: int) -> list[Step]:
-        """The time that the last ScheduleTick named has come, or passed."""
-        self._follow_wave(now)
-        if self._next_ask <= now:
-            self._ask(now)
-        return self._done(now)
-
-    def in_force(self, now: int, version: int, digest: int) -> list[Step]:
-        """This sidecar's file was taken over; a lower version than that in force changes nothing."""
+            return self._finish_event(now)
+        self._merge(now, sender, remote)
+        if message.kind is ExchangeKind.PUSH_PULL:
+            self._exchanges.reply(now, sender, remote, message.chunk)
+        return self._finish_event(now)
+
+    def tick(self, now: int) -> list[RolloutAction]:
+        """The time of the last ScheduleTick has come, or passed."""
+        self._follow_round(now)
+        if self._exchanges.next_at <= now:
+            self._begin_exchange(now)
+        return self._finish_event(now)
+
+    def configuration_applied(self, now: int, version: int, digest: int) -> list[RolloutAction]:
+        """This sidecar's file was applied; a lower version than that in force changes nothing."""
         if not self.permits(version):
             return []
-        self.version, self.digest = version, digest
-        if version > self.tally.version:
-            self._newer(now, self.me, self._fresh(version, 1, self.me, now))
-        elif version == self.tally.version:
-            self._take(now, self.tally.marked(self.me, digest))
-        if version == self.tally.version:
-            self._look_at = None
-        return self._done(now)
-
-    def waiting(self, now: int, version: int) -> list[Step]:
-        """This sidecar's file has this version, but a part of it waits for a restart: it is not in force."""
-        if version > self.tally.version:
-            self._newer(now, self.me, Tally(version, 1, self.me, now))
-        return self._done(now)
-
-    def configure(self, now: int, settings: RolloutSettings) -> list[Step]:
-        """Other settings from now on; who the others are is read from membership's table."""
-        self._settings = settings
-        self._next_ask = min(self._next_ask, now + self._period_us)
-        return self._done(now)
+        state = self._state
+        state.version, state.digest = version, digest
+        if version > state.round.version:
+            self._start_newer_version(
+                now, state.number, self._own_round(version, _FIRST_ROUND, state.number, now)
+            )
+        elif state.has_newest:
+            self._replace_round(now, state.round.with_in_force(state.number, digest))
+        if state.has_newest:
+            self._file_checks.stop()
+        return self._finish_event(now)
+
+    def configuration_pending(self, now: int, version: int) -> list[RolloutAction]:
+        """This sidecar's file has this version, but a part of it takes a restart: it is not in force."""
+        if version > self._state.round.version:
+            empty = AggregationRound(version, _FIRST_ROUND, self._state.number, now)
+            self._start_newer_version(now, self._state.number, empty)
+        return self._finish_event(now)
+
+    def configure(self, now: int, settings: RolloutSettings) -> list[RolloutAction]:
+        """Apply other settings; which members there are is read from membership's table."""
+        self._state.settings = settings
+        self._exchanges.schedule_within(now, self._state.exchange_period_us)
+        return self._finish_event(now)
 
     def permits(self, version: int) -> bool:
-        """Whether a file of this version may be taken over: there is no way back but a newer version."""
-        return version >= self.version
+        """Whether a file of this version may be applied: never one older than the version in force."""
+        return version >= self._state.version
 
     # What is known
 
     @property
-    def wave_us(self) -> int:
-        """From the beginning of a wave to that of the next: as set, longer where it could not fill."""
-        return max(int(self._settings.wave_s * 1e6), 2 * self._fill_us)
-
-    def answer(self, now: int) -> Answer:
-        """Whether the newest version heard of is in force everywhere, by the last wave that can say so."""
-        size = self._table.size()
-        needed, dead = 0, 0
-        for number, member in enumerate(self._table.records):
-            if not member.has_ended:
-                needed |= bit(number)
-            elif member.state is MemberState.DEAD:
-                dead |= bit(number)
-        if size.is_in_minority:
-            needed |= dead  # it is rather this copy that is cut off: their word is lacking
-        tally, has, behind = self.tally, self.tally.has, self.tally.behind
-        low, high = tally.low, tally.high
-        if self._before is not None and needed & ~has and now - tally.began < self._fill_us:
-            # The present wave has not had its time; what was said in it already goes before.
-            tally = self._before
-            has |= tally.has & ~behind
-            behind |= tally.behind & ~has
-            low, high = min(low, tally.low), max(high, tally.high)
-        behind &= needed
-        unheard = needed & ~has & ~behind
-        everywhere = False if behind else None if unheard or size.is_in_minority else True
-        return Answer(
-            self.tally.version,
-            everywhere,
-            (has & needed).bit_count(),
-            needed.bit_count(),
-            tuple(members(behind, MOST_NAMED)),
-            behind.bit_count(),
-            tuple(members(unheard, MOST_NAMED)),
-            unheard.bit_count(),
-            low,
-            high,
-            tally.wave,
-            now - tally.began,
-        )
+    def version(self) -> int:
+        """The version in force here."""
+        return self._state.version
 
-    # The tally
+    @property
+    def digest(self) -> int:
+        """Of the contents in force here."""
+        return self._state.digest
 
-    def _fresh(self, version: int, wave: int, by: int, now: int) -> Tally:
-        """An empty tally, but for this member's own word."""
-        return self._own(Tally(version, wave, by, now))
+    @property
+    def round(self) -> AggregationRound:
+        """The latest aggregation round, about the newest version that was heard of."""
+        return self._state.round
 
-    def _own(self, tally: Tally) -> Tally:
-        return tally.marked(self.me, self.digest) if tally.version == self.version else tally
+    @property
+    def newest_heard_at(self) -> int:
+        return self._state.newest_heard_at
+
+    @property
+    def newest_heard_from(self) -> int:
+        return self._state.newest_heard_from
 
-    def _merge(self, now: int, sender: int, theirs: Tally) -> None:
-        if theirs.version > self.tally.version:
-            self._newer(now, sender, theirs)
-        elif theirs.key >= self.tally.key:
-            self._take(now, self._own(self.tally.merged(theirs)))
-        if self.tally.version != self.version and self.tally.has & bit(self.me):
+    @property
+    def round_interval_us(self) -> int:
+        """From the start of a round to that of the next."""
+        return self._state.round_interval_us
+
+    def status(self, now: int) -> RolloutStatus:
+        """Whether the newest version that was heard of is in force everywhere."""
+        return rollout_status(self._state, now)
+
+    # Rounds
+
+    def _own_round(self, version: int, number: int, first_reported_by: int, now: int) -> AggregationRound:
+        """A new round, with this member's own word if it has the version in force."""
+        return self._with_own_word(AggregationRound(version, number, first_reported_by, now))
+
+    def _with_own_word(self, round_: AggregationRound) -> AggregationRound:
+        if round_.version != self._state.version:
+            return round_
+        return round_.with_in_force(self._state.number, self._state.digest)
+
+    def _next_round(self, now: int) -> AggregationRound:
+        current = self._state.round
+        return self._own_round(current.version, current.number + 1, current.first_reported_by, now)
+
+    def _merge(self, now: int, sender: int, remote: AggregationRound) -> None:
+        state = self._state
+        if remote.version > state.round.version:
+            self._start_newer_version(now, sender, remote)
+        elif remote.key >= state.round.key:
+            self._replace_round(now, self._with_own_word(state.round.merged_with(remote)))
+        if not state.has_newest and state.round.in_force & member_bit(state.number):
             self._correct(now)
 
-    def _newer(self, now: int, sender: int, tally: Tally) -> None:
-        """A version that is news: pushed on to a few, and looked for in the file."""
-        self.heard_at, self.heard_from = now, sender
-        self._before = None
-        self._take(now, tally)
-        self._next_ask = min(self._next_ask, now + int(_HURRY_US * self._random.random()))
-        partners = {self._partner() for _ in range(self._settings.fanout)} - {None, sender}
-        for partner in partners:
-            self._send(now, partner, Kind.TELL, self.me // PIECE)
-        if tally.version != self.version:
-            self._has_missed = False
-            self._look_wait = _LOOK_US
-            spread = int(self._settings.spread_s * 1e6 * self._random.random())
-            self._look_at = max(now + spread, self._looked_at + _LOOK_US)
-
-    def _take(self, now: int, tally: Tally) -> None:
-        """Hold this tally; if it says anything new, others have to hear of it soon."""
-        before, self.tally = self.tally, tally
-        if before.is_same(tally):
+    def _start_newer_version(self, now: int, sender: int, round_: AggregationRound) -> None:
+        """A version that is news: pushed on to a few members, and looked for in the file."""
+        state = self._state
+        state.newest_heard_at, state.newest_heard_from = now, sender
+        state.previous_round = None
+        self._replace_round(now, round_)
+        self._exchanges.push_newer_version(now, sender)
+        if not state.has_newest:
+            self._file_checks.start(now)
+
+    def _replace_round(self, now: int, round_: AggregationRound) -> None:
+        """Keep this round; if it says anything new, others have to hear of it soon."""
+        state = self._state
+        replaced, state.round = state.round, round_
+        if replaced.says_same_as(round_):
             return
-        if before.version == tally.version and before.wave != tally.wave:
-            if now - before.began >= self._fill_us:
-                self._before = before
-        self._quiet = 0
-        self._next_ask = min(self._next_ask, now + self._spread(self._pace(now)))
+        is_next_round = replaced.version == round_.version and replaced.number != round_.number
+        if is_next_round and now - replaced.started_at >= state.round_fill_us:
+            state.previous_round = replaced
+        self._exchanges.round_changed(now)
 
     def _correct(self, now: int) -> None:
-        """The tally says that this member has a version that it has not, as before a restart: begin anew."""
-        at = self._corrected_at
-        if (at is None or now - at >= self.wave_us) and self.tally.wave < LAST_WAVE:
-            self._corrected_at = now
-            fresh = self._fresh(self.tally.version, self.tally.wave + 1, self.tally.by, now)
-            self._take(now, fresh.marked_behind(self.me))
-
-    def _follow_wave(self, now: int) -> None:
-        """Begin the next wave, or forget a version that nobody speaks for."""
-        tally, age = self.tally, now - self.tally.began
-        if tally.version == self.version and tally.wave < LAST_WAVE:
-            if age >= self.wave_us:
-                self._take(now, self._fresh(tally.version, tally.wave + 1, tally.by, now))
-        elif age >= _OLD * self.wave_us:
-            self._forgotten = tally.key
-            if tally.version != self.version:
-                self._out.append(Forgotten(tally.version, tally.by))
-            self._before, self._look_at = None, None
-            self.heard_at, self.heard_from = now, self.me
-            self._take(now, self._fresh(self.version, 1, self.me, now))
-
-    # Exchanges
+        """Start a new round: the latest one says wrongly that this member has the version in force.
 
-    @property
-    def _period_us(self) -> int:
-        return int(1e6 / self._settings.datagrams_per_s)
+        It did before a restart, for example.
+        """
+        is_recent = self._corrected_at is not None and now - self._corrected_at < self.round_interval_us
+        if not is_recent and self._state.round.number < MAX_ROUND_NUMBER:
+            self._corrected_at = now
+            self._replace_round(now, self._next_round(now).with_behind(self._state.number))
 
-    @property
-    def _fill_us(self) -> int:
-        """How long a wave takes at rest until everybody's word is everywhere."""
-        rounds = _FILLS * math.log2(len(self._table) + 1) + _FILLS_MORE
-        return int(rounds * self._pieces * self._period_us)
+    def _follow_round(self, now: int) -> None:
+        """Start the next round, or forget a version for which nobody starts one."""
+        age_us = now - self._state.round.started_at
+        if self._starts_next_round:
+            if age_us >= self.round_interval_us:
+                self._replace_round(now, self._next_round(now))
+        elif age_us >= _OBSOLETE_ROUNDS * self.round_interval_us:
+            self._forget_version(now)
 
     @property
-    def _pieces(self) -> int:
-        return (len(self._table) + PIECE - 1) // PIECE
-
-    def _pace(self, now: int) -> int:
-        """Until the next exchange."""
-        is_quiet = self._quiet >= _QUIET * self._pieces
-        if now - self.heard_at < _HURRIES_FOR_US and (self._settled != self.tally.version or not is_quiet):
-            return min(_HURRY_US, self._period_us)
-        return self._period_us * (_BEAT if is_quiet else 1)
-
-    def _spread(self, span_us: int) -> int:
-        return int(span_us * (0.8 + 0.4 * self._random.random()))
-
-    def _partner(self) -> int | None:
-        """Anybody of the others; None if none was drawn."""
-        size = len(self._table)
-        anybody = self._exchanges % _TRIES == 0
-        for _ in range(_TRIES if size > 1 else 0):
-            member = self._random.randrange(size)
-            if member != self.me and (anybody or not self._table[member].has_ended):
-                return member
-        return None
-
-    def _ask(self, now: int) -> None:
-        if self.tally.version != self.version:
-            self.tally = self.tally.marked_behind(self.me)
-        self._exchanges += 1
-        self._send(now, self._partner(), Kind.ASK, self._exchanges % self._pieces)
-        self._quiet += 1
-        self._next_ask = now + self._spread(self._pace(now))
-
-    def _lacks(self, theirs: Tally, piece: int) -> bool:
-        """Whether an asker with this piece lacks anything that is held here."""
-        own = self.tally
-        if own.key != theirs.key:
-            return own.key > theirs.key
-        same = (own.by, own.low, own.high) == (theirs.by, theirs.low, theirs.high)
-        return not same or own.piece(piece) != theirs.piece(piece)
-
-    def _send(self, now: int, receiver: int | None, kind: Kind, piece: int, owed: bool = False) -> None:
-        if receiver is not None and self._limiter.try_acquire(now, owed):
-            self._out.append(SendDatagram(receiver, write(self._tier, self.me, kind, self.tally, piece, now)))
-
-    # The file
-
-    def _follow_file(self, now: int) -> list[Step]:
-        """Look at the file while it lacks the newest version: soon at first, then ever more seldom."""
-        if self._look_at is None or self._look_at > now:
-            return []
-        since = now - self.heard_at
-        if since >= _LOOKS_FOR_US and not self._has_missed:
-            self._has_missed = True
-            self._out.append(Missing(self.tally.version, self.tally.by, since))
-        self._looked_at = now
-        self._look_at = now + self._spread(_LOOK_SELDOM_US if self._has_missed else self._look_wait)
-        self._look_wait = min(2 * self._look_wait, _LOOK_MOST_US)
-        return [Look()]
-
-    # What there is to say
-
-    def _say(self, now: int) -> None:
-        tally = self.tally
-        if tally.is_ambiguous and self._told_ambiguous != tally.version:
-            self._told_ambiguous = tally.version
-            self._out.append(Ambiguous(tally.version, tally.low, tally.high))
-        if self._settled == tally.version:
-            return
-        may_be = tally.has.bit_count() >= self._table.size().at_most
-        is_late = now - self.heard_at >= self.wave_us and self._not_settled != tally.version
-        if not (may_be or is_late):
-            return
-        answer = self.answer(now)
-        if answer.everywhere:
-            self._settled = tally.version
-        elif is_late:
-            self._not_settled = tally.version
-        else:
-            return
-        self._out.append(Settled(now - self.heard_at, answer))
-
-    def _done(self, now: int) -> list[Step]:
-        """Give what came of an event, the next time to be woken, and last whether to look at the file."""
-        self._say(now)
-        is_mine = self.tally.version == self.version and self.tally.wave < LAST_WAVE
-        dues = [self._next_ask, self.tally.began + (1 if is_mine else _OLD) * self.wave_us]
-        if self.tally.version not in (self._settled, self._not_settled):
-            dues.append(self.heard_at + self.wave_us)
-        looks = self._follow_file(now)
-        if self._look_at is not None:
-            dues.append(self._look_at)
-        out, self._out = [*self._out, ScheduleTick(max(min(dues), now)), *looks], []
-        return out
+    def _starts_next_round(self) -> bool:
+        return self._state.has_newest and self._state.round.number < MAX_ROUND_NUMBER
+
+    def _forget_version(self, now: int) -> None:
+        state = self._state
+        self._forgotten_round = state.round.key
+        if not state.has_newest:
+            self._forgotten_version = VersionForgotten(state.round.version, state.round.first_reported_by)
+        state.previous_round = None
+        self._file_checks.stop()
+        state.newest_heard_at, state.newest_heard_from = now, state.number
+        self._replace_round(now, self._own_round(state.version, _FIRST_ROUND, state.number, now))
+
+    # Datagrams
+
+    def _decode(self, sender: int, payload: bytes) -> RolloutMessage:
+        if not 0 <= sender < len(self._state.table) or sender == self._state.number:
+            raise InvalidDatagram(DropReason.UNKNOWN_SENDER)
+        return decode(payload, self._cluster, sender)
+
+    def _begin_exchange(self, now: int) -> None:
+        state = self._state
+        if not state.has_newest:
+            state.round = state.round.with_behind(state.number)
+        self._exchanges.begin(now)
+
+    # Actions
+
+    def _finish_event(self, now: int) -> list[RolloutAction]:
+        """Return the event's actions; the last ones schedule the next tick and read the file."""
+        actions: list[RolloutAction] = []
+        if self._forgotten_version is not None:
+            actions.append(self._forgotten_version)
+            self._forgotten_version = None
+        actions += self._exchanges.drain()
+        actions += self._reports.due(now)
+        # As of before the file is checked: a check replaces its own deadline alone.
+        deadlines = self._deadlines()
+        is_check_due = self._file_checks.is_due(now)
+        if is_check_due:
+            if self._file_checks.becomes_missing(now):
+                round_, elapsed_us = self._state.round, now - self._state.newest_heard_at
+                actions.append(VersionMissing(round_.version, round_.first_reported_by, elapsed_us))
+            self._file_checks.checked(now)
+        if self._file_checks.next_at is not None:
+            deadlines.append(self._file_checks.next_at)
+        actions.append(ScheduleTick(max(min(deadlines), now)))
+        if is_check_due:
+            actions.append(ReadConfiguration())
+        return actions
+
+    def _deadlines(self) -> list[int]:
+        """When the next exchange, round and report are due."""
+        intervals = 1 if self._starts_next_round else _OBSOLETE_ROUNDS
+        round_ends_at = self._state.round.started_at + intervals * self.round_interval_us
+        deadlines = [self._exchanges.next_at, round_ends_at]
+        if self._reports.deadline is not None:
+            deadlines.append(self._reports.deadline)
+        return deadlines
--- a/sidecar/cluster/settings.py
+++ b/sidecar/cluster/settings.py
@@ -52,7 +52,7 @@
     on: bool = True  # only where the file has a `version`, and membership is on
     datagrams_per_s: float = 1.0  # exchanges begun while there is news; a fifth of it where there is none
     fanout: int = 3  # members that a newer version is pushed to at once
-    wave_s: float = 30.0  # a tally begins anew so often; longer where the tier is too large for it
+    wave_s: float = 30.0  # an aggregation round starts this often; less often in large clusters
     spread_s: float = 1.0  # each reads its file within so long of hearing: not all call discovery at once
     digest_of: tuple[str, ...] = TAKEN_OVER  # keys that all files of one version have alike
 
--- a/sidecar/rollout.py
+++ b/sidecar/rollout.py
@@ -10,11 +10,19 @@
 
 from sidecar.clock import Alarm, Clock
 from sidecar.cluster.actions import ScheduleTick, SendDatagram
-from sidecar.cluster.answer import Ambiguous, Answer, Forgotten, Look, Missing, Settled, Step
-from sidecar.cluster.exchange import is_exchange
 from sidecar.cluster.member_table import MemberTable
 from sidecar.cluster.membership import Membership
 from sidecar.cluster.rollout import Rollout
+from sidecar.cluster.rollout_actions import (
+    AmbiguousVersion,
+    ReadConfiguration,
+    RolloutAction,
+    RolloutConcluded,
+    VersionForgotten,
+    VersionMissing,
+)
+from sidecar.cluster.rollout_message import is_rollout_message
+from sidecar.cluster.rollout_status import RolloutStatus
 from sidecar.config import Config
 from sidecar.peers import Peers
 
@@ -78,16 +86,16 @@
         else:
             steps = self._rollout.configure(now, settings)
             if is_whole:
-                steps += self._rollout.in_force(now, version, config.digest)
+                steps += self._rollout.configuration_applied(now, version, config.digest)
             else:
-                steps += self._rollout.waiting(now, version)
+                steps += self._rollout.configuration_pending(now, version)
             self._carry_out(steps)
 
     def heard(self, sender: int, payload: bytes) -> bool:
         """Take a datagram from a member; no if it is none about versions, or these are not compared."""
-        if self._rollout is None or not is_exchange(payload):
+        if self._rollout is None or not is_rollout_message(payload):
             return False
-        self._play(lambda rollout, now: rollout.heard(now, sender, payload))
+        self._play(lambda rollout, now: rollout.datagram_received(now, sender, payload))
         return True
 
     def close(self) -> None:
@@ -101,25 +109,25 @@
         if rollout is None:
             return None
         now = self._clock.now()
-        answer = rollout.answer(now)
+        answer = rollout.status(now)
         return {
             "version": rollout.version,
             "digest": f"{rollout.digest:08x}",
             "newest_heard": answer.version,
-            "newest_heard_from": rollout.heard_from,
-            "newest_first_said_by": rollout.tally.by,
-            "newest_heard_s_ago": round((now - rollout.heard_at) / 1e6, 1),
-            "in_force_everywhere": answer.everywhere,
-            "in_force": answer.count,
-            "asked": answer.asked,
+            "newest_heard_from": rollout.newest_heard_from,
+            "newest_first_said_by": rollout.round.first_reported_by,
+            "newest_heard_s_ago": round((now - rollout.newest_heard_at) / 1e6, 1),
+            "in_force_everywhere": answer.is_in_force_everywhere,
+            "in_force": answer.in_force_count,
+            "asked": answer.required_count,
             "behind": list(answer.behind),
             "behind_count": answer.behind_count,
-            "unheard": list(answer.unheard),
-            "unheard_count": answer.unheard_count,
+            "unheard": list(answer.missing),
+            "unheard_count": answer.missing_count,
             "ambiguous": answer.is_ambiguous,
-            "digests": [f"{each:08x}" for each in sorted({answer.low, answer.high})],
-            "wave": answer.wave,
-            "age_s": round(answer.age_us / 1e6, 1),
+            "digests": [f"{each:08x}" for each in sorted({answer.min_digest, answer.max_digest})],
+            "wave": answer.round_number,
+            "age_s": round(answer.round_age_us / 1e6, 1),
             "refused": self._refused,
             "dropped": {reason.value: count for reason, count in rollout.dropped.items()},
         }
@@ -127,7 +135,7 @@
     def _tick(self) -> None:
         self._play(Rollout.tick)
 
-    def _play(self, event: Callable[[Rollout, int], list[Step]]) -> None:
+    def _play(self, event: Callable[[Rollout, int], list[RolloutAction]]) -> None:
         """Bring an event to the rollout; live on after a defect in it."""
         rollout, now = self._rollout, self._clock.now()
         if rollout is None:
@@ -139,19 +147,19 @@
             if not self._alarm.is_set:
                 self._alarm.at(now + _AGAIN_US)
 
-    def _carry_out(self, steps: list[Step]) -> None:
+    def _carry_out(self, steps: list[RolloutAction]) -> None:
         for each in steps:
             match each:
                 case SendDatagram():
                     self._peers.tell(each.receiver, each.payload)
                 case ScheduleTick():
                     self._alarm.at(each.at)
-                case Look():
+                case ReadConfiguration():
                     self._look()
-                case Settled() | Ambiguous() | Missing() | Forgotten():
+                case RolloutConcluded() | AmbiguousVersion() | VersionMissing() | VersionForgotten():
                     self._say(each)
 
-    def _say(self, what: Settled | Ambiguous | Missing | Forgotten) -> None:
+    def _say(self, what: RolloutConcluded | AmbiguousVersion | VersionMissing | VersionForgotten) -> None:
         now = self._clock.now()
         passed_s, self._lines_at = (now - self._lines_at) / 1e6, now
         self._lines = min(self._lines + passed_s * _LINES_PER_S, _LINES_AT_ONCE)
@@ -160,25 +168,28 @@
             self._log(_worded(what))
 
 
-def _worded(what: Settled | Ambiguous | Missing | Forgotten) -> str:
+def _worded(what: RolloutConcluded | AmbiguousVersion | VersionMissing | VersionForgotten) -> str:
     match what:
-        case Settled(after_us, answer):
+        case RolloutConcluded(after_us, answer):
             return _settled(after_us / 1e6, answer)
-        case Ambiguous(version, low, high):
+        case AmbiguousVersion(version, low, high):
             return f"configuration: two contents go by version {version}: digests {low:08x} and {high:08x}"
-        case Missing(version, by, after_us):
+        case VersionMissing(version, by, after_us):
             told = f"configuration: version {version}, first said by {by}, is not in the file of this sidecar"
             return f"{told} after {after_us / 1e6:.0f} s: it looks once a minute from now on"
-        case Forgotten(version, by):
+        case VersionForgotten(version, by):
             return f"configuration: version {version}, first said by {by}, is in force nowhere any more"
 
 
-def _settled(after_s: float, answer: Answer) -> str:
-    version, counted = f"configuration: version {answer.version}", f"{answer.count} of {answer.asked}"
-    if answer.everywhere:
+def _settled(after_s: float, answer: RolloutStatus) -> str:
+    version, counted = (
+        f"configuration: version {answer.version}",
+        f"{answer.in_force_count} of {answer.required_count}",
+    )
+    if answer.is_in_force_everywhere:
         return f"{version} in force here; everywhere after {after_s:.1f} s ({counted})"
     behind = _named("behind", answer.behind, answer.behind_count)
-    unheard = _named("unheard", answer.unheard, answer.unheard_count)
+    unheard = _named("unheard", answer.missing, answer.missing_count)
     return f"{version} not known to be everywhere after {after_s:.1f} s ({counted}){behind}{unheard}"
 
 
--- a/testbed/cluster_simulation/rollouts.py
+++ b/testbed/cluster_simulation/rollouts.py
@@ -14,13 +14,13 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from sidecar.cluster.answer import Settled
-from sidecar.cluster.exchange import Kind, write
+from sidecar.cluster.aggregation import AggregationRound
 from sidecar.cluster.member_table import MemberTable
 from sidecar.cluster.message import cluster_id
 from sidecar.cluster.rollout import Rollout
+from sidecar.cluster.rollout_actions import RolloutConcluded
+from sidecar.cluster.rollout_message import ExchangeKind, encode
 from sidecar.cluster.settings import RolloutSettings
-from sidecar.cluster.tally import Tally
 from testbed.capacity.samples import Sample, save
 from testbed.cluster_simulation.measure import many
 from testbed.cluster_simulation.versions import VersionedTier
@@ -114,7 +114,9 @@
     found = {
         by: at
         for at, by, what in tier.said
-        if isinstance(what, Settled) and what.answer.version == 2 and what.answer.everywhere
+        if isinstance(what, RolloutConcluded)
+        and what.status.version == 2
+        and what.status.is_in_force_everywhere
     }
     return sorted(found.values())
 
@@ -175,7 +177,7 @@
     tracemalloc.stop()
     began = time.process_time_ns()
     for index, payload in enumerate(payloads):
-        rollout.heard((index + 1) * 150_000, 1, payload)
+        rollout.datagram_received((index + 1) * 150_000, 1, payload)
     return kept, (time.process_time_ns() - began) / 1e3 / _EVENTS
 
 
@@ -184,14 +186,14 @@
     rollout = Rollout(0, "a", table, RolloutSettings(), random.Random(1), 0, 1, 5)
     rollout.start(0)
     for number, payload in enumerate(payloads[:3]):
-        rollout.heard(number * 150_000, 1, payload)
+        rollout.datagram_received(number * 150_000, 1, payload)
     return rollout
 
 
 def _payload(size: int, sender: int, wave: int) -> bytes:
     """A question with news in it: the next wave, all members but the hearer in it."""
-    tally = Tally(1, wave, sender, wave * 150_000, 5, 5, (1 << size) - 2)
-    return write(cluster_id("a"), sender, Kind.ASK, tally, 0, wave * 150_000)
+    tally = AggregationRound(1, wave, sender, wave * 150_000, 5, 5, (1 << size) - 2)
+    return encode(cluster_id("a"), sender, ExchangeKind.PUSH_PULL, tally, 0, wave * 150_000)
 
 
 # Figures
--- a/testbed/cluster_simulation/versions.py
+++ b/testbed/cluster_simulation/versions.py
@@ -9,14 +9,22 @@
 from dataclasses import dataclass
 
 from sidecar.cluster.actions import MembershipAction, ScheduleTick, SendDatagram
-from sidecar.cluster.answer import Ambiguous, Answer, Forgotten, Look, Missing, Settled, Step
-from sidecar.cluster.exchange import is_exchange
 from sidecar.cluster.rollout import Rollout
+from sidecar.cluster.rollout_actions import (
+    AmbiguousVersion,
+    ReadConfiguration,
+    RolloutAction,
+    RolloutConcluded,
+    VersionForgotten,
+    VersionMissing,
+)
+from sidecar.cluster.rollout_message import is_rollout_message
+from sidecar.cluster.rollout_status import RolloutStatus
 from sidecar.cluster.settings import MembershipSettings, RolloutSettings
 from testbed.cluster_simulation.virtual import Process, VirtualTier
 
 _NEVER = 1 << 62
-Said = Settled | Ambiguous | Missing | Forgotten
+Said = RolloutConcluded | AmbiguousVersion | VersionMissing | VersionForgotten
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,16 +57,16 @@
             self.step(self.rollout.start(now))
 
     def hear(self, sender: int, payload: bytes) -> None:
-        if self.is_paused or not self.is_alive or not is_exchange(payload):
+        if self.is_paused or not self.is_alive or not is_rollout_message(payload):
             super().hear(sender, payload)
         elif self._versions.are_versions_on:
-            self.step(self.rollout.heard(self._versions.queue.now, sender, payload))
+            self.step(self.rollout.datagram_received(self._versions.queue.now, sender, payload))
 
     def carry_out(self, actions: list[MembershipAction]) -> None:
         if self._versions.is_membership_on:
             super().carry_out(actions)
 
-    def step(self, steps: list[Step]) -> None:
+    def step(self, steps: list[RolloutAction]) -> None:
         tier = self._versions
         for each in steps:
             match each:
@@ -69,7 +77,7 @@
                 case ScheduleTick():
                     self._next_step = each.at
                     tier.queue.at(each.at + self.late_us, self._tick_versions, each.at)
-                case Look():
+                case ReadConfiguration():
                     self.looks += 1
                     self.read()
                 case _:
@@ -82,7 +90,7 @@
             return False
         if (file.version, file.digest) != (self.rollout.version, self.rollout.digest):
             tier.applied.setdefault(file.version, {}).setdefault(self.number, tier.queue.now)
-            steps = self.rollout.in_force(tier.queue.now, file.version, file.digest)
+            steps = self.rollout.configuration_applied(tier.queue.now, file.version, file.digest)
             self.step(steps if tier.are_versions_on else [])
         return True
 
@@ -149,8 +157,8 @@
             self.files[number] = File.of(version)
         self.versioned(first).read()
 
-    def answer(self, number: int) -> Answer:
-        return self.versioned(number).rollout.answer(self.queue.now)
+    def status(self, number: int) -> RolloutStatus:
+        return self.versioned(number).rollout.status(self.queue.now)
 
     def in_force(self, version: int) -> bool:
         """Whether all that live have it in force."""
@@ -169,7 +177,7 @@
         """Run until all that live answer that it is in force everywhere."""
         began = self.queue.now
         while self.queue.now - began <= within_s * 1e6:
-            if all(self.answer(each.number).everywhere for each in self.everyone):
+            if all(self.status(each.number).is_in_force_everywhere for each in self.everyone):
                 return (self.queue.now - began) / 1e6
             self.run(step_s)
         return None
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import importlib.util
 import json
 import random
 import re
@@ -19,10 +20,10 @@
 from test_ground import a_day, trouble
 from test_program import GOOD
 
-from sidecar.cluster.exchange import Kind, write
+from sidecar.cluster.aggregation import AggregationRound
 from sidecar.cluster.message import DropReason, cluster_id
+from sidecar.cluster.rollout_message import ExchangeKind, encode
 from sidecar.cluster.settings import RolloutSettings
-from sidecar.cluster.tally import Tally
 from sidecar.config import Config, ConfigError, parse
 from sidecar.sidecar import Sidecar
 from sidecar.upstream.client import Address
@@ -178,7 +179,7 @@
         assert sidecar.reconfigure(lower) == []  # taken over as ever
         if sidecar._members is not None:
             await until(lambda: len(heard) >= 2)
-            exchange = write(cluster_id("0"), 1, Kind.ASK, Tally(9, 1, 1, 0), 0, 0)
+            exchange = encode(cluster_id("0"), 1, ExchangeKind.PUSH_PULL, AggregationRound(9, 1, 1, 0), 0, 0)
             sidecar._message_received(1, exchange)
             assert sidecar._members.membership is not None
             assert sidecar._members.membership.dropped[DropReason.OTHER_FORMAT_VERSION] == 1
@@ -189,7 +190,17 @@
     play(work)
 
 
+ROLLOUT_MODULES = {
+    "sidecar.rollout",
+    "sidecar.cluster.aggregation",
+    "sidecar.cluster.configuration_file_checks",
+    "sidecar.cluster.member_set",
+    *(f"sidecar.cluster.{file.stem}" for file in (ROOT / "sidecar" / "cluster").glob("rollout*.py")),
+}
+
+
 def test_without_a_version_the_mechanism_is_not_imported() -> None:
+    assert len(ROLLOUT_MODULES) >= 11 and all(map(importlib.util.find_spec, ROLLOUT_MODULES))
     own, other = free_for_datagrams(2)
     program = f"""
 import asyncio, sys
@@ -199,7 +210,7 @@
     sidecar = Sidecar(parse({given(own, other)!r}), print)
     await sidecar.start()
     assert "sidecar.cluster.membership" in sys.modules
-    assert not [name for name in sys.modules if "rollout" in name or "tally" in name or "exchange" in name]
+    assert not {ROLLOUT_MODULES!r} & set(sys.modules)
     sidecar.close()
 asyncio.run(work())
 """
