--- a/bench/member.py
+++ b/bench/member.py
@@ -32,7 +32,7 @@
     encode,
 )
 from sidecar.cluster.settings import MembershipSettings
-from sidecar.members import Members
+from sidecar.cluster_membership import ClusterMembership
 from sidecar.peers import Peers
 from testbed.capacity.samples import FOLDER, Sample, save
 
@@ -173,7 +173,8 @@
 
 def figures(size: int, rounds: int = 50) -> list[Sample]:
     """The operators' figures of a tier in which everybody else is dead: the longest that they get."""
-    own = Members(0, TIER, 1, Clock(), Peers((), None, 0, lambda sender, data: None), _silent, _silent)
+    peers = Peers((), None, 0, lambda sender, data: None)
+    own = ClusterMembership(0, TIER, 1, Clock(), peers, _silent, _silent)
     own.membership = member(size)
     for number in range(1, size):
         own.membership.table.apply(MembershipUpdate.create(number, LIFE, MemberState.DEAD, 0, 1), 1)
--- a/sidecar/members.py
+++ b/sidecar/cluster_membership.py
@@ -39,7 +39,7 @@
 _UNKNOWN = "?"
 
 
-class Members:
+class ClusterMembership:
     """Keeps track of the tier while it is switched on and the platform allows datagrams."""
 
     def __init__(
@@ -54,7 +54,7 @@
     ) -> None:
         """`on_size` hears the tier's size after each event, whether it changed or not."""
         self.membership: Membership | None = None
-        self.requests = 0  # taken since membership was told last
+        self._requests = 0  # taken since the last event
         self._me, self._tier = me, tier
         self._random = random.Random(f"members {seed}")
         self._clock, self._peers, self._log, self._on_size = clock, peers, log, on_size
@@ -81,10 +81,14 @@
         else:
             self._carry_out(self.membership.configure(now, size, settings))
 
-    def heard(self, sender: int, payload: bytes) -> None:
+    def datagram_received(self, sender: int, payload: bytes) -> None:
         """A datagram from a member."""
         self._play(lambda membership, now: membership.datagram_received(now, sender, payload))
 
+    def request_taken(self) -> None:
+        """The sidecar took a request; membership hears of it at its next event."""
+        self._requests += 1
+
     def leave(self, has_successor: bool = False) -> None:
         """This process ends: say so, unless another goes on in its place."""
         membership, self.membership = self.membership, None
@@ -130,7 +134,7 @@
             "nobody_heard_for_s": round(membership.silence_us(now) / 1e6, 1),
             "dropped": {
                 **{reason.value: count for reason, count in membership.dropped.items()},
-                DropReason.UNKNOWN_SENDER.value: self._peers.strangers,
+                DropReason.UNKNOWN_SENDER.value: self._peers.unknown_sender_count,
             },
             "view": "".join(_UNKNOWN if each.is_unknown else _LETTERS[each.state] for each in members),
             "absent": absent[:_MOST_LISTED],
@@ -144,7 +148,7 @@
         membership, now = self.membership, self._clock.now()
         if membership is None:
             return
-        requests, self.requests = self.requests, 0
+        requests, self._requests = self._requests, 0
         try:
             membership.requests_taken(now, requests)
             self._carry_out(event(membership, now))
@@ -157,7 +161,7 @@
         for action in actions:
             match action:
                 case SendDatagram():
-                    self._peers.tell(action.receiver, action.payload)
+                    self._peers.send(action.receiver, action.payload)
                 case ScheduleTick():
                     self._alarm.at(action.at)
                 case MemberStateChanged():
--- a/sidecar/rollout.py
+++ b/sidecar/configuration_rollout.py
@@ -31,7 +31,7 @@
 _AGAIN_US = 1_000_000  # after a defect, the next tick
 
 
-class Versions:
+class ConfigurationRollout:
     """Compares versions while the configuration has one and the others are kept track of."""
 
     def __init__(
@@ -59,7 +59,7 @@
         """What is in force; None while versions are not compared."""
         return None if self._rollout is None else self._rollout.version
 
-    def refusal(self, config: Config) -> str | None:
+    def rejection(self, config: Config) -> str | None:
         """Why a file may not be taken over; one in which this is switched off always may."""
         if self._rollout is None or config.version is None or not config.rollout.on:
             return None
@@ -91,7 +91,7 @@
                 steps += self._rollout.configuration_pending(now, version)
             self._carry_out(steps)
 
-    def heard(self, sender: int, payload: bytes) -> bool:
+    def datagram_received(self, sender: int, payload: bytes) -> bool:
         """Take a datagram from a member; no if it is none about versions, or these are not compared."""
         if self._rollout is None or not is_rollout_message(payload):
             return False
@@ -151,7 +151,7 @@
         for each in steps:
             match each:
                 case SendDatagram():
-                    self._peers.tell(each.receiver, each.payload)
+                    self._peers.send(each.receiver, each.payload)
                 case ScheduleTick():
                     self._alarm.at(each.at)
                 case ReadConfiguration():
--- a/sidecar/peers.py
+++ b/sidecar/peers.py
@@ -27,7 +27,7 @@
         self._numbers = {address: number for number, address in enumerate(peers)}
         self._on_message = on_message
         self._transport: asyncio.DatagramTransport | None = None
-        self.strangers = 0  # datagrams from nobody of the tier, or too long
+        self.unknown_sender_count = 0  # datagrams from nobody of the tier, or too long
 
     @property
     def is_listening(self) -> bool:
@@ -38,7 +38,7 @@
         """How many sidecars the tier has, this one included."""
         return len(self._peers)
 
-    def move(self, peers: tuple[Address, ...], everyone: Address | None) -> None:
+    def set_addresses(self, peers: tuple[Address, ...], everyone: Address | None) -> None:
         """The others are at these addresses from now on."""
         self._peers, self._everyone = peers, everyone
         self._numbers = {address: number for number, address in enumerate(peers)}
@@ -49,7 +49,7 @@
             lambda: self, local_addr=address, reuse_port=shared or None
         )
 
-    def tell(self, receiver: int | None, payload: bytes) -> bool:
+    def send(self, receiver: int | None, payload: bytes) -> bool:
         """Send to one sidecar, or to all; say whether it could be sent at all."""
         if self._transport is None or len(payload) > MOST_BYTES:
             return False
@@ -77,7 +77,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         number = self._numbers.get((addr[0], addr[1]))
         if number is None or number == self._me or len(data) > MOST_BYTES:
-            self.strangers += 1
+            self.unknown_sender_count += 1
             return
         self._on_message(number, data)
 
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -65,8 +65,8 @@
 if TYPE_CHECKING:
     from sidecar.cluster.cluster_size import ClusterSize
     from sidecar.cluster.settings import MembershipSettings
-    from sidecar.members import Members
-    from sidecar.rollout import Versions
+    from sidecar.cluster_membership import ClusterMembership
+    from sidecar.configuration_rollout import ConfigurationRollout
 
 # What a process keeps from its start to its end, whatever its file says later.  Not among them: `known` and
 # `seed`, which are new in each file and say what a start begins with.
@@ -152,8 +152,8 @@
             self._message_received,
         )
         self._told_size: ClusterSizeChanged | None = None
-        self._members: Members | None = None  # None: the others are not kept track of
-        self._versions: Versions | None = None  # None: versions of the configuration are not compared
+        self._members: ClusterMembership | None = None  # None: the others are not kept track of
+        self._versions: ConfigurationRollout | None = None  # None: versions are not compared
         # Called when another has a newer version: the file has to be read again, as at SIGHUP.
         self.on_newer: Callable[[], None] = lambda: None
 
@@ -212,11 +212,11 @@
         ConfigError, and change nothing, where its version is older than that in force.
         """
         if self._versions is not None:
-            refusal = self._versions.refusal(config)
+            refusal = self._versions.rejection(config)
             if refusal is not None:
                 raise ConfigError(refusal)
         self._discovery.move(config.discovery)
-        self._peers.move(config.peers, config.peers_all)
+        self._peers.set_addresses(config.peers, config.peers_all)
         kept = [key for key in _FIXED if getattr(config, key) != getattr(self._config, key)]
         if self._peers.is_listening and self._stop_by is None:
             self._keep_track(config.membership)
@@ -236,10 +236,10 @@
             if not membership.on:
                 return
             # Not at the top: what it needs takes 2 MB, which a sidecar without it need not have.
-            from sidecar.members import Members
+            from sidecar.cluster_membership import ClusterMembership
 
-            me, log, own = self._settings.instance_index, self._log, self._config
-            self._members = Members(me, own.tier, own.seed, self._clock, self._peers, log, self._tier_sized)
+            own, parts = self._config, (self._clock, self._peers, self._log, self._tier_sized)
+            self._members = ClusterMembership(self._settings.instance_index, own.tier, own.seed, *parts)
         self._members.configure(membership)
 
     def _compare_versions(self, config: Config, is_whole: bool = True) -> None:
@@ -252,11 +252,11 @@
             if config.version is None or not config.rollout.on or membership is None:
                 return
             # Not at the top: a sidecar without it need not have what it needs.
-            from sidecar.rollout import Versions
+            from sidecar.configuration_rollout import ConfigurationRollout
 
             me, own = self._settings.instance_index, self._config
             parts = (self._clock, self._peers, self._log, lambda: self.on_newer())
-            self._versions = Versions(me, own.tier, own.seed, *parts)
+            self._versions = ConfigurationRollout(me, own.tier, own.seed, *parts)
         self._versions.configure(membership, config, is_whole)
 
     @property
@@ -429,8 +429,8 @@
         """A datagram from another sidecar: the tier's while that is on, else the decisions'."""
         if self._members is None or self._members.membership is None:
             self._post(PeerMessageReceived(sender, payload))
-        elif self._versions is None or not self._versions.heard(sender, payload):
-            self._members.heard(sender, payload)
+        elif self._versions is None or not self._versions.datagram_received(sender, payload):
+            self._members.datagram_received(sender, payload)
 
     def _listed(self, listing: Listing) -> None:
         self._upstream.listed(listing)
@@ -446,7 +446,7 @@
         self._open[number] = _Open(client, incoming)
         self._owed += 1
         if self._members is not None:
-            self._members.requests += 1
+            self._members.request_taken()
         if most is not None and self._owed > most:
             self._answer(number, 503, [])
             return None
@@ -562,7 +562,7 @@
             case HealthCheck():
                 self._probe(action.server)
             case SendPeerMessage():
-                if not self._peers.tell(action.receiver, action.payload):
+                if not self._peers.send(action.receiver, action.payload):
                     self._log("a message to other sidecars could not be sent")
             case Log():
                 self._log(action.text)
--- a/testbed/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -16,9 +16,9 @@
 from sidecar.cluster.actions import MembershipAction, MemberStateChanged
 from sidecar.cluster.message import MemberState
 from sidecar.cluster.settings import MembershipSettings
+from sidecar.cluster_membership import ClusterMembership
 from sidecar.config import Config
 from sidecar.discovery.catalog import Listing
-from sidecar.members import Members
 from sidecar.peers import Peers
 from sidecar.sidecar import Sidecar
 from sidecar.upstream.client import Address
@@ -96,17 +96,17 @@
         drain(self._own)
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, sock=self._own.dup())
 
-    def tell(self, receiver: int | None, payload: bytes) -> bool:
+    def send(self, receiver: int | None, payload: bytes) -> bool:
         if receiver is None:
             others = [each for each in range(len(self._peers)) if each != self._me]
-            told = [self.tell(each, payload) for each in others]
+            told = [self.send(each, payload) for each in others]
             return all(told)
         self._counts.sent.add(payload)
         if self._ground.loses(self._me, receiver):
             return True  # nobody who sends a datagram hears that it is lost
         if receiver < len(self._ground.real):
             self._ground.real[receiver].heard.add(payload)
-        return super().tell(receiver, payload)
+        return super().send(receiver, payload)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         sender = self._numbers.get((addr[0], addr[1]))
@@ -121,7 +121,7 @@
         super().datagram_received(data, addr)
 
 
-class GroundMembers(Members):
+class GroundMembers(ClusterMembership):
     """The program's membership; who is believed gone is written down."""
 
     on_gone: Callable[[MemberStateChanged], None]
@@ -145,7 +145,7 @@
         self._peers: Peers = GroundPeers(ground, counts, own, config.peers, number, self._message_received)
 
     @property
-    def members(self) -> Members | None:
+    def members(self) -> ClusterMembership | None:
         return self._members
 
     def _keep_track(self, membership: MembershipSettings) -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -38,7 +38,7 @@
 
 def table(figure: str = "cost", missing: str = "", before: str = "") -> Table:
     own = {"figure": figure, "budget": "cost", "missing": missing, "before": before}
-    row = Row("member", "peace", "its cost", "time", "sidecar/members.py", **own)
+    row = Row("member", "peace", "its cost", "time", "sidecar/cluster_membership.py", **own)
     budget = {"cost": Budget(100.0, "B/s", "somebody")}
     return Table({"sidecars": 750.0, "calls_per_s": 7_500.0}, budget, {"cost": COST}, [row], [])
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -4,13 +4,14 @@
 
 import socket
 from dataclasses import dataclass, field
+from functools import partial
 
 from loopback import free_for_datagrams, play, until
 
 from sidecar.clock import Clock
 from sidecar.cluster.cluster_size import ClusterSize
 from sidecar.cluster.settings import MembershipSettings
-from sidecar.members import Members
+from sidecar.cluster_membership import ClusterMembership
 from sidecar.peers import Peers
 from sidecar.upstream.client import Address
 
@@ -21,7 +22,7 @@
 class Copy:
     """One copy's part: its members, what it logged and what its decisions were told."""
 
-    members: Members
+    members: ClusterMembership
     peers: Peers
     lines: list[str] = field(default_factory=list)
     sizes: list[ClusterSize] = field(default_factory=list)
@@ -33,11 +34,15 @@
 
 async def copies(addresses: tuple[Address, ...], count: int) -> list[Copy]:
     out: list[Copy] = []
+
+    def receive(me: int, sender: int, payload: bytes) -> None:
+        out[me].members.datagram_received(sender, payload)
+
     for me in range(count):
-        peers = Peers(addresses, None, me, lambda by, data, me=me: out[me].members.heard(by, data))  # type: ignore[misc]
+        peers = Peers(addresses, None, me, partial(receive, me))
         lines: list[str] = []
         sizes: list[ClusterSize] = []
-        members = Members(me, "0", me, Clock(), peers, lines.append, sizes.append)
+        members = ClusterMembership(me, "0", me, Clock(), peers, lines.append, sizes.append)
         out.append(Copy(members, peers, lines, sizes))
         await peers.listen(addresses[me])
     for each in out:
@@ -101,7 +106,7 @@
         one, two = await copies(addresses[:2], 2)
         await until(lambda: one.figure("present") == 2)
         for each in (one, two):
-            each.peers.move(addresses, None)
+            each.peers.set_addresses(addresses, None)
             each.members.configure(QUICK)
         assert one.figure("configured") == 3 and one.figure("unknown") == 1
         for each in (one, two):
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -191,7 +191,7 @@
 
 
 ROLLOUT_MODULES = {
-    "sidecar.rollout",
+    "sidecar.configuration_rollout",
     "sidecar.cluster.aggregation",
     "sidecar.cluster.configuration_file_checks",
     "sidecar.cluster.member_set",
@@ -341,7 +341,7 @@
 
 def test_every_line_about_versions_stands_on_the_on_call_page() -> None:
     page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
-    source = (ROOT / "sidecar" / "rollout.py").read_text(encoding="utf-8")
+    source = (ROOT / "sidecar" / "configuration_rollout.py").read_text(encoding="utf-8")
     written = re.findall(r'f"(configuration: [^"]*)"', source) + re.findall(r'f"\{version\}([^"]*)"', source)
     assert len(written) == 6
     for text in written:
