--- a/bench/member.py
+++ b/bench/member.py
@@ -175,9 +175,9 @@
     """The operators' figures of a tier in which everybody else is dead: the longest that they get."""
     peers = Peers((), None, 0, lambda sender, data: None)
     own = ClusterMembership(0, TIER, 1, Clock(), peers, _silent, _silent)
-    own.membership = member(size)
+    own.protocol = member(size)
     for number in range(1, size):
-        own.membership.table.apply(MembershipUpdate.create(number, LIFE, MemberState.DEAD, 0, 1), 1)
+        own.protocol.table.apply(MembershipUpdate.create(number, LIFE, MemberState.DEAD, 0, 1), 1)
     values, body = [], b""
     for _ in range(rounds):
         began = time.perf_counter_ns()
--- a/sidecar/cluster/rate_limiter.py
+++ b/sidecar/cluster/rate_limiter.py
@@ -1,20 +1,24 @@
-"""Token bucket for datagrams, filled at a steady rate and by each request that the sidecar takes."""
+"""Token bucket, filled at a steady rate and by each request that the sidecar takes."""
 
 from __future__ import annotations
 
 import math
 
-_CAPACITY_S = 6.0  # what is unused may be saved up for this long
+_DEFAULT_CAPACITY_S = 6.0
 _REPLY_OVERDRAFT = 16.0  # replies may exceed the bucket: a member that does not reply is suspected
 _REQUEST_DECAY_US = 5_000_000  # the rate of requests is averaged over this
 
 
 class RateLimiter:
-    """How many datagrams may be sent.  All times are microseconds."""
+    """How many datagrams may be sent, or lines logged.  All times are microseconds."""
 
-    def __init__(self, now: int, per_s: float, per_request: float) -> None:
+    def __init__(
+        self, now: int, per_s: float, per_request: float, capacity_s: float = _DEFAULT_CAPACITY_S
+    ) -> None:
+        """What is unused may be saved up for `capacity_s` seconds."""
         self.per_s, self.per_request = per_s, per_request
-        self._tokens = per_s * _CAPACITY_S
+        self._capacity_s = capacity_s
+        self._tokens = per_s * capacity_s
         self._filled_at = now
         self._recent_requests = 0.0  # decays exponentially
 
@@ -25,12 +29,12 @@
         self._tokens = min(self._tokens + requests * self.per_request, self._capacity())
 
     def rate_per_s(self, now: int) -> float:
-        """The rate in datagrams a second at which the bucket fills at present."""
+        """The rate in tokens a second at which the bucket fills at present."""
         self._fill(now)
         return self.per_s + self.per_request * self._recent_requests / (_REQUEST_DECAY_US / 1e6)
 
     def try_acquire(self, now: int, is_reply: bool = False) -> bool:
-        """Take the token of one datagram; return False if it may not be sent."""
+        """Take the token of one datagram or line; return False if there is none."""
         self._fill(now)
         if self._tokens - 1 < (-_REPLY_OVERDRAFT if is_reply else 0.0):
             return False
@@ -38,7 +42,7 @@
         return True
 
     def _capacity(self) -> float:
-        return self.per_s * _CAPACITY_S + self.per_request * self._recent_requests
+        return self.per_s * self._capacity_s + self.per_request * self._recent_requests
 
     def _fill(self, now: int) -> None:
         if now > self._filled_at:
--- a/sidecar/cluster_membership.py
+++ b/sidecar/cluster_membership.py
@@ -1,7 +1,6 @@
-"""The other sidecars, for this process: membership's datagrams, timer, log lines and figures.
+"""Membership of this process in the cluster: its settings, log lines and metrics.
 
-What is believed is `sidecar.cluster`'s; here it gets its time and chance, its datagrams are carried, and who
-wants to know is told.
+`sidecar.cluster` decides what is believed about other members, without I/O.
 """
 
 from __future__ import annotations
@@ -9,114 +8,105 @@
 import asyncio
 import random
 import time
-from collections.abc import Callable
-
-from sidecar.clock import Alarm, Clock
-from sidecar.cluster.actions import (
-    DuplicateMember,
-    MembershipAction,
-    MemberStateChanged,
-    ProcessStalled,
-    ScheduleTick,
-    SendDatagram,
-)
+from collections.abc import Callable, Sequence
+
+from sidecar.clock import Clock
+from sidecar.cluster.actions import DuplicateMember, MembershipAction, MemberStateChanged, ProcessStalled
 from sidecar.cluster.cluster_size import ClusterSize
+from sidecar.cluster.member_table import MemberRecord
 from sidecar.cluster.membership import Membership
 from sidecar.cluster.message import DropReason, MemberState
 from sidecar.cluster.settings import MembershipSettings
 from sidecar.peers import Peers
+from sidecar.protocol_runner import ProtocolRunner
 
-_SAY_EVERY_S = 1.0  # what changed is told in one line, at most so often
-_MOST_NAMED = 8  # changes in one line; what is beyond is counted
-_MOST_LISTED = 64  # members in the figures by name; the view holds all
-_AGAIN_US = 1_000_000  # after a defect, the next tick
-_LETTERS = {
+_LOG_INTERVAL_S = 1.0  # changes are logged in one line, at most this often
+_MAX_LOGGED_CHANGES = 8  # in one line; further ones are counted
+_MAX_LISTED_MEMBERS = 64  # one by one in the metrics; the view holds all
+_STATE_LETTERS = {
     MemberState.PRESENT: "p",
     MemberState.SUSPECTED: "s",
     MemberState.DEAD: "d",
     MemberState.LEFT: "l",
 }
-_UNKNOWN = "?"
+_UNKNOWN_LETTER = "?"
+
 
+class ClusterMembership(ProtocolRunner[Membership, MembershipAction]):
+    """Takes part in the cluster while it is switched on and the platform allows datagrams."""
 
-class ClusterMembership:
-    """Keeps track of the tier while it is switched on and the platform allows datagrams."""
+    _label = "membership"
 
     def __init__(
         self,
-        me: int,
-        tier: str,
+        number: int,
+        cluster: str,
         seed: int,
         clock: Clock,
         peers: Peers,
         log: Callable[[str], None],
         on_size: Callable[[ClusterSize], None],
     ) -> None:
-        """`on_size` hears the tier's size after each event, whether it changed or not."""
-        self.membership: Membership | None = None
-        self._requests = 0  # taken since the last event
-        self._me, self._tier = me, tier
+        """`on_size` is called with the cluster's size after each event, changed or not."""
+        super().__init__(clock, peers, log)
+        self._number, self._cluster = number, cluster
         self._random = random.Random(f"members {seed}")
-        self._clock, self._peers, self._log, self._on_size = clock, peers, log, on_size
-        self._alarm = Alarm(clock, self._tick)
-        self._changes: list[str] = []
-        self._unnamed = 0  # changes beyond those that one line names
-        self._saying: asyncio.TimerHandle | None = None
+        self._on_size = on_size
+        self._requests = 0  # taken since the last event
+        self._changes: list[str] = []  # to be logged
+        self._further_changes = 0  # beyond those that one line names
+        self._log_timer: asyncio.TimerHandle | None = None
         self._informs = True
 
+    @property
+    def membership(self) -> Membership | None:
+        """None while it is off."""
+        return self.protocol
+
     def configure(self, settings: MembershipSettings) -> None:
-        """Be on or off, with these settings and the peers that there are now."""
+        """Be on or off, with these settings and the peers that are configured now."""
         size, now = self._peers.size, self._clock.now()
         self._informs = settings.informs
         if not (settings.on and settings.informs):
-            self._on_size(
-                ClusterSize(size, size, 0, 0, 0, 0)
-            )  # from here on the decisions go by what is configured
-        if not settings.on or not 0 <= self._me < size:
+            # From here on load balancing goes by the configured size.
+            self._on_size(ClusterSize(size, size, 0, 0, 0, 0))
+        if not settings.on or not 0 <= self._number < size:
             self.leave()
-        elif self.membership is None:
-            own = random.Random(self._random.getrandbits(64))
-            self.membership = Membership(self._me, size, self._tier, settings, own, now, time.time())
-            self._carry_out(self.membership.start(now))
+        elif self.protocol is None:
+            rng = random.Random(self._random.getrandbits(64))
+            self.protocol = Membership(self._number, size, self._cluster, settings, rng, now, time.time())
+            self._carry_out(self.protocol.start(now))
         else:
-            self._carry_out(self.membership.configure(now, size, settings))
+            self._carry_out(self.protocol.configure(now, size, settings))
 
     def datagram_received(self, sender: int, payload: bytes) -> None:
-        """A datagram from a member."""
-        self._play(lambda membership, now: membership.datagram_received(now, sender, payload))
+        """A datagram came from the address of the member `sender`."""
+        self._deliver(lambda membership, now: membership.datagram_received(now, sender, payload))
 
     def request_taken(self) -> None:
         """The sidecar took a request; membership hears of it at its next event."""
         self._requests += 1
 
     def leave(self, has_successor: bool = False) -> None:
-        """This process ends: say so, unless another goes on in its place."""
-        membership, self.membership = self.membership, None
+        """This process ends: announce it, unless another continues as this member."""
+        membership, self.protocol = self.protocol, None
         self._alarm.cancel()
         if membership is not None:
             self._carry_out(membership.leave(self._clock.now(), has_successor))
 
     def close(self) -> None:
+        """Hold no timer any more."""
         self._alarm.cancel()
-        if self._saying is not None:
-            self._saying.cancel()
+        if self._log_timer is not None:
+            self._log_timer.cancel()
 
     def figures(self) -> dict[str, object] | None:
-        """What operators see of it; None while it is off."""
-        membership = self.membership
+        """The metrics that operators read; None while it is off."""
+        membership = self.protocol
         if membership is None:
             return None
-        now, size, members = self._clock.now(), membership.size(), membership.table.records
-        absent = [
-            {
-                "member": number,
-                "state": each.state.name.lower(),
-                "since_s": round((now - each.state_since) / 1e6, 1),
-                "by": each.update.reported_by,
-            }
-            for number, each in enumerate(members)
-            if each.state is not MemberState.PRESENT
-        ]
+        now, size, records = self._clock.now(), membership.size(), membership.table.records
+        dropped = {reason.value: count for reason, count in membership.dropped.items()}
         return {
             "configured": size.configured,
             "present": size.present,
@@ -132,69 +122,83 @@
             "doubt_of_itself": membership.health.score,
             "period_s": round(membership.period_us / 1e6, 3),
             "nobody_heard_for_s": round(membership.silence_us(now) / 1e6, 1),
-            "dropped": {
-                **{reason.value: count for reason, count in membership.dropped.items()},
-                DropReason.UNKNOWN_SENDER.value: self._peers.unknown_sender_count,
-            },
-            "view": "".join(_UNKNOWN if each.is_unknown else _LETTERS[each.state] for each in members),
-            "absent": absent[:_MOST_LISTED],
+            "dropped": {**dropped, DropReason.UNKNOWN_SENDER.value: self._peers.unknown_sender_count},
+            "view": "".join(_letter(record) for record in records),
+            "absent": _absent_members(records, now)[:_MAX_LISTED_MEMBERS],
         }
 
+    # Events and actions
+
     def _tick(self) -> None:
-        self._play(Membership.tick)
+        self._deliver(Membership.tick)
 
-    def _play(self, event: Callable[[Membership, int], list[MembershipAction]]) -> None:
-        """Bring an event to membership; live on after a defect in it."""
-        membership, now = self.membership, self._clock.now()
-        if membership is None:
+    def _deliver(self, event: Callable[[Membership, int], Sequence[MembershipAction]]) -> None:
+        if self.protocol is None:
             return
         requests, self._requests = self._requests, 0
-        try:
+
+        def event_with_requests(membership: Membership, now: int) -> Sequence[MembershipAction]:
             membership.requests_taken(now, requests)
-            self._carry_out(event(membership, now))
-        except Exception as fault:
-            self._log(f"internal error: {fault!r} (membership)")
-            if not self._alarm.is_set:
-                self._alarm.at(now + _AGAIN_US)
-
-    def _carry_out(self, actions: list[MembershipAction]) -> None:
-        for action in actions:
-            match action:
-                case SendDatagram():
-                    self._peers.send(action.receiver, action.payload)
-                case ScheduleTick():
-                    self._alarm.at(action.at)
-                case MemberStateChanged():
-                    self._changed(f"{action.member} {action.state.name.lower()} (by {action.reported_by})")
-                case DuplicateMember():
-                    self._log(f"another process claims this sidecar's number {action.member}: look for it")
-                case ProcessStalled():
-                    self._log(
-                        f"stood still for {action.duration_us / 1e6:.1f} s: doubts its own sight for now"
-                    )
-        if self.membership is not None and self._informs:
-            self._on_size(self.membership.size())
-
-    # The log
-
-    def _changed(self, what: str) -> None:
-        if len(self._changes) < _MOST_NAMED:
-            self._changes.append(what)
+            return event(membership, now)
+
+        super()._deliver(event_with_requests)
+
+    def _carry_out(self, actions: Sequence[MembershipAction]) -> None:
+        super()._carry_out(actions)
+        if self.protocol is not None and self._informs:
+            self._on_size(self.protocol.size())
+
+    def _handle(self, action: MembershipAction) -> None:
+        match action:
+            case MemberStateChanged():
+                state = action.state.name.lower()
+                self._log_change(f"{action.member} {state} (by {action.reported_by})")
+            case DuplicateMember():
+                self._log(f"another process claims this sidecar's number {action.member}: look for it")
+            case ProcessStalled():
+                duration_s = action.duration_us / 1e6
+                self._log(f"stood still for {duration_s:.1f} s: doubts its own sight for now")
+
+    # Log lines
+
+    def _log_change(self, change: str) -> None:
+        """Log a change soon, together with others."""
+        if len(self._changes) < _MAX_LOGGED_CHANGES:
+            self._changes.append(change)
         else:
-            self._unnamed += 1
-        if self._saying is None:
-            self._saying = asyncio.get_running_loop().call_later(_SAY_EVERY_S, self._say)
-
-    def _say(self) -> None:
-        self._saying = None
-        named, self._changes = ", ".join(self._changes), []
-        more, self._unnamed = f" and {self._unnamed} more" if self._unnamed else "", 0
-        if self.membership is None:
+            self._further_changes += 1
+        if self._log_timer is None:
+            self._log_timer = asyncio.get_running_loop().call_later(_LOG_INTERVAL_S, self._log_changes)
+
+    def _log_changes(self) -> None:
+        self._log_timer = None
+        changes, self._changes = ", ".join(self._changes), []
+        further = f" and {self._further_changes} more" if self._further_changes else ""
+        self._further_changes = 0
+        if self.protocol is None:
             return
-        size = self.membership.size()
-        counted = f"{size.present} of {size.configured} present"
+        size = self.protocol.size()
+        counts = f"{size.present} of {size.configured} present"
         for name in ("suspected", "unknown", "dead", "left"):
             if getattr(size, name):
-                counted += f", {getattr(size, name)} {name}"
+                counts += f", {getattr(size, name)} {name}"
         minority = "; this copy sees half or fewer" if size.is_in_minority else ""
-        self._log(f"members: {counted}{minority}: {named}{more}")
+        self._log(f"members: {counts}{minority}: {changes}{further}")
+
+
+def _letter(record: MemberRecord) -> str:
+    return _UNKNOWN_LETTER if record.is_unknown else _STATE_LETTERS[record.state]
+
+
+def _absent_members(records: Sequence[MemberRecord], now: int) -> list[dict[str, object]]:
+    """The members that are not believed present, as metrics."""
+    return [
+        {
+            "member": number,
+            "state": record.state.name.lower(),
+            "since_s": round((now - record.state_since) / 1e6, 1),
+            "by": record.update.reported_by,
+        }
+        for number, record in enumerate(records)
+        if record.state is not MemberState.PRESENT
+    ]
--- a/sidecar/config.py
+++ b/sidecar/config.py
@@ -11,13 +11,13 @@
 
 from balancer import Settings
 from balancer.adapter import settings_from_wire
+from sidecar.cluster.limits import MAX_CONFIGURATION_VERSION
 from sidecar.cluster.settings import MembershipSettings, RolloutSettings
 from sidecar.discovery.catalog import Listing, parse_listing
 from sidecar.upstream.client import Address, parse_address
 
 _DEFAULT_SOCKETS = 1_024
 _DEFAULT_MEMORY_MB = 64
-_LAST_VERSION = (1 << 63) - 1
 
 
 class ConfigError(Exception):
@@ -135,8 +135,10 @@
 
 
 def _version(value: object) -> int | None:
-    if value is not None and (type(value) is not int or not 0 <= value <= _LAST_VERSION):
-        raise ConfigError(f"version: a whole number from 0 to {_LAST_VERSION} is needed, not {value!r:.60}")
+    if value is not None and (type(value) is not int or not 0 <= value <= MAX_CONFIGURATION_VERSION):
+        raise ConfigError(
+            f"version: a whole number from 0 to {MAX_CONFIGURATION_VERSION} is needed, not {value!r:.60}"
+        )
     return value
 
 
--- a/sidecar/configuration_rollout.py
+++ b/sidecar/configuration_rollout.py
@@ -1,6 +1,6 @@
-"""The configuration's version, for this process: datagrams, timer, log lines and figures.
+"""Rollout of configuration versions, as this process takes part in it: settings, log lines and metrics.
 
-What is known of the others is `sidecar.cluster.rollout`'s; taking a file over stays what SIGHUP does.
+`sidecar.cluster.rollout` keeps what is known of other members; the file is applied as at SIGHUP.
 """
 
 from __future__ import annotations
@@ -8,10 +8,10 @@
 import random
 from collections.abc import Callable
 
-from sidecar.clock import Alarm, Clock
-from sidecar.cluster.actions import ScheduleTick, SendDatagram
+from sidecar.clock import Clock
 from sidecar.cluster.member_table import MemberTable
 from sidecar.cluster.membership import Membership
+from sidecar.cluster.rate_limiter import RateLimiter
 from sidecar.cluster.rollout import Rollout
 from sidecar.cluster.rollout_actions import (
     AmbiguousVersion,
@@ -25,153 +25,140 @@
 from sidecar.cluster.rollout_status import RolloutStatus
 from sidecar.config import Config
 from sidecar.peers import Peers
+from sidecar.protocol_runner import ProtocolRunner
 
-_LINES_PER_S = 0.1  # whatever others say, the log is filled no faster; ...
-_LINES_AT_ONCE = 20.0  # ... after so many at once
-_AGAIN_US = 1_000_000  # after a defect, the next tick
+_LOG_LINES_PER_S = 0.1  # whatever other members say, the log grows no faster, ...
+_LOG_BURST_S = 200.0  # ... after 20 lines at once
 
 
-class ConfigurationRollout:
-    """Compares versions while the configuration has one and the others are kept track of."""
+class ConfigurationRollout(ProtocolRunner[Rollout, RolloutAction]):
+    """Compares versions with other members while the configuration has one and membership is on."""
+
+    _label = "versions"
 
     def __init__(
         self,
-        me: int,
-        tier: str,
+        number: int,
+        cluster: str,
         seed: int,
         clock: Clock,
         peers: Peers,
         log: Callable[[str], None],
-        look: Callable[[], None],
+        read_configuration: Callable[[], None],
     ) -> None:
-        """`look` reads the file again, and brings back what it holds through `configure`."""
-        self._rollout: Rollout | None = None
+        """`read_configuration` reads the file again, and passes what it holds to `configure`."""
+        super().__init__(clock, peers, log)
         self._table: MemberTable | None = None  # membership's, that the rollout goes by
-        self._refused = 0  # files with a lower version, since the start
-        self._me, self._tier = me, tier
+        self._rejected_files = 0  # with a lower version, since the start
+        self._number, self._cluster = number, cluster
         self._random = random.Random(f"rollout {seed}")
-        self._clock, self._peers, self._log, self._look = clock, peers, log, look
-        self._alarm = Alarm(clock, self._tick)
-        self._lines, self._lines_at = _LINES_AT_ONCE, clock.now()
+        self._read_configuration = read_configuration
+        self._log_limiter = RateLimiter(clock.now(), _LOG_LINES_PER_S, 0.0, capacity_s=_LOG_BURST_S)
 
     @property
     def version(self) -> int | None:
-        """What is in force; None while versions are not compared."""
-        return None if self._rollout is None else self._rollout.version
+        """The version in force; None while versions are not compared."""
+        return None if self.protocol is None else self.protocol.version
 
     def rejection(self, config: Config) -> str | None:
-        """Why a file may not be taken over; one in which this is switched off always may."""
-        if self._rollout is None or config.version is None or not config.rollout.on:
+        """Why a file may not be applied; one in which this is switched off always may."""
+        if self.protocol is None or config.version is None or not config.rollout.on:
             return None
-        if self._rollout.permits(config.version):
+        if self.protocol.permits(config.version):
             return None
-        self._refused += 1
-        return f"version: {config.version} is older than {self._rollout.version}, which is in force"
+        self._rejected_files += 1
+        return f"version: {config.version} is older than {self.protocol.version}, which is in force"
 
-    def configure(self, membership: Membership | None, config: Config, is_whole: bool = True) -> None:
-        """This configuration is in force from now on; not `is_whole`: after a restart only."""
-        now, version, settings = self._clock.now(), config.version, config.rollout
-        if membership is None or version is None or not settings.on:
+    def configure(self, membership: Membership | None, config: Config, is_complete: bool = True) -> None:
+        """This configuration is in force from now on; not `is_complete`: some of it after a restart only."""
+        if membership is None or config.version is None or not config.rollout.on:
             self.close()
-        elif self._rollout is None or self._table is not membership.table:
-            in_force = (version, config.digest)
-            if not is_whole:
-                if self._rollout is None:
-                    return  # which version is in force here is known after the restart
-                in_force = (self._rollout.version, self._rollout.digest)
-            own = random.Random(self._random.getrandbits(64))
-            self._table = membership.table
-            self._rollout = Rollout(self._me, self._tier, self._table, settings, own, now, *in_force)
-            self._carry_out(self._rollout.start(now))
+        elif self.protocol is None or self._table is not membership.table:
+            self._start(membership, config, config.version, is_complete)
         else:
-            steps = self._rollout.configure(now, settings)
-            if is_whole:
-                steps += self._rollout.configuration_applied(now, version, config.digest)
-            else:
-                steps += self._rollout.configuration_pending(now, version)
-            self._carry_out(steps)
+            self._reconfigure(self.protocol, config, config.version, is_complete)
 
     def datagram_received(self, sender: int, payload: bytes) -> bool:
-        """Take a datagram from a member; no if it is none about versions, or these are not compared."""
-        if self._rollout is None or not is_rollout_message(payload):
+        """Take a datagram from a member; return False if it is not about versions, or this is off."""
+        if self.protocol is None or not is_rollout_message(payload):
             return False
-        self._play(lambda rollout, now: rollout.datagram_received(now, sender, payload))
+        self._deliver(lambda rollout, now: rollout.datagram_received(now, sender, payload))
         return True
 
     def close(self) -> None:
         """Compare no more, and hold no timer."""
-        self._rollout = self._table = None
+        self.protocol = self._table = None
         self._alarm.cancel()
 
     def figures(self) -> dict[str, object] | None:
-        """What operators see of it; None while it is off."""
-        rollout = self._rollout
+        """The metrics that operators read; None while it is off."""
+        rollout = self.protocol
         if rollout is None:
             return None
         now = self._clock.now()
-        answer = rollout.status(now)
+        status = rollout.status(now)
+        digests = sorted({status.min_digest, status.max_digest})
         return {
             "version": rollout.version,
             "digest": f"{rollout.digest:08x}",
-            "newest_heard": answer.version,
+            "newest_heard": status.version,
             "newest_heard_from": rollout.newest_heard_from,
             "newest_first_said_by": rollout.round.first_reported_by,
             "newest_heard_s_ago": round((now - rollout.newest_heard_at) / 1e6, 1),
-            "in_force_everywhere": answer.is_in_force_everywhere,
-            "in_force": answer.in_force_count,
-            "asked": answer.required_count,
-            "behind": list(answer.behind),
-            "behind_count": answer.behind_count,
-            "unheard": list(answer.missing),
-            "unheard_count": answer.missing_count,
-            "ambiguous": answer.is_ambiguous,
-            "digests": [f"{each:08x}" for each in sorted({answer.min_digest, answer.max_digest})],
-            "wave": answer.round_number,
-            "age_s": round(answer.round_age_us / 1e6, 1),
-            "refused": self._refused,
+            "in_force_everywhere": status.is_in_force_everywhere,
+            "in_force": status.in_force_count,
+            "asked": status.required_count,
+            "behind": list(status.behind),
+            "behind_count": status.behind_count,
+            "unheard": list(status.missing),
+            "unheard_count": status.missing_count,
+            "ambiguous": status.is_ambiguous,
+            "digests": [f"{digest:08x}" for digest in digests],
+            "wave": status.round_number,
+            "age_s": round(status.round_age_us / 1e6, 1),
+            "refused": self._rejected_files,
             "dropped": {reason.value: count for reason, count in rollout.dropped.items()},
         }
 
+    def _start(self, membership: Membership, config: Config, version: int, is_complete: bool) -> None:
+        digest = config.digest
+        if not is_complete:
+            if self.protocol is None:
+                return  # which version is in force here is known after the restart
+            version, digest = self.protocol.version, self.protocol.digest
+        now = self._clock.now()
+        rng = random.Random(self._random.getrandbits(64))
+        self._table = membership.table
+        self.protocol = Rollout(
+            self._number, self._cluster, self._table, config.rollout, rng, now, version, digest
+        )
+        self._carry_out(self.protocol.start(now))
+
+    def _reconfigure(self, rollout: Rollout, config: Config, version: int, is_complete: bool) -> None:
+        now = self._clock.now()
+        actions = rollout.configure(now, config.rollout)
+        if is_complete:
+            actions += rollout.configuration_applied(now, version, config.digest)
+        else:
+            actions += rollout.configuration_pending(now, version)
+        self._carry_out(actions)
+
     def _tick(self) -> None:
-        self._play(Rollout.tick)
+        self._deliver(Rollout.tick)
 
-    def _play(self, event: Callable[[Rollout, int], list[RolloutAction]]) -> None:
-        """Bring an event to the rollout; live on after a defect in it."""
-        rollout, now = self._rollout, self._clock.now()
-        if rollout is None:
+    def _handle(self, action: RolloutAction) -> None:
+        if isinstance(action, ReadConfiguration):
+            self._read_configuration()
             return
-        try:
-            self._carry_out(event(rollout, now))
-        except Exception as fault:
-            self._log(f"internal error: {fault!r} (versions)")
-            if not self._alarm.is_set:
-                self._alarm.at(now + _AGAIN_US)
-
-    def _carry_out(self, steps: list[RolloutAction]) -> None:
-        for each in steps:
-            match each:
-                case SendDatagram():
-                    self._peers.send(each.receiver, each.payload)
-                case ScheduleTick():
-                    self._alarm.at(each.at)
-                case ReadConfiguration():
-                    self._look()
-                case RolloutConcluded() | AmbiguousVersion() | VersionMissing() | VersionForgotten():
-                    self._say(each)
-
-    def _say(self, what: RolloutConcluded | AmbiguousVersion | VersionMissing | VersionForgotten) -> None:
-        now = self._clock.now()
-        passed_s, self._lines_at = (now - self._lines_at) / 1e6, now
-        self._lines = min(self._lines + passed_s * _LINES_PER_S, _LINES_AT_ONCE)
-        if self._lines >= 1.0:
-            self._lines -= 1.0
-            self._log(_worded(what))
+        line = _log_line(action)
+        if line is not None and self._log_limiter.try_acquire(self._clock.now()):
+            self._log(line)
 
 
-def _worded(what: RolloutConcluded | AmbiguousVersion | VersionMissing | VersionForgotten) -> str:
-    match what:
-        case RolloutConcluded(after_us, answer):
-            return _settled(after_us / 1e6, answer)
+def _log_line(action: RolloutAction) -> str | None:
+    match action:
+        case RolloutConcluded(after_us, status):
+            return _conclusion_line(after_us / 1e6, status)
         case AmbiguousVersion(version, low, high):
             return f"configuration: two contents go by version {version}: digests {low:08x} and {high:08x}"
         case VersionMissing(version, by, after_us):
@@ -179,22 +166,21 @@
             return f"{told} after {after_us / 1e6:.0f} s: it looks once a minute from now on"
         case VersionForgotten(version, by):
             return f"configuration: version {version}, first said by {by}, is in force nowhere any more"
+    return None
 
 
-def _settled(after_s: float, answer: RolloutStatus) -> str:
-    version, counted = (
-        f"configuration: version {answer.version}",
-        f"{answer.in_force_count} of {answer.required_count}",
-    )
-    if answer.is_in_force_everywhere:
-        return f"{version} in force here; everywhere after {after_s:.1f} s ({counted})"
-    behind = _named("behind", answer.behind, answer.behind_count)
-    unheard = _named("unheard", answer.missing, answer.missing_count)
-    return f"{version} not known to be everywhere after {after_s:.1f} s ({counted}){behind}{unheard}"
+def _conclusion_line(after_s: float, status: RolloutStatus) -> str:
+    version = f"configuration: version {status.version}"
+    counts = f"{status.in_force_count} of {status.required_count}"
+    if status.is_in_force_everywhere:
+        return f"{version} in force here; everywhere after {after_s:.1f} s ({counts})"
+    behind = _member_list("behind", status.behind, status.behind_count)
+    missing = _member_list("unheard", status.missing, status.missing_count)
+    return f"{version} not known to be everywhere after {after_s:.1f} s ({counts}){behind}{missing}"
 
 
-def _named(what: str, members: tuple[int, ...], count: int) -> str:
+def _member_list(label: str, members: tuple[int, ...], count: int) -> str:
     if not count:
         return ""
-    more = f" and {count - len(members)} more" if count > len(members) else ""
-    return f"; {what}: {', '.join(map(str, members))}{more}"
+    further = f" and {count - len(members)} more" if count > len(members) else ""
+    return f"; {label}: {', '.join(map(str, members))}{further}"
--- a/sidecar/peers.py
+++ b/sidecar/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between sidecars."""
+"""Datagrams between the sidecars of a cluster."""
 
 from __future__ import annotations
 
@@ -6,28 +6,29 @@
 from collections.abc import Callable
 from typing import cast
 
+from sidecar.cluster.limits import MAX_DATAGRAM_BYTES
 from sidecar.upstream.client import Address
 
-MOST_BYTES = 256  # of a datagram; a longer one is never sent
-
 
 class Peers(asyncio.DatagramProtocol):
-    """Sends to sidecars of the tier by number, and tells who a datagram came from."""
+    """Sends to the members of the cluster by number, and passes on datagrams with their sender's number."""
 
     def __init__(
         self,
         peers: tuple[Address, ...],
-        everyone: Address | None,
-        me: int,
-        on_message: Callable[[int, bytes], None],
+        broadcast_address: Address | None,
+        own_number: int,
+        on_datagram: Callable[[int, bytes], None],
     ) -> None:
-        self._peers = peers
-        self._everyone = everyone
-        self._me = me
-        self._numbers = {address: number for number, address in enumerate(peers)}
-        self._on_message = on_message
+        """`peers` are the addresses of all members by number; a datagram to all goes to `broadcast_address`.
+
+        `on_datagram` is called with the number of the sender and the payload.
+        """
+        self._own_number = own_number
+        self._on_datagram = on_datagram
         self._transport: asyncio.DatagramTransport | None = None
-        self.unknown_sender_count = 0  # datagrams from nobody of the tier, or too long
+        self.unknown_sender_count = 0  # datagrams that no other member sent, or that are too long
+        self.set_addresses(peers, broadcast_address)
 
     @property
     def is_listening(self) -> bool:
@@ -35,33 +36,33 @@
 
     @property
     def size(self) -> int:
-        """How many sidecars the tier has, this one included."""
+        """How many members the cluster has, this one included."""
         return len(self._peers)
 
-    def set_addresses(self, peers: tuple[Address, ...], everyone: Address | None) -> None:
-        """The others are at these addresses from now on."""
-        self._peers, self._everyone = peers, everyone
+    def set_addresses(self, peers: tuple[Address, ...], broadcast_address: Address | None) -> None:
+        """The members have these addresses from now on."""
+        self._peers, self._broadcast_address = peers, broadcast_address
         self._numbers = {address: number for number, address in enumerate(peers)}
 
     async def listen(self, address: Address, shared: bool = False) -> None:
-        """Hear others at this address, shared with another process of this sidecar if need be."""
+        """Receive at this address, `shared` with another process of this sidecar; raise OSError."""
         await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, local_addr=address, reuse_port=shared or None
         )
 
     def send(self, receiver: int | None, payload: bytes) -> bool:
-        """Send to one sidecar, or to all; say whether it could be sent at all."""
-        if self._transport is None or len(payload) > MOST_BYTES:
+        """Send to one member, or to all others (None); return False if that is not possible."""
+        if self._transport is None or len(payload) > MAX_DATAGRAM_BYTES:
             return False
         if receiver is not None:
             if not 0 <= receiver < len(self._peers):
                 return False
             self._transport.sendto(payload, self._peers[receiver])
-        elif self._everyone is not None:
-            self._transport.sendto(payload, self._everyone)
+        elif self._broadcast_address is not None:
+            self._transport.sendto(payload, self._broadcast_address)
         else:
             for number, address in enumerate(self._peers):
-                if number != self._me:
+                if number != self._own_number:
                     self._transport.sendto(payload, address)
         return True
 
@@ -71,15 +72,15 @@
             self._transport = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # The event loop's own class is none of DatagramTransport, so there is nothing to check.
+        # uvloop's class does not derive from DatagramTransport, so there is nothing to check.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         number = self._numbers.get((addr[0], addr[1]))
-        if number is None or number == self._me or len(data) > MOST_BYTES:
+        if number is None or number == self._own_number or len(data) > MAX_DATAGRAM_BYTES:
             self.unknown_sender_count += 1
             return
-        self._on_message(number, data)
+        self._on_datagram(number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """A datagram may be lost; that is all an error says."""
+        """An error says no more than that a datagram may be lost."""
--- /dev/null
+++ b/sidecar/protocol_runner.py
@@ -0,0 +1,57 @@
+"""Runs a protocol that does no I/O of its own: gives it time, sends its datagrams and keeps its timer."""
+
+from __future__ import annotations
+
+from abc import ABC, abstractmethod
+from collections.abc import Callable, Sequence
+from typing import ClassVar, Generic, TypeVar
+
+from sidecar.clock import Alarm, Clock
+from sidecar.cluster.actions import ScheduleTick, SendDatagram
+from sidecar.peers import Peers
+
+_RETRY_US = 1_000_000  # after an internal error, the next tick
+
+
+ProtocolT = TypeVar("ProtocolT")
+ActionT = TypeVar("ActionT")
+
+
+class ProtocolRunner(ABC, Generic[ProtocolT, ActionT]):
+    """Brings events to a protocol while there is one, and carries out its actions."""
+
+    _label: ClassVar[str]  # of the protocol, in log lines
+
+    def __init__(self, clock: Clock, peers: Peers, log: Callable[[str], None]) -> None:
+        self.protocol: ProtocolT | None = None  # None: switched off
+        self._clock, self._peers, self._log = clock, peers, log
+        self._alarm = Alarm(clock, self._tick)
+
+    @abstractmethod
+    def _handle(self, action: ActionT) -> None:
+        """Carry out an action that is neither a datagram nor a tick."""
+
+    @abstractmethod
+    def _tick(self) -> None:
+        """Deliver the protocol's tick."""
+
+    def _deliver(self, event: Callable[[ProtocolT, int], Sequence[ActionT]]) -> None:
+        """Bring an event to the protocol; go on after an internal error in it."""
+        protocol, now = self.protocol, self._clock.now()
+        if protocol is None:
+            return
+        try:
+            self._carry_out(event(protocol, now))
+        except Exception as error:
+            self._log(f"internal error: {error!r} ({self._label})")
+            if not self._alarm.is_set:
+                self._alarm.at(now + _RETRY_US)
+
+    def _carry_out(self, actions: Sequence[ActionT]) -> None:
+        for action in actions:
+            if isinstance(action, SendDatagram):
+                self._peers.send(action.receiver, action.payload)
+            elif isinstance(action, ScheduleTick):
+                self._alarm.at(action.at)
+            else:
+                self._handle(action)
--- a/testbed/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -98,11 +98,11 @@
 
     def send(self, receiver: int | None, payload: bytes) -> bool:
         if receiver is None:
-            others = [each for each in range(len(self._peers)) if each != self._me]
+            others = [each for each in range(len(self._peers)) if each != self._own_number]
             told = [self.send(each, payload) for each in others]
             return all(told)
         self._counts.sent.add(payload)
-        if self._ground.loses(self._me, receiver):
+        if self._ground.loses(self._own_number, receiver):
             return True  # nobody who sends a datagram hears that it is lost
         if receiver < len(self._ground.real):
             self._ground.real[receiver].heard.add(payload)
@@ -115,7 +115,8 @@
             if is_real:
                 self._ground.real[sender].sent.add(data)
             # A hollow sender has asked already whether it is lost.
-            if self._ground.loses(sender, self._me) if is_real else self._ground.is_cut(sender, self._me):
+            is_lost = self._ground.loses if is_real else self._ground.is_cut
+            if is_lost(sender, self._own_number):
                 return
             self._counts.heard.add(data)
         super().datagram_received(data, addr)
@@ -126,11 +127,10 @@
 
     on_gone: Callable[[MemberStateChanged], None]
 
-    def _carry_out(self, actions: list[MembershipAction]) -> None:
-        for each in actions:
-            if isinstance(each, MemberStateChanged) and each.state >= MemberState.DEAD:
-                self.on_gone(each)
-        super()._carry_out(actions)
+    def _handle(self, action: MembershipAction) -> None:
+        if isinstance(action, MemberStateChanged) and action.state >= MemberState.DEAD:
+            self.on_gone(action)
+        super()._handle(action)
 
 
 class Hollow(Sidecar):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -68,7 +68,7 @@
         kept = sidecar.reconfigure(parse({**given, "membership": {"on": True}, "settings": other}))
         assert kept == ["settings", "tier"]
         assert sidecar._members is not None
-        assert (sidecar._members._tier, sidecar._members._me) == ("3", 1)
+        assert (sidecar._members._cluster, sidecar._members._number) == ("3", 1)
         sidecar.close()
 
     play(work)
