--- a/Makefile
+++ b/Makefile
@@ -57,13 +57,13 @@
 	$(BIN)/python -m bench.stages
 
 
-# The codec against h11, then the tier's datagrams, guided by coverage, FUZZ_S seconds each; finds go to build/
+# The codec against h11, then datagrams between sidecars, guided by coverage, FUZZ_S seconds each; finds go to build/
 fuzz: setup
 	$(BIN)/pip install -q --disable-pip-version-check atheris==3.0.0
 	mkdir -p build/fuzz
 	$(BIN)/python fuzz/fuzz_codec.py -max_total_time=$(FUZZ_S) -artifact_prefix=build/ build/fuzz fuzz/corpus
-	mkdir -p build/fuzz-tier
-	$(BIN)/python fuzz/fuzz_tier.py -max_total_time=$(FUZZ_S) -artifact_prefix=build/ build/fuzz-tier fuzz/corpus-tier
+	mkdir -p build/fuzz-membership
+	$(BIN)/python fuzz/fuzz_membership.py -max_total_time=$(FUZZ_S) -artifact_prefix=build/ build/fuzz-membership fuzz/corpus-membership
 	mkdir -p build/fuzz-rollout
 	$(BIN)/python fuzz/fuzz_rollout.py -max_total_time=$(FUZZ_S) -artifact_prefix=build/ build/fuzz-rollout fuzz/corpus-rollout
 
--- a/fuzz/fuzz_tier.py
+++ b/fuzz/fuzz_membership.py
@@ -14,6 +14,7 @@
 sys.path[:0] = [str(ROOT)]
 
 with atheris.instrument_imports(include=["sidecar.cluster"]):
+    from sidecar.cluster.limits import MAX_DATAGRAM_BYTES
     from sidecar.cluster.membership import Membership
     from sidecar.cluster.settings import MembershipSettings
 
@@ -29,17 +30,17 @@
         sender, length = data[0] % (SIZE + 1), data[1]
         payload, data = data[2 : 2 + length], data[2 + length :]
         now += 50_000
-        before, dropped = [each.update for each in member.table.records], member.dropped.total()
-        out = member.datagram_received(now, sender, payload)
-        if member.dropped.total() > dropped and not out:
-            assert [each.update for each in member.table.records] == before, payload
-        assert (
-            len(member.table) == SIZE and len(member.dropped) <= 8 and member._updates.suspicion_count < SIZE
-        )
-        assert (
-            len(member._outbox.dissemination) <= SIZE and member._failure_detector.pings.relayed_count <= 32
-        )
-        assert all(len(getattr(each, "payload", b"")) <= 256 for each in out)
+        updates_before = [record.update for record in member.table.records]
+        dropped_before = member.dropped.total()
+        actions = member.datagram_received(now, sender, payload)
+        if member.dropped.total() > dropped_before and not actions:
+            assert [record.update for record in member.table.records] == updates_before, payload
+        assert len(member.table) == SIZE
+        assert len(member.dropped) <= 8
+        assert member._updates.suspicion_count < SIZE
+        assert len(member._outbox.dissemination) <= SIZE
+        assert member._failure_detector.pings.relayed_count <= 32
+        assert all(len(getattr(action, "payload", b"")) <= MAX_DATAGRAM_BYTES for action in actions)
         member.tick(now + 20_000)
 
 
