--- a/testbed/cluster_simulation/__init__.py
+++ b/testbed/cluster_simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A tier in virtual time: the sidecars' own membership, hundreds of members and faults between them."""
+"""A cluster in virtual time: the sidecars' own membership, hundreds of members and faults between them."""
--- a/testbed/cluster_simulation/explore.py
+++ b/testbed/cluster_simulation/explore.py
@@ -156,7 +156,7 @@
     # What has to hold
 
     def _check(self, number: int) -> None:
-        """A life once ended does not come back, not even one's own; the table is as large as the tier."""
+        """A life once ended does not come back, not even one's own; the table is as large as the cluster."""
         own = self.members[number]
         membership = own.membership
         if membership is None:
--- a/testbed/cluster_simulation/line.py
+++ b/testbed/cluster_simulation/line.py
@@ -1,4 +1,4 @@
-"""DiscoveryMode's line after an outage: how soon all of a tier have an answer again; `make line`, as data.
+"""DiscoveryMode's line after an outage: how soon all of a cluster have an answer again; `make line`, as data.
 
 The sidecars' waits are those of the module itself (`balancer.Balancer`), their calls those of
 `sidecar.discovery.discovery`: a watch that broke is called anew when the module says so, and keeps its place
--- a/testbed/cluster_simulation/measure.py
+++ b/testbed/cluster_simulation/measure.py
@@ -13,7 +13,7 @@
 import numpy as np
 
 from sidecar.cluster.message import MemberState
-from testbed.cluster_simulation.virtual import VirtualTier
+from testbed.cluster_simulation.virtual import VirtualCluster
 from testbed.report import plots
 
 T = TypeVar("T")
@@ -56,40 +56,40 @@
 
 
 def found(size: int, seed: int) -> Found:
-    """Kill one member of a tier at rest whose members know each other."""
-    tier = VirtualTier(size, seed, is_known=True)
-    tier.run(_WARM_S)
-    tier.told.clear()
+    """Kill one member of a cluster at rest whose members know each other."""
+    cluster = VirtualCluster(size, seed, is_known=True)
+    cluster.run(_WARM_S)
+    cluster.reports.clear()
     killed = seed % size
-    began = tier.queue.now
-    tier.kill(killed)
+    began = cluster.queue.now
+    cluster.kill(killed)
     knows: set[int] = set()
-    while len(knows) < size - 1 and tier.queue.now - began < _MOST_S * 1e6:
-        tier.run(_STEP_S)
-        knows = {by for _, by, _ in tier.news(MemberState.DEAD, killed)}
+    while len(knows) < size - 1 and cluster.queue.now - began < _MOST_S * 1e6:
+        cluster.run(_STEP_S)
+        knows = {by for _, by, _ in cluster.state_changes(MemberState.DEAD, killed)}
 
     def first(state: MemberState) -> float:
-        return (tier.news(state, killed)[0][0] - began) / 1e6
+        return (cluster.state_changes(state, killed)[0][0] - began) / 1e6
 
-    last = max(at for at, _, _ in tier.news(MemberState.DEAD, killed))
+    last = max(at for at, _, _ in cluster.state_changes(MemberState.DEAD, killed))
     return Found(size, seed, first(MemberState.SUSPECTED), first(MemberState.DEAD), (last - began) / 1e6)
 
 
 def quiet(size: int, seed: int, loss: float, slow: float, seconds: float) -> Quiet:
-    """Leave a tier alone; a part of it is slow: every datagram and tick of these comes 0.4 s late."""
-    tier = VirtualTier(size, seed, loss=loss, is_known=True)
+    """Leave a cluster alone; a part of it is slow: every datagram and tick of these comes 0.4 s late."""
+    cluster = VirtualCluster(size, seed, loss=loss, is_known=True)
     for number in range(round(size * slow)):
-        tier.processes[number][0].late_us = 400_000
-    tier.run(5.0)
-    tier.told.clear()
-    sent, sent_bytes = _sent(tier)
-    tier.run(seconds)
+        cluster.processes[number][0].late_us = 400_000
+    cluster.run(5.0)
+    cluster.reports.clear()
+    sent, sent_bytes = _sent(cluster)
+    cluster.run(seconds)
     per = 1.0 / size / seconds
     suspected = {
         (what.member, what.incarnation, what.reported_by, at // _ONE_SUSPICION_US)
-        for at, _, what in tier.news(MemberState.SUSPECTED)
+        for at, _, what in cluster.state_changes(MemberState.SUSPECTED)
     }
-    dead = {(what.member, what.incarnation) for _, _, what in tier.news(MemberState.DEAD)}
+    dead = {(what.member, what.incarnation) for _, _, what in cluster.state_changes(MemberState.DEAD)}
     return Quiet(
         size,
         seed,
@@ -98,14 +98,14 @@
         seconds,
         len(suspected),
         len(dead),
-        (_sent(tier)[0] - sent) * per,
-        (_sent(tier)[1] - sent_bytes) * per,
+        (_sent(cluster)[0] - sent) * per,
+        (_sent(cluster)[1] - sent_bytes) * per,
     )
 
 
-def _sent(tier: VirtualTier) -> tuple[int, int]:
+def _sent(cluster: VirtualCluster) -> tuple[int, int]:
     """Datagrams and bytes that all members sent."""
-    own = [each[0] for each in tier.processes.values()]
+    own = [each[0] for each in cluster.processes.values()]
     return sum(each.sent for each in own), sum(each.sent_bytes for each in own)
 
 
--- a/testbed/cluster_simulation/rollouts.py
+++ b/testbed/cluster_simulation/rollouts.py
@@ -23,7 +23,7 @@
 from sidecar.cluster.settings import RolloutSettings
 from testbed.capacity.samples import Sample, save
 from testbed.cluster_simulation.measure import many
-from testbed.cluster_simulation.versions import VersionedTier
+from testbed.cluster_simulation.versions import VersionedCluster
 
 SIZES = (50, 100, 200, 400, 750, 1_000)
 SEEDS = range(11, 16)  # 1 to 5 were used in tuning
@@ -68,39 +68,39 @@
     most_bytes: float
 
 
-def _at_rest(size: int, seed: int, loss: float, is_on: bool) -> VersionedTier:
-    """A tier that knows its version, at some moment of its wave."""
+def _at_rest(size: int, seed: int, loss: float, is_on: bool) -> VersionedCluster:
+    """A cluster that knows its version, at some moment of its wave."""
     settings = RolloutSettings(on=is_on)
-    tier = VersionedTier(size, seed, rollout=settings, is_membership_on=False)
-    tier.run(30.0 + 60.0 * random.Random(seed).random())
-    tier.loss = loss
-    return tier
+    cluster = VersionedCluster(size, seed, rollout=settings, is_membership_on=False)
+    cluster.run(30.0 + 60.0 * random.Random(seed).random())
+    cluster.loss = loss
+    return cluster
 
 
 def changed(size: int, seed: int, case: str) -> Changed:
     """One member is signalled; every file is there."""
-    tier = _at_rest(size, seed, CASES[case], case != "off")
+    cluster = _at_rest(size, seed, CASES[case], case != "off")
     first = seed * 7_919 % size
     zone = [each for each in range(size) if case == "zone" and each % _ZONES == (first + 1) % _ZONES]
     for number in zone:
-        tier.kill(number)
-    tier.run(0.5 if zone else 0.0)
-    tier.said.clear()
-    began, sent = tier.queue.now, _sent(tier)
-    tier.publish(2, first)
-    tier.run(_ZONE_BACK_S if zone else 0.0)
+        cluster.kill(number)
+    cluster.run(0.5 if zone else 0.0)
+    cluster.rollout_reports.clear()
+    began, sent = cluster.queue.now, _sent(cluster)
+    cluster.publish(2, first)
+    cluster.run(_ZONE_BACK_S if zone else 0.0)
     for number in zone:
-        tier.start(number)
-    tier.run(_SPREADS_S - (_ZONE_BACK_S if zone else 0.0))
-    most = _most(sent, _sent(tier))
-    while tier.queue.now - began < _WATCHED_S * 1e6 and len(_known(tier)) < size:
-        tier.run(1.0)
-    has = sorted(tier.applied.get(2, {}).values())
-    known = _known(tier)
+        cluster.start(number)
+    cluster.run(_SPREADS_S - (_ZONE_BACK_S if zone else 0.0))
+    most = _most(sent, _sent(cluster))
+    while cluster.queue.now - began < _WATCHED_S * 1e6 and len(_known(cluster)) < size:
+        cluster.run(1.0)
+    has = sorted(cluster.applied.get(2, {}).values())
+    known = _known(cluster)
     return Changed(
         size,
         case,
-        (has[-1] - began) / 1e6 if tier.in_force(2) else None,
+        (has[-1] - began) / 1e6 if cluster.in_force(2) else None,
         sum(each - began <= _BOUND_S * 1e6 for each in has) + len(zone),
         (known[0] - began) / 1e6 if known else None,
         (known[-1] - began) / 1e6 if len(known) == size else None,
@@ -109,11 +109,11 @@
     )
 
 
-def _known(tier: VersionedTier) -> list[int]:
+def _known(cluster: VersionedCluster) -> list[int]:
     """When members came to know that version 2 is in force everywhere, the latest word of each."""
     found = {
         by: at
-        for at, by, what in tier.said
+        for at, by, what in cluster.rollout_reports
         if isinstance(what, RolloutConcluded)
         and what.status.version == 2
         and what.status.is_in_force_everywhere
@@ -123,28 +123,28 @@
 
 def rest(size: int, seed: int) -> Cost:
     """Nothing changes."""
-    tier = _at_rest(size, seed, 0.0, True)
-    before = _sent(tier)
-    tier.run(_REST_S)
-    return _cost("rest", before, _sent(tier), _REST_S)
+    cluster = _at_rest(size, seed, 0.0, True)
+    before = _sent(cluster)
+    cluster.run(_REST_S)
+    return _cost("rest", before, _sent(cluster), _REST_S)
 
 
 def day(size: int, seed: int) -> Cost:
     """A change every so often, as on a day of 580."""
-    tier = _at_rest(size, seed, 0.0, True)
-    before = _sent(tier)
+    cluster = _at_rest(size, seed, 0.0, True)
+    before = _sent(cluster)
     for count in range(_CHANGES):
-        tier.publish(2 + count, (seed + count) * 7_919 % size)
-        tier.run(_BETWEEN_S)
-    return _cost("day-580", before, _sent(tier), _CHANGES * _BETWEEN_S)
+        cluster.publish(2 + count, (seed + count) * 7_919 % size)
+        cluster.run(_BETWEEN_S)
+    return _cost("day-580", before, _sent(cluster), _CHANGES * _BETWEEN_S)
 
 
 Sent = dict[int, tuple[int, int]]
 
 
-def _sent(tier: VersionedTier) -> Sent:
+def _sent(cluster: VersionedCluster) -> Sent:
     """Datagrams and bytes that each member's process has sent so far."""
-    return {each.number: (each.exchanges, each.exchange_bytes) for each in tier.everyone}
+    return {each.number: (each.exchanges, each.exchange_bytes) for each in cluster.everyone}
 
 
 def _most(before: Sent, after: Sent) -> tuple[int, int]:
--- a/testbed/cluster_simulation/slopes.py
+++ b/testbed/cluster_simulation/slopes.py
@@ -1,4 +1,4 @@
-"""What membership costs a member as the tier grows, in peace and in each event: `make slopes`, as data.
+"""What membership costs a member as the cluster grows, in peace and in each event: `make slopes`, as data.
 
 Each case is played in virtual time at several sizes and seeds; each writes `docs/capacity/tier-CASE.json`.
 """
@@ -49,9 +49,9 @@
 
 
 def _rest(trial: Trial, case: str) -> None:
-    trial.tier.run(_WARM_S)
+    trial.cluster.run(_WARM_S)
     trial.begin()
-    trial.tier.run(_REST_S)
+    trial.cluster.run(_REST_S)
     trial.costs(case)
 
 
@@ -61,7 +61,7 @@
 
 
 def _killed(trial: Trial, case: str, count: int) -> None:
-    trial.tier.run(_WARM_S)
+    trial.cluster.run(_WARM_S)
     trial.begin()
     first = trial.seed * 7 % trial.size
     trial.kill([(first + each) % trial.size for each in range(count)])
@@ -86,7 +86,7 @@
     def play(trial: Trial, case: str) -> None:
         if is_loaded:
             trial.load()
-        trial.tier.run(_WARM_S)
+        trial.cluster.run(_WARM_S)
         trial.begin()
         trial.cut(seconds)
         trial.costs(f"{case}-during")
@@ -105,23 +105,23 @@
 
 
 def _restarts(trial: Trial, case: str) -> None:
-    trial.tier.run(_WARM_S)
+    trial.cluster.run(_WARM_S)
     trial.begin()
     every_s = _RESTART_EVERY_S * 750 / trial.size
     for turn in range(int(_RESTARTS_S / every_s)):
-        trial.tier.queue.after(
+        trial.cluster.queue.after(
             int((turn + 0.5) * every_s * 1e6), trial.restart, (trial.seed + 7 * turn) % trial.size
         )
-    trial.tier.run(_RESTARTS_S)
+    trial.cluster.run(_RESTARTS_S)
     trial.costs(case)
 
 
 def _release(trial: Trial, case: str) -> None:
-    trial.tier.run(_WARM_S)
+    trial.cluster.run(_WARM_S)
     trial.begin()
     for number in range(trial.size):
-        trial.tier.queue.after(int((number + 0.5) / trial.size * _RELEASE_S * 1e6), trial.upgrade, number)
-    trial.tier.run(_RELEASE_S)
+        trial.cluster.queue.after(int((number + 0.5) / trial.size * _RELEASE_S * 1e6), trial.upgrade, number)
+    trial.cluster.run(_RELEASE_S)
     trial.costs(case)
     agreed = trial.until_agreed(_AGREED_WITHIN_S)
     trial.add("member.agreed_after", agreed, "s", case, "max")
--- a/testbed/cluster_simulation/trial.py
+++ b/testbed/cluster_simulation/trial.py
@@ -1,4 +1,4 @@
-"""One tier in virtual time under one event: what each member sent and heard, and when all knew and agreed."""
+"""One cluster in virtual time under one event: what each member sent and heard, and when all agreed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from sidecar.cluster.actions import MemberStateChanged
 from sidecar.cluster.message import MemberState
 from testbed.capacity.samples import Sample
-from testbed.cluster_simulation.virtual import Process, S, Told, VirtualTier
+from testbed.cluster_simulation.virtual import Process, Report, S, VirtualCluster
 
 REQUESTS_PER_S = 293  # 220,000 calls a second over 750 sidecars
 BACK_AFTER_S = 5.0  # a member that was restarted
@@ -24,14 +24,14 @@
 
 
 class Trial:
-    """A tier, who was killed in it, and who was wrongly called dead."""
+    """A cluster, who was killed in it, and who was wrongly called dead."""
 
     def __init__(self, size: int, seed: int, *, loss: float = 0.0, is_known: bool = True) -> None:
         self.size, self.seed = size, seed
         self.samples: list[Sample] = []
-        self.tier = VirtualTier(size, seed, loss=loss, is_known=is_known)
-        self.tier.on_told = self._told
-        self._born = {number: self.tier.of(number).incarnation for number in range(size)}
+        self.cluster = VirtualCluster(size, seed, loss=loss, is_known=is_known)
+        self.cluster.on_report = self._told
+        self._born = {number: self.cluster.of(number).incarnation for number in range(size)}
         self._killed: dict[int, int] = {}  # when
         self._known: dict[int, dict[int, int]] = {}  # of a killed one: who knew when
         self._wrong: set[tuple[int, int]] = set()  # member and life
@@ -46,30 +46,30 @@
     def kill(self, numbers: Sequence[int]) -> None:
         """These end without a word, at once."""
         for number in numbers:
-            self._killed[number] = self.tier.queue.now
+            self._killed[number] = self.cluster.queue.now
             self._known[number] = {}
-            self.tier.kill(number)
+            self.cluster.kill(number)
 
     def cut(self, seconds: float) -> None:
         """Halves that do not hear each other for so long."""
         self._has_been_cut = True
-        self.tier.is_cut = self._were_cut
-        self.tier.run(seconds)
-        self.tier.is_cut = lambda one, other: False
+        self.cluster.is_cut = self._were_cut
+        self.cluster.run(seconds)
+        self.cluster.is_cut = lambda one, other: False
 
     def restart(self, number: int) -> None:
         """A member leaves by its own word, and a process of it begins anew a little later."""
-        ended = self.tier.processes[number]
-        self.tier.leave(number)
+        ended = self.cluster.processes[number]
+        self.cluster.leave(number)
         self._keep(number, ended)
-        self.tier.queue.after(int(BACK_AFTER_S * S), self._start, number)
+        self.cluster.queue.after(int(BACK_AFTER_S * S), self._start, number)
 
     def upgrade(self, number: int) -> None:
         """A process with the next version goes on beside the present one, which ends a little later."""
-        ended = list(self.tier.processes[number])
-        self.tier.upgrade(number, OVERLAP_US)
-        self._born[number] = self.tier.of(number).incarnation
-        self.tier.queue.after(OVERLAP_US, self._keep, number, ended)
+        ended = list(self.cluster.processes[number])
+        self.cluster.upgrade(number, OVERLAP_US)
+        self._born[number] = self.cluster.of(number).incarnation
+        self.cluster.queue.after(OVERLAP_US, self._keep, number, ended)
 
     def _keep(self, number: int, ended: Sequence[Process]) -> None:
         """What processes sent and heard that are no more."""
@@ -78,31 +78,31 @@
                 self._ended[number][count] += getattr(own, count)
 
     def _start(self, number: int) -> None:
-        self._born[number] = self.tier.start(number).membership.incarnation
+        self._born[number] = self.cluster.start(number).membership.incarnation
 
     def load(self) -> None:
         """From now on every member is told of the requests that it takes, once a second."""
         for number in range(self.size):
-            self.tier.queue.after(number * S // self.size, self._worked, number)
+            self.cluster.queue.after(number * S // self.size, self._worked, number)
 
     def _worked(self, number: int) -> None:
-        for own in self.tier.processes.get(number, []):
-            own.membership.requests_taken(self.tier.queue.now, REQUESTS_PER_S)
-        self.tier.queue.after(S, self._worked, number)
+        for own in self.cluster.processes.get(number, []):
+            own.membership.requests_taken(self.cluster.queue.now, REQUESTS_PER_S)
+        self.cluster.queue.after(S, self._worked, number)
 
     # What is waited for
 
     def until_known(self, within_s: float) -> None:
         """Run until all that live know of each that was killed; raise Overdue."""
-        began, wanted = self.tier.queue.now, len(self.tier.processes)
+        began, wanted = self.cluster.queue.now, len(self.cluster.processes)
         while any(len(each) < wanted for each in self._known.values()):
-            if self.tier.queue.now - began > within_s * S:
+            if self.cluster.queue.now - began > within_s * S:
                 raise Overdue(f"deaths not known to all within {within_s:g} s")
-            self.tier.run(_STEP_S)
+            self.cluster.run(_STEP_S)
 
     def until_agreed(self, within_s: float) -> float:
         """Run until all agree; give the seconds that it took, or raise Overdue."""
-        found = self.tier.until_agreed(within_s, _STEP_S)
+        found = self.cluster.until_agreed(within_s, _STEP_S)
         if found is None:
             raise Overdue(f"no agreement within {within_s:g} s")
         return found
@@ -111,12 +111,12 @@
 
     def begin(self) -> None:
         """Count anew from here."""
-        self._began_at = self.tier.queue.now
+        self._began_at = self.cluster.queue.now
         self._began_with = {number: self._totals(number) for number in range(self.size)}
         self._wrong.clear()
 
     def _totals(self, number: int) -> dict[str, int]:
-        own = self.tier.processes.get(number, [])
+        own = self.cluster.processes.get(number, [])
         return {
             count: self._ended[number][count] + sum(getattr(each, count) for each in own) for count in _COUNTS
         }
@@ -128,8 +128,8 @@
 
     def costs(self, case: str) -> None:
         """What a second cost each member that lives, since `begin`, and how many were wrongly called dead."""
-        seconds = (self.tier.queue.now - self._began_at) / S
-        alive = self.tier.alive
+        seconds = (self.cluster.queue.now - self._began_at) / S
+        alive = self.cluster.alive
         ends = {number: self._totals(number) for number in alive}
         for count in _COUNTS:
             rates = [(ends[each][count] - self._began_with[each][count]) / seconds for each in alive]
@@ -149,7 +149,7 @@
         self.add("member.death_known", float(np.median(waits)), "s", case, "median")
         self.add("member.death_known", max(waits), "s", case, "max")
 
-    def _told(self, told: Told) -> None:
+    def _told(self, told: Report) -> None:
         """Deaths alone: of who was killed, when each knew; of who lives, which life was called dead.
 
         Across a cut that is no error, also where it is told later.
@@ -159,7 +159,7 @@
             return
         if what.member in self._killed:
             self._known[what.member].setdefault(hearer, at)
-        elif what.member in self.tier.processes and what.incarnation >= self._born[what.member]:
+        elif what.member in self.cluster.processes and what.incarnation >= self._born[what.member]:
             if not self._were_cut(what.reported_by, what.member):
                 self._wrong.add((what.member, what.incarnation))
 
--- a/testbed/cluster_simulation/versions.py
+++ b/testbed/cluster_simulation/versions.py
@@ -10,21 +10,13 @@
 
 from sidecar.cluster.actions import MembershipAction, ScheduleTick, SendDatagram
 from sidecar.cluster.rollout import Rollout
-from sidecar.cluster.rollout_actions import (
-    AmbiguousVersion,
-    ReadConfiguration,
-    RolloutAction,
-    RolloutConcluded,
-    VersionForgotten,
-    VersionMissing,
-)
+from sidecar.cluster.rollout_actions import ReadConfiguration, RolloutAction, RolloutReport
 from sidecar.cluster.rollout_message import is_rollout_message
 from sidecar.cluster.rollout_status import RolloutStatus
 from sidecar.cluster.settings import MembershipSettings, RolloutSettings
-from testbed.cluster_simulation.virtual import Process, VirtualTier
+from testbed.cluster_simulation.virtual import Process, VirtualCluster
 
 _NEVER = 1 << 62
-Said = RolloutConcluded | AmbiguousVersion | VersionMissing | VersionForgotten
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,72 +32,76 @@
         return File(version, version * 7_919 & 0xFFFF_FFFF)
 
 
-class Versioned(Process):
+class VersionedProcess(Process):
     """A process that compares versions besides keeping track of the others."""
 
-    def __init__(self, tier: VersionedTier, number: int, size: int, ahead_s: float) -> None:
-        self._versions = tier
-        self._next_step = _NEVER
+    def __init__(self, cluster: VersionedCluster, number: int, size: int, ahead_s: float) -> None:
+        self._versioned_cluster = cluster
+        self._next_rollout_tick = _NEVER
         self.exchanges = self.exchange_bytes = 0  # sent
-        self.looks = 0
-        super().__init__(tier, number, size, ahead_s)
-        now, file = tier.queue.now, tier.files[number]
-        own = random.Random(tier.random.getrandbits(64))
+        self.file_reads = 0
+        super().__init__(cluster, number, size, ahead_s)
+        now, file = cluster.queue.now, cluster.files[number]
+        own = random.Random(cluster.random.getrandbits(64))
         table = self.membership.table
-        self.rollout = Rollout(number, tier.name, table, tier.rollout, own, now, file.version, file.digest)
-        if tier.are_versions_on:
-            self.step(self.rollout.start(now))
+        self.rollout = Rollout(
+            number, cluster.name, table, cluster.rollout, own, now, file.version, file.digest
+        )
+        if cluster.is_rollout_on:
+            self.carry_out_rollout(self.rollout.start(now))
 
     def hear(self, sender: int, payload: bytes) -> None:
         if self.is_paused or not self.is_alive or not is_rollout_message(payload):
             super().hear(sender, payload)
-        elif self._versions.are_versions_on:
-            self.step(self.rollout.datagram_received(self._versions.queue.now, sender, payload))
+        elif self._versioned_cluster.is_rollout_on:
+            self.carry_out_rollout(
+                self.rollout.datagram_received(self._versioned_cluster.queue.now, sender, payload)
+            )
 
     def carry_out(self, actions: list[MembershipAction]) -> None:
-        if self._versions.is_membership_on:
+        if self._versioned_cluster.is_membership_on:
             super().carry_out(actions)
 
-    def step(self, steps: list[RolloutAction]) -> None:
-        tier = self._versions
-        for each in steps:
-            match each:
+    def carry_out_rollout(self, actions: list[RolloutAction]) -> None:
+        cluster = self._versioned_cluster
+        for action in actions:
+            match action:
                 case SendDatagram():
                     self.exchanges += 1
-                    self.exchange_bytes += len(each.payload)
-                    tier.carry(self, each)
+                    self.exchange_bytes += len(action.payload)
+                    cluster.carry(self, action)
                 case ScheduleTick():
-                    self._next_step = each.at
-                    tier.queue.at(each.at + self.late_us, self._tick_versions, each.at)
+                    self._next_rollout_tick = action.at
+                    cluster.queue.at(action.at + self.late_us, self._tick_rollout, action.at)
                 case ReadConfiguration():
-                    self.looks += 1
+                    self.file_reads += 1
                     self.read()
                 case _:
-                    tier.said.append((tier.queue.now, self.number, each))
+                    cluster.rollout_reports.append((cluster.queue.now, self.number, action))
 
     def read(self) -> bool:
         """Read the file, as at SIGHUP; no if its version is refused."""
-        tier, file = self._versions, self._versions.files[self.number]
+        cluster, file = self._versioned_cluster, self._versioned_cluster.files[self.number]
         if not self.rollout.permits(file.version):
             return False
         if (file.version, file.digest) != (self.rollout.version, self.rollout.digest):
-            tier.applied.setdefault(file.version, {}).setdefault(self.number, tier.queue.now)
-            steps = self.rollout.configuration_applied(tier.queue.now, file.version, file.digest)
-            self.step(steps if tier.are_versions_on else [])
+            cluster.applied.setdefault(file.version, {}).setdefault(self.number, cluster.queue.now)
+            actions = self.rollout.configuration_applied(cluster.queue.now, file.version, file.digest)
+            self.carry_out_rollout(actions if cluster.is_rollout_on else [])
         return True
 
     def resume(self) -> None:
         super().resume()
-        if self.is_alive and self._versions.are_versions_on:
-            self.step(self.rollout.tick(self._versions.queue.now))
+        if self.is_alive and self._versioned_cluster.is_rollout_on:
+            self.carry_out_rollout(self.rollout.tick(self._versioned_cluster.queue.now))
 
-    def _tick_versions(self, at: int) -> None:
-        if self.is_alive and not self.is_paused and at == self._next_step:
-            self.step(self.rollout.tick(self._versions.queue.now))
+    def _tick_rollout(self, at: int) -> None:
+        if self.is_alive and not self.is_paused and at == self._next_rollout_tick:
+            self.carry_out_rollout(self.rollout.tick(self._versioned_cluster.queue.now))
 
 
-class VersionedTier(VirtualTier):
-    """A tier whose members have files."""
+class VersionedCluster(VirtualCluster):
+    """A cluster whose members have files."""
 
     def __init__(
         self,
@@ -117,39 +113,39 @@
         rollout: RolloutSettings | None = None,
         version: int = 1,
         is_membership_on: bool = True,
-        before: frozenset[int] = frozenset(),
+        without_rollout: frozenset[int] = frozenset(),
     ) -> None:
         """All begin at once, know each other and have this version.
 
-        `is_membership_on`: else it is at rest for good, with everybody present.  `before`: members that run
-        the program before this one.
+        Without `is_membership_on`, membership is at rest for good, with everybody present.  Members
+        `without_rollout` run a program that knows membership alone.
         """
         self.rollout = rollout or RolloutSettings()
-        self.are_versions_on = self.rollout.on
+        self.is_rollout_on = self.rollout.on
         self.is_membership_on = is_membership_on
-        self.before = before
+        self.without_rollout = without_rollout
         self.files = {number: File.of(version) for number in range(size)}
-        self.said: list[tuple[int, int, Said]] = []
+        self.rollout_reports: list[tuple[int, int, RolloutReport]] = []
         self.applied: dict[int, dict[int, int]] = {}  # by version and member, when it came in force first
         super().__init__(size, seed, loss=loss, settings=settings, is_known=True)
 
     def start(self, number: int, ahead_s: float = 0.0, size: int | None = None) -> Process:
-        if number in self.before:
+        if number in self.without_rollout:
             return super().start(number, ahead_s, size)
-        process = Versioned(self, number, size or self.size, ahead_s)
+        process = VersionedProcess(self, number, size or self.size, ahead_s)
         self.processes.setdefault(number, []).append(process)
         return process
 
-    def versioned(self, number: int) -> Versioned:
+    def versioned(self, number: int) -> VersionedProcess:
         """A member's latest process."""
         process = self.processes[number][-1]
-        assert isinstance(process, Versioned)
+        assert isinstance(process, VersionedProcess)
         return process
 
     @property
-    def everyone(self) -> list[Versioned]:
+    def everyone(self) -> list[VersionedProcess]:
         """The latest process of each that lives and compares versions."""
-        return [self.versioned(number) for number in self.alive if number not in self.before]
+        return [self.versioned(number) for number in self.alive if number not in self.without_rollout]
 
     def publish(self, version: int, first: int, members: range | None = None) -> None:
         """Files of this version are with everybody, or with these; one alone gets SIGHUP."""
--- a/testbed/cluster_simulation/virtual.py
+++ b/testbed/cluster_simulation/virtual.py
@@ -25,7 +25,7 @@
 S = 1_000_000
 UNIX_S = 1_780_000_000.0  # the wall clock when virtual time begins
 _NEVER = 1 << 62
-Told = tuple[int, int, MembershipAction]  # at, by which member, what
+Report = tuple[int, int, MembershipAction]  # at, by which member, what
 
 
 def agreed(tables: Mapping[int, MemberTable]) -> bool:
@@ -42,11 +42,11 @@
 class Process:
     """One process of a member."""
 
-    def __init__(self, tier: VirtualTier, number: int, size: int, ahead_s: float) -> None:
+    def __init__(self, cluster: VirtualCluster, number: int, size: int, ahead_s: float) -> None:
         self.number = number
         self.is_alive = True
         self.late_us = 0  # each of its datagrams and ticks takes so much longer: starved of its processor
-        self._tier = tier
+        self._cluster = cluster
         self.is_paused = False
         self._waiting: list[tuple[int, bytes]] = []  # what came while it was paused
         self._wake = _NEVER
@@ -54,13 +54,13 @@
         self.membership = Membership(
             number,
             size,
-            tier.name,
-            tier.settings,
-            random.Random(tier.random.getrandbits(64)),
-            tier.queue.now,
-            UNIX_S + tier.queue.now / 1e6 + ahead_s,
+            cluster.name,
+            cluster.settings,
+            random.Random(cluster.random.getrandbits(64)),
+            cluster.queue.now,
+            UNIX_S + cluster.queue.now / 1e6 + ahead_s,
         )
-        self.carry_out(self.membership.start(tier.queue.now))
+        self.carry_out(self.membership.start(cluster.queue.now))
 
     def hear(self, sender: int, payload: bytes) -> None:
         if self.is_paused:
@@ -68,29 +68,29 @@
         elif self.is_alive:
             self.heard += 1
             self.heard_bytes += len(payload)
-            self.carry_out(self.membership.datagram_received(self._tier.queue.now, sender, payload))
+            self.carry_out(self.membership.datagram_received(self._cluster.queue.now, sender, payload))
 
     def carry_out(self, actions: list[MembershipAction]) -> None:
-        now = self._tier.queue.now
+        now = self._cluster.queue.now
         for action in actions:
             match action:
                 case SendDatagram():
-                    self._tier.carry(self, action)
+                    self._cluster.carry(self, action)
                 case ScheduleTick():
                     self._wake = action.at
-                    self._tier.queue.at(action.at + self.late_us, self._tick, action.at)
+                    self._cluster.queue.at(action.at + self.late_us, self._tick, action.at)
                 case MemberStateChanged() | DuplicateMember() | ProcessStalled():
-                    self._tier.on_told((now, self.number, action))
+                    self._cluster.on_report((now, self.number, action))
 
     def _tick(self, at: int) -> None:
         if self.is_alive and not self.is_paused and at == self._wake:
-            self.carry_out(self.membership.tick(self._tier.queue.now))
+            self.carry_out(self.membership.tick(self._cluster.queue.now))
 
     def kill(self) -> None:
         self.is_alive = False
 
     def leave(self, has_successor: bool = False) -> None:
-        self.carry_out(self.membership.leave(self._tier.queue.now, has_successor))
+        self.carry_out(self.membership.leave(self._cluster.queue.now, has_successor))
         self.is_alive = False
 
     def pause(self) -> None:
@@ -103,10 +103,10 @@
         for sender, payload in waiting:
             self.hear(sender, payload)
         if self.is_alive:
-            self.carry_out(self.membership.tick(self._tier.queue.now))
+            self.carry_out(self.membership.tick(self._cluster.queue.now))
 
 
-class VirtualTier:
+class VirtualCluster:
     """All members, and what lies between them."""
 
     def __init__(
@@ -126,8 +126,8 @@
         self.settings = settings or MembershipSettings()
         self.random = random.Random(seed)
         self.queue = Queue()
-        self.told: list[Told] = []
-        self.on_told: Callable[[Told], None] = self.told.append  # or whoever needs less than all of it
+        self.reports: list[Report] = []
+        self.on_report: Callable[[Report], None] = self.reports.append  # or whoever needs less than all of it
         self.double = 0.0
         self.late = 0.0  # part of the datagrams that come up to a second late, out of order
         # Whether a datagram from one to another is lost to a cut now, and until when one is held back.
@@ -231,12 +231,12 @@
             self.run(step_s)
         return None
 
-    def news(
+    def state_changes(
         self, state: MemberState, member: int | None = None
     ) -> list[tuple[int, int, MemberStateChanged]]:
         """What was told of members becoming so, in order of time."""
         return [
             (at, by, what)
-            for at, by, what in self.told
+            for at, by, what in self.reports
             if isinstance(what, MemberStateChanged) and what.state is state and member in (None, what.member)
         ]
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -1,4 +1,4 @@
-"""Trials of the tier by size: what they count is what was sent, known and agreed, and the same for a seed."""
+"""Trials of a cluster by size count what was sent, known and agreed, and are the same for a seed."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
 
 def test_a_living_member_that_is_called_dead_is_counted() -> None:
     trial = Trial(SIZE, 1)
-    trial.tier.processes[3][0].pause()
-    trial.tier.run(60.0)
+    trial.cluster.processes[3][0].pause()
+    trial.cluster.run(60.0)
     trial.costs("paused")
     assert value(trial.samples, "member.wrong_deaths", "mean", "paused") == pytest.approx(
         3.0
--- a/tests/test_tally.py
+++ b/tests/test_tally.py
@@ -29,7 +29,7 @@
     is_rollout_message,
 )
 from sidecar.cluster.settings import RolloutSettings
-from testbed.cluster_simulation.versions import File, VersionedTier
+from testbed.cluster_simulation.versions import File, VersionedCluster
 
 SIZE = 5
 TIER = cluster_id("a")
@@ -102,15 +102,15 @@
 @how(max_examples=60, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
 @given(EVENTS, st.integers(0, 1_000))
 def test_nobody_is_ever_said_to_have_what_it_never_had(events: list[tuple[str, int]], seed: int) -> None:
-    tier = VersionedTier(SIZE, seed, is_membership_on=False)
+    cluster = VersionedCluster(SIZE, seed, is_membership_on=False)
     had = {number: {1} for number in range(SIZE)}
     newest = 1
 
     def check() -> None:
-        for number, own in tier.processes.items():
+        for number, own in cluster.processes.items():
             assert len(own) == 1
-            had[number].add(tier.versioned(number).rollout.version)
-        for each in tier.everyone:
+            had[number].add(cluster.versioned(number).rollout.version)
+        for each in cluster.everyone:
             tally = each.rollout.round
             claimed = first_members(tally.in_force, SIZE)
             assert all(tally.version in had[member] for member in claimed), (tally, had)
@@ -123,32 +123,32 @@
         match what:
             case "publish":
                 newest += 1
-                tier.files[number] = File.of(newest)
-                if number in tier.processes:
-                    tier.versioned(number).read()
+                cluster.files[number] = File.of(newest)
+                if number in cluster.processes:
+                    cluster.versioned(number).read()
             case "cut":
-                tier.is_cut = lambda source, target, alone=number: alone in (source, target)  # type: ignore[misc]
+                cluster.is_cut = lambda source, target, alone=number: alone in (source, target)  # type: ignore[misc]
             case "heal":
-                tier.is_cut, tier.loss = lambda source, target: False, 0.0
+                cluster.is_cut, cluster.loss = lambda source, target: False, 0.0
             case "lose":
-                tier.loss = 0.3
+                cluster.loss = 0.3
             case "kill":
-                tier.kill(number)
-            case "start" if number not in tier.processes:
-                tier.start(number)
-        tier.run(0.3)
+                cluster.kill(number)
+            case "start" if number not in cluster.processes:
+                cluster.start(number)
+        cluster.run(0.3)
         check()
-    tier.is_cut, tier.loss = lambda source, target: False, 0.0
+    cluster.is_cut, cluster.loss = lambda source, target: False, 0.0
     for number in range(SIZE):
-        tier.files[number] = File.of(newest)
-        if number not in tier.processes:
-            tier.start(number)
+        cluster.files[number] = File.of(newest)
+        if number not in cluster.processes:
+            cluster.start(number)
     for number in range(SIZE):
-        tier.versioned(number).read()
-    tier.run(30.0)
+        cluster.versioned(number).read()
+    cluster.run(30.0)
     check()
-    assert tier.in_force(newest)
-    assert all(tier.status(number).is_in_force_everywhere for number in range(SIZE))
+    assert cluster.in_force(newest)
+    assert all(cluster.status(number).is_in_force_everywhere for number in range(SIZE))
 
 
 # Datagrams
