--- /dev/null
+++ b/sidecar/configuration_rollout.py
@@ -0,0 +1,188 @@
+"""Rollout of configuration versions, as this process takes part in it: settings, log lines and metrics.
+
+`sidecar.cluster.rollout` keeps what is known of other members; the file is applied as at SIGHUP.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+from sidecar.clock import Clock
+from sidecar.cluster.member_table import MemberTable
+from sidecar.cluster.membership import Membership
+from sidecar.cluster.rate_limiter import RateLimiter
+from sidecar.cluster.rollout import Rollout
+from sidecar.cluster.rollout_actions import (
+    AmbiguousVersion,
+    ReadConfiguration,
+    RolloutAction,
+    RolloutConcluded,
+    VersionForgotten,
+    VersionMissing,
+)
+from sidecar.cluster.rollout_message import is_rollout_message
+from sidecar.cluster.rollout_status import RolloutStatus
+from sidecar.configuration import Configuration
+from sidecar.peers import Peers
+from sidecar.protocol_runner import ProtocolRunner
+
+_LOG_LINES_PER_S = 0.1  # whatever other members say, the log grows no faster, ...
+_LOG_BURST_S = 200.0  # ... after 20 lines at once
+
+
+class ConfigurationRollout(ProtocolRunner[Rollout, RolloutAction]):
+    """Compares versions with other members while the configuration has one and membership is on."""
+
+    _label = "versions"
+
+    def __init__(
+        self,
+        number: int,
+        cluster: str,
+        seed: int,
+        clock: Clock,
+        peers: Peers,
+        log: Callable[[str], None],
+        read_configuration: Callable[[], None],
+    ) -> None:
+        """`read_configuration` reads the file again, and passes what it holds to `configure`."""
+        super().__init__(clock, peers, log)
+        self._table: MemberTable | None = None  # membership's, that the rollout goes by
+        self._rejected_files = 0  # with a lower version, since the start
+        self._number, self._cluster = number, cluster
+        self._random = random.Random(f"rollout {seed}")
+        self._read_configuration = read_configuration
+        self._log_limiter = RateLimiter(clock.now(), _LOG_LINES_PER_S, 0.0, capacity_s=_LOG_BURST_S)
+
+    @property
+    def version(self) -> int | None:
+        """The version in force; None while versions are not compared."""
+        return None if self.protocol is None else self.protocol.version
+
+    def rejection(self, config: Configuration) -> str | None:
+        """Why a file may not be applied; one in which this is switched off always may."""
+        if self.protocol is None or config.version is None or not config.rollout.on:
+            return None
+        if self.protocol.permits(config.version):
+            return None
+        self._rejected_files += 1
+        return f"version: {config.version} is older than {self.protocol.version}, which is in force"
+
+    def configure(
+        self, membership: Membership | None, config: Configuration, is_complete: bool = True
+    ) -> None:
+        """This configuration is in force from now on; not `is_complete`: some of it after a restart only."""
+        if membership is None or config.version is None or not config.rollout.on:
+            self.close()
+        elif self.protocol is None or self._table is not membership.table:
+            self._start(membership, config, config.version, is_complete)
+        else:
+            self._reconfigure(self.protocol, config, config.version, is_complete)
+
+    def datagram_received(self, sender: int, payload: bytes) -> bool:
+        """Take a datagram from a member; return False if it is not about versions, or this is off."""
+        if self.protocol is None or not is_rollout_message(payload):
+            return False
+        self._deliver(lambda rollout, now: rollout.datagram_received(now, sender, payload))
+        return True
+
+    def close(self) -> None:
+        """Compare no more, and hold no timer."""
+        self.protocol = self._table = None
+        self._alarm.cancel()
+
+    def figures(self) -> dict[str, object] | None:
+        """The metrics that operators read; None while it is off."""
+        rollout = self.protocol
+        if rollout is None:
+            return None
+        now = self._clock.now()
+        status = rollout.status(now)
+        digests = sorted({status.min_digest, status.max_digest})
+        return {
+            "version": rollout.version,
+            "digest": f"{rollout.digest:08x}",
+            "newest_heard": status.version,
+            "newest_heard_from": rollout.newest_heard_from,
+            "newest_first_said_by": rollout.round.first_reported_by,
+            "newest_heard_s_ago": round((now - rollout.newest_heard_at) / 1e6, 1),
+            "in_force_everywhere": status.is_in_force_everywhere,
+            "in_force": status.in_force_count,
+            "asked": status.required_count,
+            "behind": list(status.behind),
+            "behind_count": status.behind_count,
+            "unheard": list(status.missing),
+            "unheard_count": status.missing_count,
+            "ambiguous": status.is_ambiguous,
+            "digests": [f"{digest:08x}" for digest in digests],
+            "wave": status.round_number,
+            "age_s": round(status.round_age_us / 1e6, 1),
+            "refused": self._rejected_files,
+            "dropped": {reason.value: count for reason, count in rollout.dropped.items()},
+        }
+
+    def _start(self, membership: Membership, config: Configuration, version: int, is_complete: bool) -> None:
+        digest = config.digest
+        if not is_complete:
+            if self.protocol is None:
+                return  # which version is in force here is known after the restart
+            version, digest = self.protocol.version, self.protocol.digest
+        now = self._clock.now()
+        rng = random.Random(self._random.getrandbits(64))
+        self._table = membership.table
+        self.protocol = Rollout(
+            self._number, self._cluster, self._table, config.rollout, rng, now, version, digest
+        )
+        self._carry_out(self.protocol.start(now))
+
+    def _reconfigure(self, rollout: Rollout, config: Configuration, version: int, is_complete: bool) -> None:
+        now = self._clock.now()
+        actions = rollout.configure(now, config.rollout)
+        if is_complete:
+            actions += rollout.configuration_applied(now, version, config.digest)
+        else:
+            actions += rollout.configuration_pending(now, version)
+        self._carry_out(actions)
+
+    def _tick(self) -> None:
+        self._deliver(Rollout.tick)
+
+    def _handle(self, action: RolloutAction) -> None:
+        if isinstance(action, ReadConfiguration):
+            self._read_configuration()
+            return
+        line = _log_line(action)
+        if line is not None and self._log_limiter.try_acquire(self._clock.now()):
+            self._log(line)
+
+
+def _log_line(action: RolloutAction) -> str | None:
+    match action:
+        case RolloutConcluded(after_us, status):
+            return _conclusion_line(after_us / 1e6, status)
+        case AmbiguousVersion(version, low, high):
+            return f"configuration: two contents go by version {version}: digests {low:08x} and {high:08x}"
+        case VersionMissing(version, by, after_us):
+            told = f"configuration: version {version}, first said by {by}, is not in the file of this sidecar"
+            return f"{told} after {after_us / 1e6:.0f} s: it looks once a minute from now on"
+        case VersionForgotten(version, by):
+            return f"configuration: version {version}, first said by {by}, is in force nowhere any more"
+    return None
+
+
+def _conclusion_line(after_s: float, status: RolloutStatus) -> str:
+    version = f"configuration: version {status.version}"
+    counts = f"{status.in_force_count} of {status.required_count}"
+    if status.is_in_force_everywhere:
+        return f"{version} in force here; everywhere after {after_s:.1f} s ({counts})"
+    behind = _member_list("behind", status.behind, status.behind_count)
+    missing = _member_list("unheard", status.missing, status.missing_count)
+    return f"{version} not known to be everywhere after {after_s:.1f} s ({counts}){behind}{missing}"
+
+
+def _member_list(label: str, members: tuple[int, ...], count: int) -> str:
+    if not count:
+        return ""
+    further = f" and {count - len(members)} more" if count > len(members) else ""
+    return f"; {label}: {', '.join(map(str, members))}{further}"
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -67,8 +67,8 @@
 if TYPE_CHECKING:
     from sidecar.cluster.cluster_size import ClusterSize
     from sidecar.cluster.settings import MembershipSettings
-    from sidecar.members import Members
-    from sidecar.rollout import Versions
+    from sidecar.cluster_membership import ClusterMembership
+    from sidecar.configuration_rollout import ConfigurationRollout
 
 _RESERVED = 48  # descriptors for everything but clients, servers and the operators' door
 _FOR_CLIENTS = 1 / 3  # of all, as the platform's terms allow at the most
@@ -151,8 +151,8 @@
             self._message_received,
         )
         self._told_size: ClusterSizeChanged | None = None
-        self._members: Members | None = None  # None: the others are not kept track of
-        self._versions: Versions | None = None  # None: versions of the configuration are not compared
+        self._members: ClusterMembership | None = None  # None: the others are not kept track of
+        self._versions: ConfigurationRollout | None = None  # None: versions are not compared
         # Called when another has a newer version: the file has to be read again, as at SIGHUP.
         self.on_newer: Callable[[], None] = lambda: None
 
@@ -211,11 +211,11 @@
         ConfigurationError, and change nothing, where its version is older than that in force.
         """
         if self._versions is not None:
-            refusal = self._versions.refusal(config)
+            refusal = self._versions.rejection(config)
             if refusal is not None:
                 raise ConfigurationError(refusal)
         self._discovery.move(config.discovery_address)
-        self._peers.move(config.peer_addresses, config.broadcast_address)
+        self._peers.set_addresses(config.peer_addresses, config.broadcast_address)
         kept = self._config.fixed_keys_that_differ(config)
         if self._peers.is_listening and self._stop_by is None:
             self._keep_track(config.membership)
@@ -235,10 +235,10 @@
             if not membership.on:
                 return
             # Not at the top: what it needs takes 2 MB, which a sidecar without it need not have.
-            from sidecar.members import Members
+            from sidecar.cluster_membership import ClusterMembership
 
             me, log, own = self._settings.instance_index, self._log, self._config
-            self._members = Members(
+            self._members = ClusterMembership(
                 me, own.cluster, own.seed, self._clock, self._peers, log, self._tier_sized
             )
         self._members.configure(membership)
@@ -253,11 +253,11 @@
             if config.version is None or not config.rollout.on or membership is None:
                 return
             # Not at the top: a sidecar without it need not have what it needs.
-            from sidecar.rollout import Versions
+            from sidecar.configuration_rollout import ConfigurationRollout
 
             me, own = self._settings.instance_index, self._config
             parts = (self._clock, self._peers, self._log, lambda: self.on_newer())
-            self._versions = Versions(me, own.cluster, own.seed, *parts)
+            self._versions = ConfigurationRollout(me, own.cluster, own.seed, *parts)
         self._versions.configure(membership, config, is_whole)
 
     @property
@@ -430,8 +430,8 @@
         """A datagram from another sidecar: the tier's while that is on, else the decisions'."""
         if self._members is None or self._members.membership is None:
             self._post(PeerMessageReceived(sender, payload))
-        elif self._versions is None or not self._versions.heard(sender, payload):
-            self._members.heard(sender, payload)
+        elif self._versions is None or not self._versions.datagram_received(sender, payload):
+            self._members.datagram_received(sender, payload)
 
     def _listed(self, listing: Listing) -> None:
         self._upstream.listed(listing)
@@ -447,7 +447,7 @@
         self._open[number] = _Open(client, incoming)
         self._owed += 1
         if self._members is not None:
-            self._members.requests += 1
+            self._members.request_taken()
         if most is not None and self._owed > most:
             self._answer(number, 503, [])
             return None
@@ -563,7 +563,7 @@
             case HealthCheck():
                 self._probe(action.server)
             case SendPeerMessage():
-                if not self._peers.tell(action.receiver, action.payload):
+                if not self._peers.send(action.receiver, action.payload):
                     self._log("a message to other sidecars could not be sent")
             case Log():
                 self._log(action.text)
--- a/testbed/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -17,9 +17,9 @@
 from sidecar.cluster.actions import MembershipAction, MemberStateChanged
 from sidecar.cluster.message import MemberState
 from sidecar.cluster.settings import MembershipSettings
+from sidecar.cluster_membership import ClusterMembership
 from sidecar.configuration import Configuration
 from sidecar.discovery.catalog import Listing
-from sidecar.members import Members
 from sidecar.peers import Peers
 from sidecar.sidecar import Sidecar
 
@@ -96,17 +96,17 @@
         drain(self._own)
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, sock=self._own.dup())
 
-    def tell(self, receiver: int | None, payload: bytes) -> bool:
+    def send(self, receiver: int | None, payload: bytes) -> bool:
         if receiver is None:
-            others = [each for each in range(len(self._peers)) if each != self._me]
-            told = [self.tell(each, payload) for each in others]
+            others = [each for each in range(len(self._peers)) if each != self._own_number]
+            told = [self.send(each, payload) for each in others]
             return all(told)
         self._counts.sent.add(payload)
-        if self._ground.loses(self._me, receiver):
+        if self._ground.loses(self._own_number, receiver):
             return True  # nobody who sends a datagram hears that it is lost
         if receiver < len(self._ground.real):
             self._ground.real[receiver].heard.add(payload)
-        return super().tell(receiver, payload)
+        return super().send(receiver, payload)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         sender = self._numbers.get((addr[0], addr[1]))
@@ -115,22 +115,22 @@
             if is_real:
                 self._ground.real[sender].sent.add(data)
             # A hollow sender has asked already whether it is lost.
-            if self._ground.loses(sender, self._me) if is_real else self._ground.is_cut(sender, self._me):
+            is_lost = self._ground.loses if is_real else self._ground.is_cut
+            if is_lost(sender, self._own_number):
                 return
             self._counts.heard.add(data)
         super().datagram_received(data, addr)
 
 
-class GroundMembers(Members):
+class GroundMembers(ClusterMembership):
     """The program's membership; who is believed gone is written down."""
 
     on_gone: Callable[[MemberStateChanged], None]
 
-    def _carry_out(self, actions: list[MembershipAction]) -> None:
-        for each in actions:
-            if isinstance(each, MemberStateChanged) and each.state >= MemberState.DEAD:
-                self.on_gone(each)
-        super()._carry_out(actions)
+    def _handle(self, action: MembershipAction) -> None:
+        if isinstance(action, MemberStateChanged) and action.state >= MemberState.DEAD:
+            self.on_gone(action)
+        super()._handle(action)
 
 
 class Hollow(Sidecar):
@@ -147,7 +147,7 @@
         )
 
     @property
-    def members(self) -> Members | None:
+    def members(self) -> ClusterMembership | None:
         return self._members
 
     def _keep_track(self, membership: MembershipSettings) -> None:
--- a/tests/cluster_vocabulary.py
+++ b/tests/cluster_vocabulary.py
@@ -16,10 +16,17 @@
     ScheduleTick,
     SendDatagram,
 )
-from sidecar.cluster.answer import Ambiguous, Answer, Forgotten, Look, Missing, Settled
-from sidecar.cluster.exchange import is_exchange
 from sidecar.cluster.membership import Membership
 from sidecar.cluster.rollout import Rollout
+from sidecar.cluster.rollout_actions import (
+    AmbiguousVersion,
+    ReadConfiguration,
+    RolloutConcluded,
+    VersionForgotten,
+    VersionMissing,
+)
+from sidecar.cluster.rollout_message import is_rollout_message
+from sidecar.cluster.rollout_status import RolloutStatus
 from sidecar.cluster.settings import MembershipSettings, RolloutSettings
 
 Output = list[Any]
@@ -44,8 +51,8 @@
                 return self._rendered(membership.start(now), rollout.start(now))
             case ["heard", sender, payload]:
                 data = bytes.fromhex(payload)
-                if is_exchange(data):
-                    return self._rendered([], rollout.heard(now, sender, data))
+                if is_rollout_message(data):
+                    return self._rendered([], rollout.datagram_received(now, sender, data))
                 return self._rendered(membership.datagram_received(now, sender, data), [])
             case ["tick", "membership"]:
                 return self._rendered(membership.tick(now), [])
@@ -55,9 +62,9 @@
                 membership.requests_taken(now, requests)
                 return []
             case ["in force", version, digest]:
-                return self._rendered([], rollout.in_force(now, version, digest))
+                return self._rendered([], rollout.configuration_applied(now, version, digest))
             case ["waiting", version]:
-                return self._rendered([], rollout.waiting(now, version))
+                return self._rendered([], rollout.configuration_pending(now, version))
             case ["configure", size]:
                 steps = membership.configure(now, size, MembershipSettings())
                 return self._rendered(steps, rollout.configure(now, self._settings))
@@ -73,7 +80,7 @@
         ]
         size = membership.size()
         counts = [size.configured, size.present, size.suspected, size.unknown, size.dead, size.left]
-        return [members, counts, membership.incarnation, _answer(self._rollout.answer(now))]
+        return [members, counts, membership.incarnation, _answer(self._rollout.status(now))]
 
     def dropped(self) -> list[dict[str, int]]:
         """How many datagrams were not taken, by reason, of either kind."""
@@ -88,20 +95,20 @@
         return [_rendered(part, action) for part, actions in parts for action in actions]
 
 
-def _answer(answer: Answer) -> Output:
+def _answer(answer: RolloutStatus) -> Output:
     return [
         answer.version,
-        answer.everywhere,
-        answer.count,
-        answer.asked,
+        answer.is_in_force_everywhere,
+        answer.in_force_count,
+        answer.required_count,
         list(answer.behind),
         answer.behind_count,
-        list(answer.unheard),
-        answer.unheard_count,
-        answer.low,
-        answer.high,
-        answer.wave,
-        answer.age_us,
+        list(answer.missing),
+        answer.missing_count,
+        answer.min_digest,
+        answer.max_digest,
+        answer.round_number,
+        answer.round_age_us,
     ]
 
 
@@ -117,14 +124,14 @@
             return ["doubled", member]
         case ProcessStalled(late_us):
             return ["slept", late_us]
-        case Look():
+        case ReadConfiguration():
             return ["look"]
-        case Settled(after_us, answer):
+        case RolloutConcluded(after_us, answer):
             return ["settled", after_us, _answer(answer)]
-        case Ambiguous(version, low, high):
+        case AmbiguousVersion(version, low, high):
             return ["ambiguous", version, low, high]
-        case Missing(version, by, after_us):
+        case VersionMissing(version, by, after_us):
             return ["missing", version, by, after_us]
-        case Forgotten(version, by):
+        case VersionForgotten(version, by):
             return ["forgotten", version, by]
     raise ValueError(f"unknown action {action!r}")
--- a/tests/test_recorded_samples.py
+++ b/tests/test_recorded_samples.py
@@ -22,19 +22,19 @@
 import msgspec
 import pytest
 
-from sidecar import members
+from sidecar import cluster_membership
 from sidecar.admin_interface import AdminInterface
 from sidecar.clock import Clock
-from sidecar.cluster import exchange, message
+from sidecar.cluster import message, rollout_message
 from sidecar.cluster.limits import MAX_DATAGRAM_BYTES
 from sidecar.cluster.settings import MembershipSettings, RolloutSettings
+from sidecar.cluster_membership import ClusterMembership
 from sidecar.configuration import Configuration
-from sidecar.members import Members
+from sidecar.configuration_rollout import ConfigurationRollout
 from sidecar.metrics import Metrics
-from sidecar.peers import MOST_BYTES, Peers
+from sidecar.peers import Peers
 from sidecar.persisted_exclusions import PersistedExclusions
 from sidecar.process_lock import ProcessLock
-from sidecar.rollout import Versions
 from testbed import events
 from testbed.capacity import samples
 from testbed.experiment.store import Key, Store
@@ -68,21 +68,26 @@
 
 def _again(sender: int, data: bytes, tier: int = CLUSTER) -> bytes:
     """Read a datagram of either kind, and write what was read."""
-    if not exchange.is_exchange(data):
+    if not rollout_message.is_rollout_message(data):
         return message.encode(message.decode(data, tier, sender))
-    given = exchange.read(data, tier, sender)
-    return exchange.write(tier, sender, given.kind, given.tally(NOW_US), given.piece, NOW_US)
+    given = rollout_message.decode(data, tier, sender)
+    return rollout_message.encode(
+        tier, sender, given.kind, given.aggregation_round(NOW_US), given.chunk, NOW_US
+    )
 
 
 def test_conversed_datagrams_are_read_and_written_the_same() -> None:
     datagrams = set(_conversed())
     assert len(datagrams) > 500
     assert [data for sender, data in datagrams if _again(sender, data) != data] == []
-    assert max(len(data) for _, data in datagrams) <= MOST_BYTES == MAX_DATAGRAM_BYTES
+    assert max(len(data) for _, data in datagrams) <= MAX_DATAGRAM_BYTES == 256
 
 
 def test_conversed_datagrams_are_of_every_kind() -> None:
-    fields = [(exchange.is_exchange(data), msgspec.msgpack.decode(data)) for _, data in set(_conversed())]
+    fields = [
+        (rollout_message.is_rollout_message(data), msgspec.msgpack.decode(data))
+        for _, data in set(_conversed())
+    ]
     assert {given[4] for is_exchange, given in fields if not is_exchange} == {0, 1, 2, 3, 4}
     assert {given[3] for is_exchange, given in fields if is_exchange} == {0, 1}
     assert any(given[9] and given[10] for is_exchange, given in fields if not is_exchange)
@@ -113,16 +118,16 @@
     metrics.attempt_sent()
     log, clock = cast(Any, lambda line: None), _FixedClock()
     peers = Peers(tuple(("127.0.0.1", 7_000 + number) for number in range(4)), None, 0, Mock())
-    others = Members(0, "cluster", 3, clock, peers, log, Mock())
+    others = ClusterMembership(0, "cluster", 3, clock, peers, log, Mock())
     others.configure(MembershipSettings())
-    versions = Versions(0, "cluster", 3, clock, peers, log, Mock())
+    versions = ConfigurationRollout(0, "cluster", 3, clock, peers, log, Mock())
     config = SimpleNamespace(version=5, digest=0xAB, rollout=RolloutSettings())
     versions.configure(others.membership, cast(Configuration, config))
     encode = msgspec.msgpack.encode
-    others.heard(1, encode([1, CLUSTER, 1, 100, 0, 7, -1, 0, 0, b"", []]))
-    others.heard(2, encode([1, CLUSTER, 2, 100, 4, 0, -1, 0, 0, b"", []]))
-    others.heard(3, b"\xff")
-    versions.heard(1, encode([2, CLUSTER, 1, 0, 6, 1, 10, 1, 0xCD, 0xCD, 0, b"\x02", b""]))
+    others.datagram_received(1, encode([1, CLUSTER, 1, 100, 0, 7, -1, 0, 0, b"", []]))
+    others.datagram_received(2, encode([1, CLUSTER, 2, 100, 4, 0, -1, 0, 0, b"", []]))
+    others.datagram_received(3, b"\xff")
+    versions.datagram_received(1, encode([2, CLUSTER, 1, 0, 6, 1, 10, 1, 0xCD, 0xCD, 0, b"\x02", b""]))
     figures = metrics.snapshot(pending=2, members=7, unavailable=1)
     figures["membership"], figures["configuration"] = others.figures(), versions.figures()
     others.close()
@@ -147,7 +152,7 @@
 
 
 def test_the_metrics_document_is_the_recorded_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(members, "time", Mock(time=lambda: 1_780_000_000.0))
+    monkeypatch.setattr(cluster_membership, "time", Mock(time=lambda: 1_780_000_000.0))
     answer = _called(b"GET /api/telemetry HTTP/1.1\r\nhost: sidecar\r\n\r\n")
     assert answer == (RECORDED / "telemetry-answer.http").read_bytes()
 
