--- a/sidecar/downstream/frontend.py
+++ b/sidecar/downstream/frontend.py
@@ -10,9 +10,16 @@
 from typing import cast
 
 from balancer.settings import Settings
+from sidecar.downstream.body_streaming import Upload
+from sidecar.downstream.flow_control import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    STALL_TIMEOUT_S,
+    BoundedReader,
+    write_buffer_limit,
+)
 from sidecar.downstream.listener import Listener
 from sidecar.downstream.request import CHUNKED, BadRequest, Incoming, read_request
-from sidecar.downstream.stream import KEPT, LONGEST, STALLED_S, BoundedReader, Upload, part_of_budget
 from sidecar.http import (
     CONTINUE,
     LAST_CHUNK,
@@ -237,7 +244,7 @@
         unread = self._unread_bytes()
         if unread < self._unread or not self._unread:
             self._unread, self._unread_since = unread, now
-        return now - self._unread_since > (STALLED_S if self._is_long else _WITHIN_S)
+        return now - self._unread_since > (STALL_TIMEOUT_S if self._is_long else _WITHIN_S)
 
     def is_stalled(self, now: float) -> bool:
         """Whether the client is too slow in sending a body, or in reading an answer that passes through."""
@@ -247,7 +254,7 @@
             return False
         if self._held_since is not None:
             # While it is not read from, its end is not heard either; waited for should have been given up.
-            return self.has_left() or now - self._held_since > 2 * STALLED_S
+            return self.has_left() or now - self._held_since > 2 * STALL_TIMEOUT_S
         return self.lag(now) > _BODY_WITHIN_S
 
     @property
@@ -380,10 +387,10 @@
         if head.length == 0:
             return
         self._frontend.watch(self)
-        if head.length is not None and head.length > LONGEST:
+        if head.length is not None and head.length > MAX_BODY_BYTES:
             self._reject(413)
             return
-        if head.length is not None and head.length > KEPT:
+        if head.length is not None and head.length > MAX_BUFFERED_BODY_BYTES:
             self._take_upload(head.length)
         if head.expects and not self._ended and not self._http.has_more:
             self._transport.write(CONTINUE)
@@ -391,13 +398,13 @@
     def _take(self, data: bytes) -> None:
         """A piece of the body."""
         self._received += len(data)
-        if self._received > LONGEST:
+        if self._received > MAX_BODY_BYTES:
             self._reject(413)
         elif self._upload is not None:
             self._upload.feed(data)
         else:
             self._body += data
-            if len(self._body) > KEPT:
+            if len(self._body) > MAX_BUFFERED_BODY_BYTES:
                 self._take_upload(None)
 
     def _take_upload(self, length: int | None) -> None:
@@ -522,7 +529,7 @@
         on_complete: Callable[[int, int], None],
         on_gone: Callable[[int], None],
     ) -> None:
-        self.part = part_of_budget(memory_mb, most)
+        self.part = write_buffer_limit(memory_mb, most)
         self._classes = {each.name: each for each in settings.classes}
         self._tenants = frozenset(each.name for each in settings.tenants)
         self._most = most
--- a/sidecar/downstream/request.py
+++ b/sidecar/downstream/request.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from balancer.settings import Idempotency, ServiceClass
-from sidecar.downstream.stream import Upload
+from sidecar.downstream.body_streaming import Upload
 from sidecar.http import Headers, RequestHead
 from sidecar.upstream.client import Message
 
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -341,7 +341,7 @@
     def figures(self) -> dict[str, object]:
         members, unavailable = self._balancer.members()
         uploads = (each.incoming.upload for each in self._open.values() if each.client is not None)
-        arriving = sum(upload is not None and not upload.is_whole for upload in uploads)
+        arriving = sum(upload is not None and not upload.is_complete for upload in uploads)
         figures = self._telemetry.figures(self._owed - arriving, members, unavailable)
         membership = self._members.figures() if self._members is not None else None
         if membership is not None:
@@ -522,7 +522,7 @@
         unread_us = response.unread_us if response is not None else 0
         elapsed = max(self._clock.now() - unread_us - sent_at, 0)
         # Whether it is answered is looked up when the event's turn comes.
-        spent = held.incoming.upload is not None and held.incoming.upload.is_spent
+        spent = held.incoming.upload is not None and held.incoming.upload.is_consumed
         self._post(AttemptEnded(request, attempt, server, outcome, elapsed, False, report, spent))
 
     def _streamed(self, request: int, outcome: Outcome) -> None:
--- a/sidecar/upstream/client.py
+++ b/sidecar/upstream/client.py
@@ -12,7 +12,8 @@
 from enum import Enum, unique
 from typing import cast
 
-from sidecar.downstream.stream import BoundedReader, Upload
+from sidecar.downstream.body_streaming import Upload
+from sidecar.downstream.flow_control import BoundedReader
 from sidecar.http import (
     LAST_CHUNK,
     Headers,
@@ -207,7 +208,7 @@
     def resume_writing(self) -> None:
         self._unwritten = False
         if self._upload is not None:
-            self._upload.go_on()
+            self._upload.resume()
         else:
             self._written()
 
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -12,7 +12,7 @@
 from sidecar.address import Address
 from sidecar.clock import Clock
 from sidecar.discovery.catalog import Listing
-from sidecar.downstream.stream import KEPT, STALLED_S
+from sidecar.downstream.flow_control import MAX_BUFFERED_BODY_BYTES, STALL_TIMEOUT_S
 from sidecar.roles import Sink
 from sidecar.upstream.client import ClientConnection, Failure, Message, Response
 
@@ -280,7 +280,7 @@
             self._set_expiry(call)
         message = call.message(max(call.until - self._clock.now(), 1_000))
         connection.exchange(message, ended, self._on_written, started if call.begun is not None else None)
-        if message.upload is not None and not message.upload.is_whole:
+        if message.upload is not None and not message.upload.is_complete:
             self._watch(call)
 
     def _watch(self, call: Call) -> None:
@@ -297,10 +297,10 @@
         now, moved = self._clock.now(), call.connection.moved
         if moved != call.moved or not call.connection.is_waiting_for_server:
             call.moved, call.stalled_at = moved, now
-        if now - call.stalled_at >= STALLED_S * 1e6:
+        if now - call.stalled_at >= STALL_TIMEOUT_S * 1e6:
             call.connection.give_up()
             return
-        call.timer = asyncio.get_running_loop().call_later(STALLED_S / 10, self._look, call)
+        call.timer = asyncio.get_running_loop().call_later(STALL_TIMEOUT_S / 10, self._look, call)
 
     # Connections
 
@@ -310,7 +310,8 @@
         try:
             async with asyncio.timeout(self._dial_within_s):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: ClientConnection(KEPT, self._freed, self._closed), *server.address
+                    lambda: ClientConnection(MAX_BUFFERED_BODY_BYTES, self._freed, self._closed),
+                    *server.address,
                 )
         except (OSError, TimeoutError) as fault:
             if isinstance(fault, OSError) and fault.errno in _OWN_FAULTS:
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -21,8 +21,9 @@
     ResponseStarted,
 )
 from sidecar import sidecar
-from sidecar.downstream import stream
-from sidecar.downstream.stream import Upload, part_of_budget
+from sidecar.downstream import flow_control
+from sidecar.downstream.body_streaming import Upload
+from sidecar.downstream.flow_control import write_buffer_limit
 from sidecar.upstream import client, upstream
 
 LONG = 3 << 20
@@ -142,9 +143,9 @@
 
 
 def test_the_budget_is_split_evenly_within_bounds() -> None:
-    assert part_of_budget(64, 341) == (64 << 20) // 8 // 341
-    assert part_of_budget(192, 10) == 64 << 10
-    assert part_of_budget(1, 10_000) == 4 << 10
+    assert write_buffer_limit(64, 341) == (64 << 20) // 8 // 341
+    assert write_buffer_limit(192, 10) == 64 << 10
+    assert write_buffer_limit(1, 10_000) == 4 << 10
 
 
 class _Outlet:
@@ -163,12 +164,12 @@
     told: list[str] = []
     upload = Upload(None, lambda: told.append("hold"), lambda: told.append("go on"))
     upload.feed(b"a" * 60_000)
-    assert told == [] and not upload.is_spent
+    assert told == [] and not upload.is_consumed
     upload.feed(b"b" * 60_000)
     assert told == ["hold"]
     outlet = _Outlet()
     upload.attach(outlet)
-    assert told == ["hold", "go on"] and upload.is_spent
+    assert told == ["hold", "go on"] and upload.is_consumed
     outlet.is_open = False
     upload.feed(b"c")
     upload.end()
@@ -360,7 +361,7 @@
 
 
 def test_a_server_silent_within_a_long_answer_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "STALLED_S", 0.1)
+    monkeypatch.setattr(upstream, "STALL_TIMEOUT_S", 0.1)
 
     async def work() -> None:
         async def script(heard: Heard) -> bytes:
@@ -567,7 +568,7 @@
             changes: list[dict[str, Any]] = [
                 {"Request_Class": "unheard-of"},
                 {"Request_Id": ""},
-                {"Content_Length": str(stream.LONGEST + 1)},
+                {"Content_Length": str(flow_control.MAX_BODY_BYTES + 1)},
             ]
             for bad in changes:
                 client = await scene.client()
