--- a/sidecar/discovery/discovery.py
+++ b/sidecar/discovery/discovery.py
@@ -24,7 +24,7 @@
 
 from sidecar.address import Address
 from sidecar.discovery.catalog import Catalog, Inconsistent, Listing, parse_listing
-from sidecar.upstream.client import ClientConnection, Failure, Message, Response
+from sidecar.upstream.http_exchange import ExchangeFailure, OutgoingRequest, Response, UpstreamConnection
 
 _PATH = "/catalog/members"
 _MOST_BYTES = 4 << 20  # of a whole list
@@ -275,7 +275,7 @@
 
     def __init__(self, address: Address) -> None:
         self._address = address
-        self._connection: ClientConnection | None = None
+        self._connection: UpstreamConnection | None = None
 
     def close(self) -> None:
         if self._connection is not None:
@@ -287,35 +287,35 @@
             response = await self._get(target.encode())
         except (OSError, TimeoutError) as fault:
             raise CallFailed(str(fault)) from None
-        if isinstance(response, Failure) or response.status != 200:
+        if isinstance(response, ExchangeFailure) or response.status != 200:
             raise CallFailed("no list")
         try:
             return parse_listing(json.loads(response.body))
         except (ValueError, RecursionError) as nonsense:
             raise CallFailed(str(nonsense)) from None
 
-    async def _get(self, target: bytes) -> Response | Failure:
+    async def _get(self, target: bytes) -> Response | ExchangeFailure:
         if self._connection is None or not self._connection.is_usable():
             self.close()
             self._connection = await self._dial()
-        answer: asyncio.Future[Response | Failure] = asyncio.get_running_loop().create_future()
+        answer: asyncio.Future[Response | ExchangeFailure] = asyncio.get_running_loop().create_future()
 
-        def ended(how: Response | Failure) -> None:
+        def ended(how: Response | ExchangeFailure) -> None:
             if not answer.done():
                 answer.set_result(how)
 
         host = f"{self._address[0]}:{self._address[1]}".encode()
-        self._connection.exchange(Message(b"GET", target, [(b"host", host)]), ended)
+        self._connection.exchange(OutgoingRequest(b"GET", target, [(b"host", host)]), ended)
         return await answer
 
-    async def _dial(self) -> ClientConnection:
-        def made() -> ClientConnection:
-            return ClientConnection(_MOST_BYTES, _ignore, _ignore)
+    async def _dial(self) -> UpstreamConnection:
+        def made() -> UpstreamConnection:
+            return UpstreamConnection(_MOST_BYTES, _ignore, _ignore)
 
         async with asyncio.timeout(_DIAL_WITHIN_S):
             _, connection = await asyncio.get_running_loop().create_connection(made, *self._address)
         return connection
 
 
-def _ignore(_: ClientConnection) -> None:
+def _ignore(_: UpstreamConnection) -> None:
     """Nothing is kept of it."""
--- a/sidecar/downstream/request.py
+++ b/sidecar/downstream/request.py
@@ -13,7 +13,7 @@
 from balancer.settings import Idempotency, ServiceClass
 from sidecar.downstream.body_streaming import Upload
 from sidecar.http import Headers, RequestHead
-from sidecar.upstream.client import Message
+from sidecar.upstream.http_exchange import OutgoingRequest
 
 _REQUEST_ID = re.compile(rb"[!-~]{1,128}")
 _TIMEOUT = re.compile(rb"[0-9]{1,5}(\.[0-9]{0,9})?")
@@ -50,12 +50,12 @@
     body: bytes
     upload: Upload | None = None  # in place of the body, where that is too long to be kept
 
-    def message(self, left_us: int) -> Message:
+    def message(self, left_us: int) -> OutgoingRequest:
         """The same request as a server gets it, when the sidecar will wait for so long."""
         if self.upload is not None:
             left_us = min(left_us, self.remaining_us)
         timeout = (b"request-timeout", b"%.3f" % (left_us / 1e6))
-        return Message(self.method, self.target, [*self.headers, timeout], self.body, self.upload)
+        return OutgoingRequest(self.method, self.target, [*self.headers, timeout], self.body, self.upload)
 
 
 def read_request(
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -60,7 +60,7 @@
 from sidecar.presence import Presence
 from sidecar.roles import Sink
 from sidecar.telemetry import Telemetry
-from sidecar.upstream.client import ClientConnection, Message, Response
+from sidecar.upstream.http_exchange import OutgoingRequest, Response, UpstreamConnection
 from sidecar.upstream.load_report import parse_load_report
 from sidecar.upstream.upstream import Call, Upstream
 
@@ -479,7 +479,7 @@
         self._post(RequestBodyCompleted(request, remaining_us))
 
     def _answer_started(
-        self, request: int, attempt: int, source: ClientConnection, head: Response, length: int | None
+        self, request: int, attempt: int, source: UpstreamConnection, head: Response, length: int | None
     ) -> Sink | None:
         """An answer begins that is too long to be kept: it is the client's from here on, unless one was."""
         held = self._open.get(request)
@@ -577,7 +577,7 @@
         def done(outcome: Outcome, response: Response | None) -> None:
             self._attempt_ended(number, attempt, action.server, sent_at, outcome, response)
 
-        def begun(source: ClientConnection, head: Response, length: int | None) -> Sink | None:
+        def begun(source: UpstreamConnection, head: Response, length: int | None) -> Sink | None:
             return self._answer_started(number, attempt, source, head, length)
 
         def is_wanted() -> bool:
@@ -599,7 +599,7 @@
             report = parse_load_report(response, self._settings.load_report_columns, in_body=in_body)
             self._post(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
 
-        message = Message(b"GET", b"/_load" if in_body else b"/ping", [(b"host", server.encode())])
+        message = OutgoingRequest(b"GET", b"/_load" if in_body else b"/ping", [(b"host", server.encode())])
         self._upstream.start(Call(server, sent_at + _PROBE_WITHIN_US, lambda left_us: message, done))
 
     def _refuse(self, action: Reject) -> None:
--- a/sidecar/upstream/client.py
+++ b/sidecar/upstream/http_exchange.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Message:
+class OutgoingRequest:
     """A request to write."""
 
     method: bytes
@@ -55,7 +55,7 @@
 
 
 @unique
-class Failure(Enum):
+class ExchangeFailure(Enum):
     """Why an exchange has no answer."""
 
     UNWRITTEN = "unwritten"  # the connection ended before the request's last byte was written
@@ -63,19 +63,19 @@
     GARBLED = "garbled"  # what came is not HTTP, or too large
 
 
-Ended = Callable[[Response | Failure], None]
+Ended = Callable[[Response | ExchangeFailure], None]
 # An answer too long to be kept begins, of this length if that is known: where does it go?
-Started = Callable[["ClientConnection", Response, int | None], Sink | None]
+Started = Callable[["UpstreamConnection", Response, int | None], Sink | None]
 
 
-class ClientConnection(BoundedReader):
+class UpstreamConnection(BoundedReader):
     """One connection.  `on_free` is called when it can be used again, `on_closed` once when it never can."""
 
     def __init__(
         self,
         most_bytes: int,
-        on_free: Callable[[ClientConnection], None],
-        on_closed: Callable[[ClientConnection], None],
+        on_free: Callable[[UpstreamConnection], None],
+        on_closed: Callable[[UpstreamConnection], None],
     ) -> None:
         self._most_bytes = most_bytes
         self._on_free = on_free
@@ -110,7 +110,7 @@
 
     def exchange(
         self,
-        message: Message,
+        message: OutgoingRequest,
         ended: Ended,
         on_written: Callable[[], None] | None = None,
         on_started: Started | None = None,
@@ -247,7 +247,7 @@
                 else:
                     return
         except Malformed:
-            self._fail(Failure.GARBLED)
+            self._fail(ExchangeFailure.GARBLED)
 
     def _foresee(self, head: ResponseHead) -> None:
         """See by an answer's head whether it can be kept; where that is open, not for long."""
@@ -278,7 +278,7 @@
             ended(Response(self._head.status, self._head.headers, b""))  # its head says it all
             return
         if self._on_started is None:
-            self._fail(Failure.GARBLED)
+            self._fail(ExchangeFailure.GARBLED)
             return
         assert self._wire is not None
         unread_us = self._wire.unread_us()
@@ -286,7 +286,7 @@
         self._body = bytearray()
         self._sink = self._on_started(self, begun, length)
         if self._sink is None:
-            self._fail(Failure.BROKEN)  # nobody waits for it
+            self._fail(ExchangeFailure.BROKEN)  # nobody waits for it
 
     def _stop_holding(self) -> None:
         if self._holding is not None:
@@ -301,8 +301,12 @@
         if upload is not None:
             upload.detach(self)
 
-    def _broken(self) -> Failure:
-        return Failure.UNWRITTEN if self._unwritten or self._upload is not None else Failure.BROKEN
+    def _broken(self) -> ExchangeFailure:
+        return (
+            ExchangeFailure.UNWRITTEN
+            if self._unwritten or self._upload is not None
+            else ExchangeFailure.BROKEN
+        )
 
     def _written(self) -> None:
         told, self._on_written = self._on_written, None
@@ -326,7 +330,7 @@
         if ended is not None:
             ended(response)
 
-    def _fail(self, failure: Failure) -> None:
+    def _fail(self, failure: ExchangeFailure) -> None:
         ended = self._ended
         self.close()
         if ended is not None:
--- a/sidecar/upstream/load_report.py
+++ b/sidecar/upstream/load_report.py
@@ -4,7 +4,7 @@
 
 import math
 
-from sidecar.upstream.client import Response
+from sidecar.upstream.http_exchange import Response
 
 _HEADER = b"server-load"
 _FORMAT_PREFIX = "TEXT "
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -14,7 +14,7 @@
 from sidecar.discovery.catalog import Listing
 from sidecar.downstream.flow_control import MAX_BUFFERED_BODY_BYTES, STALL_TIMEOUT_S
 from sidecar.roles import Sink
-from sidecar.upstream.client import ClientConnection, Failure, Message, Response
+from sidecar.upstream.http_exchange import ExchangeFailure, OutgoingRequest, Response, UpstreamConnection
 
 _IDLE_MARGIN = 0.1  # of the idle limit: a connection this near to it may be closed at the far end by now
 # What says that this machine, not the server, had no room for a connection.
@@ -22,7 +22,7 @@
 
 Done = Callable[[Outcome, Response | None], None]
 # An answer begins that passes through: where from, its head and first bytes, and its length if that is known.
-Begun = Callable[[ClientConnection, Response, int | None], Sink | None]
+Begun = Callable[[UpstreamConnection, Response, int | None], Sink | None]
 
 
 class Call:
@@ -48,7 +48,7 @@
         self,
         server: str,
         until: int,
-        message: Callable[[int], Message],
+        message: Callable[[int], OutgoingRequest],
         done: Done,
         begun: Begun | None = None,
         begin_by: int | None = None,
@@ -65,13 +65,13 @@
         self.message = message  # given the time left, in microseconds
         self.done = done
         self.ended = False
-        self.connection: ClientConnection | None = None  # once it is written
+        self.connection: UpstreamConnection | None = None  # once it is written
         self.timer: asyncio.TimerHandle | None = None
 
 
 @dataclass(slots=True)
 class _Idle:
-    connection: ClientConnection
+    connection: UpstreamConnection
     since: int
 
 
@@ -113,7 +113,7 @@
         self._most = most
         self._servers: dict[str, _Server] = {}
         self._excluded: set[str] = set()  # also of servers that are not listed now
-        self._owners: dict[ClientConnection, _Server] = {}  # of every open connection
+        self._owners: dict[UpstreamConnection, _Server] = {}  # of every open connection
         self._dialling = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._sweep: asyncio.TimerHandle | None = None
@@ -265,11 +265,11 @@
             call.timer.cancel()
         call.done(outcome, response)
 
-    def _write(self, call: Call, connection: ClientConnection) -> None:
-        def ended(how: Response | Failure) -> None:
+    def _write(self, call: Call, connection: UpstreamConnection) -> None:
+        def ended(how: Response | ExchangeFailure) -> None:
             self._end(call, _outcome(how), how if isinstance(how, Response) else None)
 
-        def started(source: ClientConnection, head: Response, length: int | None) -> Sink | None:
+        def started(source: UpstreamConnection, head: Response, length: int | None) -> Sink | None:
             sink = call.begun(source, head, length) if call.begun is not None else None
             if sink is not None:
                 self._watch(call)
@@ -306,11 +306,11 @@
 
     async def _dial(self, call: Call, server: _Server) -> None:
         outcome = Outcome.CONNECT_FAILED
-        connection: ClientConnection | None = None
+        connection: UpstreamConnection | None = None
         try:
             async with asyncio.timeout(self._dial_within_s):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: ClientConnection(MAX_BUFFERED_BODY_BYTES, self._freed, self._closed),
+                    lambda: UpstreamConnection(MAX_BUFFERED_BODY_BYTES, self._freed, self._closed),
                     *server.address,
                 )
         except (OSError, TimeoutError) as fault:
@@ -352,7 +352,7 @@
         oldest.idle.pop(0).connection.close()
         return True
 
-    def _take(self, server: _Server) -> ClientConnection | None:
+    def _take(self, server: _Server) -> UpstreamConnection | None:
         """The most recently used idle connection that is good, if there is one."""
         while server.idle:
             idle = server.idle.pop()
@@ -361,7 +361,7 @@
             idle.connection.close()
         return None
 
-    def _freed(self, connection: ClientConnection) -> None:
+    def _freed(self, connection: UpstreamConnection) -> None:
         server = self._owners.get(connection)
         if server is None or server.is_leaving or server.is_excluded:
             connection.close()
@@ -380,7 +380,7 @@
         if any(server.idle for server in self._servers.values()):
             self._sweep = asyncio.get_running_loop().call_later(self._use_within_us / 4e6, self._close_old)
 
-    def _closed(self, connection: ClientConnection) -> None:
+    def _closed(self, connection: UpstreamConnection) -> None:
         server = self._owners.pop(connection, None)
         if server is not None:
             server.idle = [each for each in server.idle if each.connection is not connection]
@@ -391,10 +391,10 @@
             each.connection.close()
 
 
-def _outcome(how: Response | Failure) -> Outcome:
-    if how is Failure.UNWRITTEN:
+def _outcome(how: Response | ExchangeFailure) -> Outcome:
+    if how is ExchangeFailure.UNWRITTEN:
         return Outcome.CONNECT_FAILED
-    if how is Failure.BROKEN:
+    if how is ExchangeFailure.BROKEN:
         return Outcome.CONNECTION_LOST
     if isinstance(how, Response):
         if how.status == 200:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,7 +18,7 @@
 from loopback import ERROR, FULL, HOST, OK, Heard, Stage, line, play, request, stage, until
 
 from sidecar.downstream.frontend import ClientSide
-from sidecar.upstream.client import ClientConnection
+from sidecar.upstream.http_exchange import UpstreamConnection
 from sidecar.upstream.upstream import Call, Upstream
 
 STEPS = 120
@@ -207,7 +207,7 @@
     faults: list[str] = []
     plain = Upstream._write
 
-    def write(self: Upstream, call: Call, connection: ClientConnection) -> None:
+    def write(self: Upstream, call: Call, connection: UpstreamConnection) -> None:
         server, now = self._servers.get(call.server), self._clock.now()
         if server is None or server.is_leaving or server.is_excluded:
             faults.append(f"to {call.server}, which is not wanted")
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -33,7 +33,7 @@
 from balancer.settings import Limits
 from sidecar.clock import Clock
 from sidecar.discovery.catalog import parse_listing
-from sidecar.upstream.client import Message
+from sidecar.upstream.http_exchange import OutgoingRequest
 from sidecar.upstream.upstream import Call, Upstream
 
 LONG = {"dialTimeoutUs": 60_000_000}  # far longer than a test waits
@@ -96,8 +96,8 @@
         self.upstream.listed(parse_listing({"version": 1, "full": True, "servers": [listed]}))
 
     def call(self, **how: Any) -> Call:
-        def message(left_us: int) -> Message:
-            return Message(b"GET", b"/", [(b"host", b"x")])
+        def message(left_us: int) -> OutgoingRequest:
+            return OutgoingRequest(b"GET", b"/", [(b"host", b"x")])
 
         call = Call("s-0", 2**60, message, lambda outcome, _: self.ends.append(outcome), **how)
         self.upstream.start(call)
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -24,7 +24,7 @@
 from sidecar.downstream import flow_control
 from sidecar.downstream.body_streaming import Upload
 from sidecar.downstream.flow_control import write_buffer_limit
-from sidecar.upstream import client, upstream
+from sidecar.upstream import http_exchange, upstream
 
 LONG = 3 << 20
 
@@ -379,7 +379,7 @@
 
 def test_a_slow_refusal_of_unknown_length_is_a_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against passing on, and so misreading, what is no answer of a server to the client.
-    monkeypatch.setattr(client, "_HELD_S", 0.0)
+    monkeypatch.setattr(http_exchange, "_HELD_S", 0.0)
 
     async def work() -> None:
         release = asyncio.Event()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -22,7 +22,7 @@
 from balancer.settings import Limits
 from sidecar.clock import Clock
 from sidecar.discovery.catalog import parse_listing
-from sidecar.upstream.client import Message
+from sidecar.upstream.http_exchange import OutgoingRequest
 from sidecar.upstream.upstream import Call, Upstream
 
 
@@ -177,8 +177,8 @@
         upstream.listed(parse_listing({"version": 1, "full": True, "servers": [listed]}))
         ends: list[Outcome] = []
 
-        def message(left_us: int) -> Message:
-            return Message(b"GET", b"/", [(b"host", b"x")])
+        def message(left_us: int) -> OutgoingRequest:
+            return OutgoingRequest(b"GET", b"/", [(b"host", b"x")])
 
         for _ in range(6):
             upstream.start(Call("s-0", 2**60, message, lambda outcome, _: ends.append(outcome)))
@@ -194,7 +194,7 @@
 
 
 def test_load_reports_reach_the_decisions_and_nonsense_does_not() -> None:
-    from sidecar.upstream.client import Response
+    from sidecar.upstream.http_exchange import Response
     from sidecar.upstream.load_report import parse_load_report
 
     def read(text: bytes) -> dict[str, float] | None:
