--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -485,7 +485,7 @@
         held = self._open.get(request)
         if held is None or held.client is None or held.streaming is not None:
             return None
-        if not held.client.begin(_passed_back(head), length, head.body, source):
+        if not held.client.begin(head.content_headers(), length, head.body, source):
             return None
         held.streaming = attempt
         call = held.calls[attempt]
@@ -516,7 +516,7 @@
         if held.streaming == attempt:
             self._streamed(request, outcome)
         elif outcome is Outcome.DELIVERED and response is not None and held.streaming is None:
-            self._answer(request, 200, _passed_back(response), response.body)
+            self._answer(request, 200, response.content_headers(), response.body)
         report = parse_load_report(response, self._settings.load_report_columns)
         # The server's time: a busy event loop reads answers late, which is no fault of any server.
         unread_us = response.unread_us if response is not None else 0
@@ -647,8 +647,3 @@
         held = self._open.get(request)
         if held is not None and held.client is None and held.out == 0:
             del self._open[request]
-
-
-def _passed_back(response: Response) -> Headers:
-    """What describes the body goes back with it."""
-    return [each for each in response.headers if each[0] in (b"content-type", b"content-encoding")]
--- a/sidecar/upstream/http_exchange.py
+++ b/sidecar/upstream/http_exchange.py
@@ -27,6 +27,7 @@
 from sidecar.roles import Sink, Transport
 from sidecar.wire import Wire
 
+_CONTENT_HEADERS = (b"content-type", b"content-encoding")
 _HELD_S = 0.05  # an answer of unknown length that goes on for longer is passed on as it comes
 
 
@@ -53,6 +54,10 @@
     def header(self, name: bytes) -> bytes | None:
         return next((value for key, value in self.headers if key == name), None)
 
+    def content_headers(self) -> Headers:
+        """Return the headers that describe the body and are forwarded with it."""
+        return [header for header in self.headers if header[0] in _CONTENT_HEADERS]
+
 
 @unique
 class ExchangeFailure(Enum):
