--- a/sidecar/downstream/frontend.py
+++ b/sidecar/downstream/frontend.py
@@ -5,12 +5,12 @@
 import asyncio
 import socket
 from collections.abc import Callable
-from enum import Enum, unique
 from itertools import islice, takewhile
 from typing import cast
 
 from balancer.settings import Settings
 from sidecar.downstream.body_streaming import Upload
+from sidecar.downstream.connection_state import ConnectionState
 from sidecar.downstream.flow_control import (
     MAX_BODY_BYTES,
     MAX_BUFFERED_BODY_BYTES,
@@ -47,34 +47,6 @@
 _CLOSE = (b"connection", b"close")
 
 
-@unique
-class Phase(Enum):
-    """Where in its life a client's connection is."""
-
-    READING = "reading"  # a request is awaited for the first time, or is coming
-    OWED = "owed"  # it was taken: one answer is owed
-    PASSING = "passing"  # its answer has begun and passes through
-    RESTING = "resting"  # it was answered, and nothing of a further one has come
-    LINGERING = "lingering"  # our side has ended; what the client still sends is thrown away
-    CLOSED = "closed"
-
-    following: tuple[Phase, ...]
-
-
-# The whole life; `_enter` holds the code to it.  Any connection may be lost or cut at any time.  What ends
-# with an answer on its way ends by lingering, and nothing is read as a request after that.
-NEXT_PHASES = {
-    Phase.READING: {Phase.OWED, Phase.RESTING, Phase.LINGERING, Phase.CLOSED},
-    Phase.OWED: {Phase.PASSING, Phase.RESTING, Phase.LINGERING, Phase.CLOSED},
-    Phase.PASSING: {Phase.RESTING, Phase.LINGERING, Phase.CLOSED},
-    Phase.RESTING: {Phase.READING, Phase.LINGERING, Phase.CLOSED},
-    Phase.LINGERING: {Phase.CLOSED},
-    Phase.CLOSED: set(),
-}
-for _each in Phase:
-    _each.following = tuple(NEXT_PHASES[_each])  # looked at for each request: quicker than by hash
-
-
 class ClientSide(BoundedReader):
     """One connection of the application, one request at a time."""
 
@@ -98,7 +70,7 @@
         self._owed: int | None = None  # the open request
         self._is_writing_paused = False
         self._ended = False  # no more is read from it
-        self.phase = Phase.READING
+        self.state = ConnectionState.READING
 
     @property
     def is_idle(self) -> bool:
@@ -107,10 +79,10 @@
             return False
         return self._wire is not None and self._wire.is_quiet()
 
-    def _enter(self, phase: Phase) -> None:
-        if phase is not self.phase:
-            assert phase in self.phase.following, f"{self.phase.value} to {phase.value}"
-            self.phase = phase
+    def _enter(self, state: ConnectionState) -> None:
+        if state is not self.state:
+            assert state in self.state.successors, f"{self.state.value} to {state.value}"
+            self.state = state
 
     # What the sidecar calls
 
@@ -153,7 +125,7 @@
             headers = [*headers, (b"content-length", b"%d" % length)]
         elif is_framed:
             headers = [*headers, CHUNKED]
-        self._enter(Phase.PASSING)
+        self._enter(ConnectionState.STREAMING_RESPONSE)
         self._is_chunked, self._left = is_framed and length is None, length
         self._transport.set_write_buffer_limits(high=self._frontend.part)
         self._source = source
@@ -187,7 +159,7 @@
     def _answered(self, closing: bool) -> None:
         assert self._transport is not None
         if self._http.is_reusable and not closing and not self._ended:
-            self._enter(Phase.RESTING)
+            self._enter(ConnectionState.IDLE)
             self._http.start_next()
             self._request = None
             self._body = bytearray()
@@ -207,7 +179,7 @@
 
     def abort(self) -> None:
         """Cut the connection, and drop what is still to be written."""
-        self._enter(Phase.CLOSED)
+        self._enter(ConnectionState.CLOSED)
         self._ended = True
         if self._transport is not None:
             self._transport.abort()
@@ -218,13 +190,13 @@
             return
         if not self._transport.is_closing() and self._wire is not None:
             self._wire.end()
-        self._enter(Phase.CLOSED)
+        self._enter(ConnectionState.CLOSED)
         self._ended = True
         self._transport.close()
 
     def overdue(self, now: float) -> None:
         """The client had its time to send a request, to read its answer or to hang up."""
-        if self.phase is Phase.LINGERING and self.is_taking and not self._takes_nothing(now):
+        if self.state is ConnectionState.LINGERING and self.is_taking and not self._takes_nothing(now):
             self._frontend.waits_for(self)
         elif self._ended or self._is_writing_paused:
             self.abort()
@@ -267,7 +239,11 @@
     @property
     def is_sending(self) -> bool:
         """Whether the client is sending a body of which nothing was sent on."""
-        return self.phase is Phase.READING and self._request is not None and not self._is_writing_paused
+        return (
+            self.state is ConnectionState.READING
+            and self._request is not None
+            and not self._is_writing_paused
+        )
 
     def lag(self, now: float) -> float:
         """How long the client has taken beyond what the body needs at the least pace."""
@@ -299,7 +275,7 @@
                 return
             if self._frontend.at_work(self):
                 self._began = asyncio.get_running_loop().time()
-            self._enter(Phase.READING)
+            self._enter(ConnectionState.READING)
         self._http.receive(data)
         self._advance()
 
@@ -318,7 +294,7 @@
             self._transport.resume_reading()
         if self._source is not None:
             self._source.resume()
-        elif self.phase is Phase.LINGERING:
+        elif self.state is ConnectionState.LINGERING:
             self._frontend.waits_for(self)
         elif not self._ended:
             self._frontend.taken(self)
@@ -331,7 +307,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._gone()
-        self._enter(Phase.CLOSED)
+        self._enter(ConnectionState.CLOSED)
         self._ended = True
         self._frontend.closed(self)
         if self._wire is not None:
@@ -380,7 +356,7 @@
     def _begun(self, head: RequestHead) -> None:
         """A head came: its body follows."""
         assert self._transport is not None
-        self._enter(Phase.READING)
+        self._enter(ConnectionState.READING)
         self._request = head
         self._received = 0
         self._is_long = False
@@ -423,7 +399,7 @@
         owed = self._frontend.arrived(self, incoming)
         if self._upload is not None:  # else it has its answer already
             self._owed = owed
-            self._enter(Phase.OWED)
+            self._enter(ConnectionState.AWAITING_RESPONSE)
 
     def _uploaded(self) -> None:
         """The last byte of such a body is here."""
@@ -484,7 +460,7 @@
         incoming.remaining_us = max(incoming.remaining_us - self._wire.unread_us(), 1)
         self._owed = self._frontend.arrived(self, incoming)
         if self._owed is not None:
-            self._enter(Phase.OWED)
+            self._enter(ConnectionState.AWAITING_RESPONSE)
 
     def _reject(self, status: int, why: bytes = b"") -> None:
         """Answer what is no request of this protocol, then hang up: no more of it may pass for one."""
@@ -506,7 +482,7 @@
             return
         if self._transport.can_write_eof():
             self._transport.write_eof()  # behind what is still to be written
-        self._enter(Phase.LINGERING)
+        self._enter(ConnectionState.LINGERING)
         self._unread = 0  # measured from now on
         if not self._is_writing_paused:
             self._frontend.waits_for(self)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -13,7 +13,8 @@
 from loopback import ERROR, HOST, OK, Heard, ScriptedServer, Stage, play, request, soon, stage, until
 from test_program import GOOD, program, started
 
-from sidecar.downstream.frontend import NEXT_PHASES, ClientSide, Phase
+from sidecar.downstream.connection_state import TRANSITIONS, ConnectionState
+from sidecar.downstream.frontend import ClientSide
 
 
 class Raw:
@@ -41,6 +42,11 @@
         self.socket.close()
 
 
+def states(scene: Stage) -> list[ConnectionState]:
+    """The states of all client connections."""
+    return [connection.state for connection in scene.sidecar.frontend._connections]
+
+
 async def a_round_trip(scene: Stage) -> None:
     """By its end the event loop has seen all that was sent before."""
     _, writer = await asyncio.open_connection(HOST, scene.servers[0].address.rpartition(":")[2])
@@ -76,7 +82,7 @@
                 b"HTTP/1.1 4" if why in ("refused", "more beside it") else b"HTTP/1.1 200"
             )
             (connection,) = scene.sidecar.frontend._connections
-            assert connection.phase is Phase.LINGERING
+            assert connection.state is ConnectionState.LINGERING
             before = len(scene.heard)
             for _ in range(3):
                 raw.send(request("lodge"))
@@ -143,7 +149,10 @@
             raw.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             raw.send(request("lodge", Connection="close"))
             await until(
-                lambda: [each.phase for each in scene.sidecar.frontend._connections] == [Phase.LINGERING]
+                lambda: (
+                    [each.state for each in scene.sidecar.frontend._connections]
+                    == [ConnectionState.LINGERING]
+                )
             )
             (connection,) = scene.sidecar.frontend._connections
             now, got, steps = asyncio.get_running_loop().time(), b"", 0
@@ -154,7 +163,7 @@
                     break  # all is with its machine: nothing can cut it any more
                 now += 2.5  # it has taken some, so it may go on
                 scene.sidecar.frontend.close_overdue(now)
-                assert connection.phase is Phase.LINGERING
+                assert connection.state is ConnectionState.LINGERING
                 steps += 1
             assert steps > 0
             got += await raw.read_all()
@@ -176,7 +185,10 @@
             slow.setblocking(False)
             slow.send(request("lodge", Connection="close"))
             await until(
-                lambda: [each.phase for each in scene.sidecar.frontend._connections] == [Phase.LINGERING]
+                lambda: (
+                    [each.state for each in scene.sidecar.frontend._connections]
+                    == [ConnectionState.LINGERING]
+                )
             )
             (connection,) = scene.sidecar.frontend._connections
             assert connection.is_taking
@@ -188,7 +200,7 @@
             newcomer = await scene.client()
             newcomer.send(request("lodge"))
             await until(lambda: len(scene.heard) == 2)
-            assert connection.phase is Phase.LINGERING
+            assert connection.state is ConnectionState.LINGERING
             for raw in silent:
                 raw.close()
             slow.close()
@@ -368,16 +380,20 @@
 
 
 def test_the_life_of_a_connection_is_a_table_that_ends() -> None:
-    assert set(NEXT_PHASES) == set(Phase)
-    assert NEXT_PHASES[Phase.CLOSED] == set()
+    assert set(TRANSITIONS) == set(ConnectionState)
+    assert TRANSITIONS[ConnectionState.CLOSED] == set()
     assert all(
-        Phase.CLOSED in following for phase, following in NEXT_PHASES.items() if phase is not Phase.CLOSED
+        ConnectionState.CLOSED in following
+        for state, following in TRANSITIONS.items()
+        if state is not ConnectionState.CLOSED
     )
-    assert NEXT_PHASES[Phase.LINGERING] == {Phase.CLOSED}  # nothing is a request after our side has ended
+    assert TRANSITIONS[ConnectionState.LINGERING] == {
+        ConnectionState.CLOSED
+    }  # nothing is a request after our side has ended
     side = ClientSide(None)  # type: ignore[arg-type]
-    side._enter(Phase.LINGERING)
+    side._enter(ConnectionState.LINGERING)
     with pytest.raises(AssertionError):
-        side._enter(Phase.READING)
+        side._enter(ConnectionState.READING)
 
 
 # The program, by signals
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -284,25 +284,25 @@
     assert against == []
 
 
-def test_every_phase_of_a_connection_is_met_in_such_plays(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_every_state_of_a_connection_is_met_in_such_plays(monkeypatch: pytest.MonkeyPatch) -> None:
     """The plays above would prove little of a table of which they see a corner."""
     seen: set[tuple[str, str]] = set()
     plain = ClientSide._enter
 
-    def enter(self: ClientSide, phase: Any) -> None:
-        seen.add((self.phase.value, phase.value))
-        plain(self, phase)
+    def enter(self: ClientSide, state: Any) -> None:
+        seen.add((self.state.value, state.value))
+        plain(self, state)
 
     monkeypatch.setattr(ClientSide, "_enter", enter)
     for seed in (0, 1, 2):
         test_in_any_order_each_request_has_one_answer_and_nothing_is_left(seed, monkeypatch)
     wanted = {
-        ("reading", "owed"),
-        ("owed", "resting"),
-        ("resting", "reading"),
-        ("owed", "lingering"),
+        ("reading", "awaiting response"),
+        ("awaiting response", "idle"),
+        ("idle", "reading"),
+        ("awaiting response", "lingering"),
         ("reading", "lingering"),
         ("lingering", "closed"),
-        ("owed", "closed"),
+        ("awaiting response", "closed"),
     }
     assert wanted <= seen
