--- a/sidecar/upstream/http_exchange.py
+++ b/sidecar/upstream/http_exchange.py
@@ -1,6 +1,6 @@
-"""The client's side of one HTTP/1.1 connection: one exchange at a time, and how it ended.
+"""One connection to a server and the HTTP/1.1 exchange on it, one at a time.
 
-It sends nothing by itself and nothing twice: whoever calls `exchange` decides what is written, and when.
+Nothing is sent spontaneously and nothing twice: whoever calls `exchange` decides what is written, and when.
 """
 
 from __future__ import annotations
@@ -28,23 +28,23 @@
 from sidecar.wire import Wire
 
 _CONTENT_HEADERS = (b"content-type", b"content-encoding")
-_HELD_S = 0.05  # an answer of unknown length that goes on for longer is passed on as it comes
+_MAX_BUFFERING_S = 0.05  # of a response of unknown length; one that takes longer is streamed
 
 
 @dataclass(slots=True)
 class OutgoingRequest:
-    """A request to write."""
+    """A request to write to a server."""
 
     method: bytes
     target: bytes
     headers: Headers
     body: bytes = b""
-    upload: Upload | None = None  # in place of `body`: it passes through
+    upload: Upload | None = None  # in place of `body`, where that is streamed
 
 
 @dataclass(slots=True)
 class Response:
-    """A whole answer, or the beginning of one that passes through."""
+    """A complete response, or the beginning of a streamed one."""
 
     status: int
     headers: Headers
@@ -52,6 +52,7 @@
     unread_us: int = 0  # how long its last bytes lay in the socket
 
     def header(self, name: bytes) -> bytes | None:
+        """Return the first value of a header, given by its name in lower case."""
         return next((value for key, value in self.headers if key == name), None)
 
     def content_headers(self) -> Headers:
@@ -61,145 +62,157 @@
 
 @unique
 class ExchangeFailure(Enum):
-    """Why an exchange has no answer."""
+    """Why an exchange has no response."""
 
-    UNWRITTEN = "unwritten"  # the connection ended before the request's last byte was written
-    BROKEN = "broken"  # it broke or ended after that
-    GARBLED = "garbled"  # what came is not HTTP, or too large
+    REQUEST_INCOMPLETE = "request incomplete"  # the connection ended before its last byte was written
+    CONNECTION_LOST = "connection lost"  # it was closed or reset after that
+    MALFORMED_RESPONSE = "malformed response"  # not HTTP as read here, or too large
 
 
-Ended = Callable[[Response | ExchangeFailure], None]
-# An answer too long to be kept begins, of this length if that is known: where does it go?
-Started = Callable[["UpstreamConnection", Response, int | None], Sink | None]
+OnResult = Callable[[Response | ExchangeFailure], None]
+# A response that is too long to be buffered begins.  Given its beginning and its length, if that is known;
+# returns where it is forwarded to, or None if nobody waits for it.
+OnStreamingResponse = Callable[["UpstreamConnection", Response, int | None], Sink | None]
 
 
 class UpstreamConnection(BoundedReader):
-    """One connection.  `on_free` is called when it can be used again, `on_closed` once when it never can."""
+    """The protocol of one connection to a server."""
 
     def __init__(
         self,
-        most_bytes: int,
+        max_buffered_bytes: int,
         on_free: Callable[[UpstreamConnection], None],
         on_closed: Callable[[UpstreamConnection], None],
     ) -> None:
-        self._most_bytes = most_bytes
+        """`on_free` is called when the connection can be reused, `on_closed` once when it never can be again.
+
+        A response body of more than `max_buffered_bytes` is streamed, or fails where the caller of `exchange`
+        takes no streamed response.
+        """
+        self._max_buffered_bytes = max_buffered_bytes
         self._on_free = on_free
         self._on_closed = on_closed
         self._transport: Transport | None = None
         self._wire: Wire | None = None
-        self._http = ResponseReader()
-        self._ended: Ended | None = None
+        self._reader = ResponseReader()
+        self._on_result: OnResult | None = None  # of the exchange in flight
+        self._on_written: Callable[[], None] | None = None
+        self._on_streaming_response: OnStreamingResponse | None = None
         self._head: ResponseHead | None = None
         self._body = bytearray()
-        self._unwritten = False
-        self._on_written: Callable[[], None] | None = None  # to be told when all is written
-        self._on_started: Started | None = None  # None: what is too long is garbled
-        self._upload: Upload | None = None  # a body that is not written to its end
-        self._is_chunked = False  # and whether it goes in chunks
-        self._sink: Sink | None = None  # where the answer passes on to
-        self._holding: asyncio.TimerHandle | None = None
-        self.moved = 0  # bytes of bodies that passed through, either way
-        self._closed = False
-
-    # What the owner calls
+        self._is_writing_paused = False  # something that was written is still with the transport
+        self._upload: Upload | None = None  # a streamed body that is not completely written
+        self._is_upload_chunked = False
+        self._sink: Sink | None = None  # where a streamed response is forwarded to
+        self._buffering_timer: asyncio.TimerHandle | None = None
+        self.streamed_bytes = 0  # of bodies, in either direction
+        self._is_closed = False
+
+    # Called by the owner
 
     def is_usable(self) -> bool:
-        """Whether a request may be written now: open, at rest, and nothing came that was not asked for.
+        """Whether a request may be written now: open, no exchange in flight, and nothing unread.
 
         Guards against the race with a peer that closes an idle connection: its end may lie in the socket
-        before the event loop has seen it, and a request written then may have run, for all one can tell.
+        before the event loop has seen it, and a request written then may or may not have run.
         """
-        if self._closed or self._transport is None or self._transport.is_closing() or self._ended is not None:
+        if self._is_closed or self._transport is None or self._transport.is_closing():
+            return False
+        if self._on_result is not None:
             return False
         return self._wire is not None and self._wire.is_quiet()
 
     def exchange(
         self,
-        message: OutgoingRequest,
-        ended: Ended,
+        request: OutgoingRequest,
+        on_result: OnResult,
         on_written: Callable[[], None] | None = None,
-        on_started: Started | None = None,
+        on_streaming_response: OnStreamingResponse | None = None,
     ) -> None:
-        """Write a request; `ended` is called exactly once, but never from within this call.
+        """Write a request; `on_result` is called exactly once, but never from within this call.
 
-        `on_written` is called at most once, when the last byte was handed to the system, and `on_started`
-        where an answer begins that is too long to be kept.
+        `on_written` is called at most once, when the last byte was handed to the system.  Without
+        `on_streaming_response`, a response that is too long to be buffered counts as malformed.
         """
-        assert self._transport is not None and self._ended is None
-        self._ended = ended
+        assert self._transport is not None and self._on_result is None
+        self._on_result = on_result
         self._head = None
         self._body = bytearray()
-        self._on_written, self._on_started = on_written, on_started
-        head = request_head(message.method, message.target, message.headers)
-        if message.upload is not None:
-            self._upload = message.upload
-            self._is_chunked = message.upload.length is None
+        self._on_written, self._on_streaming_response = on_written, on_streaming_response
+        head = request_head(request.method, request.target, request.headers)
+        if request.upload is not None:
+            self._upload = request.upload
+            self._is_upload_chunked = request.upload.length is None
             self._transport.write(head)
-            message.upload.attach(self)
+            request.upload.attach(self)
             return
-        self._transport.write(head + message.body if message.body else head)
+        self._transport.write(head + request.body if request.body else head)
         if self._transport.is_closing():
-            self._unwritten = True  # the write failed at once; connection_lost follows
-        if not self._unwritten:
-            self._written()
+            self._is_writing_paused = True  # the write failed at once; connection_lost follows
+        if not self._is_writing_paused:
+            self._notify_written()
 
     def send_body(self, data: bytes) -> bool:
-        """Pass on more of a request's body; say whether more may follow at once."""
-        if self._transport is None or self._closed:
-            return True  # it goes nowhere any more
-        self.moved += len(data)
-        self._transport.write(chunk(data) if self._is_chunked else data)
-        return not self._unwritten
+        """Forward a piece of the request's body; return whether more may follow at once."""
+        if self._transport is None or self._is_closed:
+            return True  # it is discarded
+        self.streamed_bytes += len(data)
+        self._transport.write(chunk(data) if self._is_upload_chunked else data)
+        return not self._is_writing_paused
 
     def end_body(self) -> None:
-        """The request's body has come to its end."""
-        if self._transport is None or self._closed:
+        """End the request's body."""
+        if self._transport is None or self._is_closed:
             return
         self._upload = None
-        if self._is_chunked:
+        if self._is_upload_chunked:
             self._transport.write(LAST_CHUNK)
-        if not self._unwritten and not self._transport.is_closing():
-            self._written()
+        if not self._is_writing_paused and not self._transport.is_closing():
+            self._notify_written()
 
     @property
-    def is_passing_on(self) -> bool:
-        """Whether the answer passes through."""
+    def is_streaming_response(self) -> bool:
+        """Whether the response is forwarded while it arrives."""
         return self._sink is not None
 
     @property
     def is_waiting_for_server(self) -> bool:
-        """Whether a body that passes through stands still because of the far end."""
-        reading = self._transport is not None and self._transport.is_reading()
-        return self._unwritten or (self._sink is not None and reading)
+        """Whether the progress of a streamed body depends on the server, not on the client."""
+        is_reading = self._transport is not None and self._transport.is_reading()
+        return self._is_writing_paused or (self._sink is not None and is_reading)
 
     def pause(self) -> None:
-        if self._transport is not None and not self._closed:
+        """Stop reading the response."""
+        if self._transport is not None and not self._is_closed:
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        if self._transport is not None and not self._closed:
+        """Read on after `pause`."""
+        if self._transport is not None and not self._is_closed:
             self._transport.resume_reading()
 
-    def give_up(self) -> None:
-        """The far end gives or takes nothing any more."""
-        self._fail(self._broken())
+    def fail(self) -> None:
+        """Close the connection and fail the exchange in flight, as when the server had closed it."""
+        self._fail(self._lost_connection())
 
     def close(self) -> None:
-        """Give the connection up.  An exchange under way is dropped without a word.
+        """Close the connection; an exchange in flight is dropped without calling `on_result`.
 
         Its sending ends within this call, before anything that the caller may write elsewhere next: the
         transport itself closes its socket only in a later round of the event loop, and until then a further
-        attempt would be a second copy beside this one.
+        attempt would be a duplicate beside this one.
         """
-        self._ended = None
-        self._let_go()
-        if self._transport is not None and not self._closed:
+        self._on_result = None
+        self._end_streaming()
+        if self._transport is not None and not self._is_closed:
             if self._wire is not None:
                 self._wire.end(socket.SHUT_RDWR)
             self._transport.abort()
-        self._report_closed()
+        if not self._is_closed:
+            self._is_closed = True
+            self._on_closed(self)
 
-    # What the event loop calls
+    # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         # The event loop's own class is none of asyncio's, so there is nothing to check.
@@ -208,140 +221,137 @@
         self._wire = Wire(self._transport)
 
     def pause_writing(self) -> None:
-        self._unwritten = True
+        self._is_writing_paused = True
 
     def resume_writing(self) -> None:
-        self._unwritten = False
+        self._is_writing_paused = False
         if self._upload is not None:
             self._upload.resume()
         else:
-            self._written()
+            self._notify_written()
 
     def data_received(self, data: bytes) -> None:
-        if self._ended is None:
-            self.close()  # nothing was asked
+        if self._on_result is None:
+            self.close()  # unsolicited
             return
         self._read(data)
 
     def eof_received(self) -> None:
-        if self._ended is not None:
-            self._http.receive_end()
-            self._read(b"")  # an answer may be framed by its end
-        self._fail(self._broken())
+        if self._on_result is not None:
+            self._reader.receive_end()
+            self._read(b"")  # the end may be what frames the response
+        self._fail(self._lost_connection())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._fail(self._broken())
+        self._fail(self._lost_connection())
         if self._wire is not None:
             self._wire.release()
 
-    # The rest
+    # Reading a response
 
     def _read(self, data: bytes) -> None:
-        self._http.receive(data)
+        self._reader.receive(data)
         try:
-            while not self._closed:
-                event = self._http.next_event()
+            while not self._is_closed:
+                event = self._reader.next_event()
                 if isinstance(event, bytes):
-                    self._take(event)
+                    self._body_received(event)
                 elif isinstance(event, ResponseHead):
                     self._head = event
-                    self._foresee(event)
+                    self._head_received(event)
                 elif event is Signal.END:
-                    self._answered()
+                    self._response_completed()
                     return
                 else:
                     return
         except Malformed:
-            self._fail(ExchangeFailure.GARBLED)
+            self._fail(ExchangeFailure.MALFORMED_RESPONSE)
 
-    def _foresee(self, head: ResponseHead) -> None:
-        """See by an answer's head whether it can be kept; where that is open, not for long."""
+    def _head_received(self, head: ResponseHead) -> None:
+        """Decide by its length whether a response is buffered; without one, only for a bounded time."""
         if head.length is not None:
-            if head.length > self._most_bytes:
-                self._pass_on(head.length)
-        elif self._on_started is not None and head.status == 200:
-            self._holding = asyncio.get_running_loop().call_later(_HELD_S, self._pass_on, None)
-
-    def _take(self, data: bytes) -> None:
+            if head.length > self._max_buffered_bytes:
+                self._start_streaming(head.length)
+        elif self._on_streaming_response is not None and head.status == 200:
+            self._buffering_timer = asyncio.get_running_loop().call_later(
+                _MAX_BUFFERING_S, self._start_streaming, None
+            )
+
+    def _body_received(self, data: bytes) -> None:
         if self._sink is None:
             self._body += data
-            if len(self._body) > self._most_bytes:
-                self._pass_on(None)
+            if len(self._body) > self._max_buffered_bytes:
+                self._start_streaming(None)
             return
-        self.moved += len(data)
+        self.streamed_bytes += len(data)
         if not self._sink.write(data):
             self.pause()
 
-    def _pass_on(self, length: int | None) -> None:
-        """From here on the answer goes on as it comes, at the pace of whoever reads it."""
-        self._stop_holding()
-        if self._sink is not None or self._head is None or self._ended is None:
+    def _start_streaming(self, length: int | None) -> None:
+        """Forward the response from here on as it arrives, at the pace of its reader."""
+        self._stop_buffering_timer()
+        if self._sink is not None or self._head is None or self._on_result is None:
             return
         if self._head.status != 200:
-            ended = self._ended
+            on_result = self._on_result
             self.close()
-            ended(Response(self._head.status, self._head.headers, b""))  # its head says it all
+            on_result(Response(self._head.status, self._head.headers, b""))  # only its head is used
             return
-        if self._on_started is None:
-            self._fail(ExchangeFailure.GARBLED)
+        if self._on_streaming_response is None:
+            self._fail(ExchangeFailure.MALFORMED_RESPONSE)
             return
         assert self._wire is not None
         unread_us = self._wire.unread_us()
-        begun = Response(200, self._head.headers, bytes(self._body), unread_us)
+        beginning = Response(200, self._head.headers, bytes(self._body), unread_us)
         self._body = bytearray()
-        self._sink = self._on_started(self, begun, length)
+        self._sink = self._on_streaming_response(self, beginning, length)
         if self._sink is None:
-            self._fail(ExchangeFailure.BROKEN)  # nobody waits for it
+            self._fail(ExchangeFailure.CONNECTION_LOST)  # nobody waits for it
 
-    def _stop_holding(self) -> None:
-        if self._holding is not None:
-            self._holding.cancel()
-            self._holding = None
+    def _stop_buffering_timer(self) -> None:
+        if self._buffering_timer is not None:
+            self._buffering_timer.cancel()
+            self._buffering_timer = None
 
-    def _let_go(self) -> None:
-        """Nothing passes through from here on."""
-        self._stop_holding()
-        self._sink = None
-        upload, self._upload = self._upload, None
-        if upload is not None:
-            upload.detach(self)
+    # Ending an exchange
 
-    def _broken(self) -> ExchangeFailure:
-        return (
-            ExchangeFailure.UNWRITTEN
-            if self._unwritten or self._upload is not None
-            else ExchangeFailure.BROKEN
-        )
-
-    def _written(self) -> None:
-        told, self._on_written = self._on_written, None
-        if told is not None:
-            told()
-
-    def _answered(self) -> None:
+    def _response_completed(self) -> None:
         assert self._head is not None and self._wire is not None
         unread_us = self._wire.unread_us()
         response = Response(self._head.status, self._head.headers, bytes(self._body), unread_us)
         self._body = bytearray()
-        ended, self._ended = self._ended, None
-        # An answer that is early, while the request is still being sent, ends the connection.
-        is_early = self._unwritten or self._upload is not None
-        self._let_go()
-        if self._http.is_reusable and not is_early and not self._http.has_more:
-            self._http.start_next()
+        on_result, self._on_result = self._on_result, None
+        # A response that is early, while the request is still being sent, ends the connection.
+        is_early = self._is_writing_paused or self._upload is not None
+        self._end_streaming()
+        if self._reader.is_reusable and not is_early and not self._reader.has_more:
+            self._reader.start_next()
             self._on_free(self)
         else:
             self.close()
-        if ended is not None:
-            ended(response)
+        if on_result is not None:
+            on_result(response)
 
     def _fail(self, failure: ExchangeFailure) -> None:
-        ended = self._ended
+        on_result = self._on_result
         self.close()
-        if ended is not None:
-            ended(failure)
+        if on_result is not None:
+            on_result(failure)
 
-    def _report_closed(self) -> None:
-        if not self._closed:
-            self._closed = True
-            self._on_closed(self)
+    def _lost_connection(self) -> ExchangeFailure:
+        """Return what the loss of the connection means for the exchange in flight."""
+        if self._is_writing_paused or self._upload is not None:
+            return ExchangeFailure.REQUEST_INCOMPLETE
+        return ExchangeFailure.CONNECTION_LOST
+
+    def _end_streaming(self) -> None:
+        self._stop_buffering_timer()
+        self._sink = None
+        upload, self._upload = self._upload, None
+        if upload is not None:
+            upload.detach(self)
+
+    def _notify_written(self) -> None:
+        on_written, self._on_written = self._on_written, None
+        if on_written is not None:
+            on_written()
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -222,7 +222,7 @@
 
     def hurry(self, call: Call, until: int) -> None:
         """Wait no longer than until then."""
-        is_answered = call.connection is not None and call.connection.is_passing_on
+        is_answered = call.connection is not None and call.connection.is_streaming_response
         if not call.ended and not is_answered and until < call.until:
             call.until = until
             self._set_expiry(call)
@@ -294,11 +294,11 @@
         """Give the call up when its server has taken or given nothing for long."""
         if call.ended or call.connection is None:
             return
-        now, moved = self._clock.now(), call.connection.moved
+        now, moved = self._clock.now(), call.connection.streamed_bytes
         if moved != call.moved or not call.connection.is_waiting_for_server:
             call.moved, call.stalled_at = moved, now
         if now - call.stalled_at >= STALL_TIMEOUT_S * 1e6:
-            call.connection.give_up()
+            call.connection.fail()
             return
         call.timer = asyncio.get_running_loop().call_later(STALL_TIMEOUT_S / 10, self._look, call)
 
@@ -392,9 +392,9 @@
 
 
 def _outcome(how: Response | ExchangeFailure) -> Outcome:
-    if how is ExchangeFailure.UNWRITTEN:
+    if how is ExchangeFailure.REQUEST_INCOMPLETE:
         return Outcome.CONNECT_FAILED
-    if how is ExchangeFailure.BROKEN:
+    if how is ExchangeFailure.CONNECTION_LOST:
         return Outcome.CONNECTION_LOST
     if isinstance(how, Response):
         if how.status == 200:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -379,17 +379,13 @@
     play(work)
 
 
-def test_the_life_of_a_connection_is_a_table_that_ends() -> None:
+def test_connection_states_all_lead_to_closed() -> None:
+    open_states = set(ConnectionState) - {ConnectionState.CLOSED}
     assert set(TRANSITIONS) == set(ConnectionState)
     assert TRANSITIONS[ConnectionState.CLOSED] == set()
-    assert all(
-        ConnectionState.CLOSED in following
-        for state, following in TRANSITIONS.items()
-        if state is not ConnectionState.CLOSED
-    )
-    assert TRANSITIONS[ConnectionState.LINGERING] == {
-        ConnectionState.CLOSED
-    }  # nothing is a request after our side has ended
+    assert all(ConnectionState.CLOSED in TRANSITIONS[state] for state in open_states)
+    # Nothing is read as a request after our side has ended.
+    assert TRANSITIONS[ConnectionState.LINGERING] == {ConnectionState.CLOSED}
     side = ClientSide(None)  # type: ignore[arg-type]
     side._enter(ConnectionState.LINGERING)
     with pytest.raises(AssertionError):
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -379,7 +379,7 @@
 
 def test_a_slow_refusal_of_unknown_length_is_a_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against passing on, and so misreading, what is no answer of a server to the client.
-    monkeypatch.setattr(http_exchange, "_HELD_S", 0.0)
+    monkeypatch.setattr(http_exchange, "_MAX_BUFFERING_S", 0.0)
 
     async def work() -> None:
         release = asyncio.Event()
