--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -60,9 +60,10 @@
 from sidecar.presence import Presence
 from sidecar.roles import Sink
 from sidecar.telemetry import Telemetry
+from sidecar.upstream.attempt import Attempt
 from sidecar.upstream.http_exchange import OutgoingRequest, Response, UpstreamConnection
 from sidecar.upstream.load_report import parse_load_report
-from sidecar.upstream.upstream import Call, Upstream
+from sidecar.upstream.upstream import Upstream
 
 if TYPE_CHECKING:
     from sidecar.cluster.settings import MembershipSettings
@@ -96,7 +97,7 @@
     def __init__(self, client: ClientSide, incoming: Incoming) -> None:
         self.client: ClientSide | None = client  # None: it has its answer, or left
         self.incoming = incoming
-        self.calls: list[Call] = []
+        self.calls: list[Attempt] = []
         self.out = 0
         self.streaming: int | None = None  # the attempt whose answer passes through to the client
         self.last_outcome: Outcome | None = None
@@ -583,7 +584,7 @@
         def is_wanted() -> bool:
             return held.client is not None and not held.client.has_left()
 
-        call = Call(
+        call = Attempt(
             action.server, action.deadline, held.incoming.message, done, begun, action.send_by, is_wanted
         )
         call.sent_at = sent_at
@@ -600,7 +601,7 @@
             self._post(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
 
         message = OutgoingRequest(b"GET", b"/_load" if in_body else b"/ping", [(b"host", server.encode())])
-        self._upstream.start(Call(server, sent_at + _PROBE_WITHIN_US, lambda left_us: message, done))
+        self._upstream.start(Attempt(server, sent_at + _PROBE_WITHIN_US, lambda left_us: message, done))
 
     def _refuse(self, action: Reject) -> None:
         headers: Headers = []
--- /dev/null
+++ b/sidecar/upstream/connection_pool.py
@@ -0,0 +1,233 @@
+"""The connections to all servers: establishing, reusing and closing them within one limit."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from balancer.events import EndpointEntry, EndpointState, Outcome
+from balancer.settings import Limits
+from sidecar.address import Address
+from sidecar.clock import Clock
+from sidecar.discovery.catalog import Listing
+from sidecar.downstream.flow_control import MAX_BUFFERED_BODY_BYTES
+from sidecar.upstream.attempt import Attempt
+from sidecar.upstream.http_exchange import UpstreamConnection
+
+_IDLE_TIMEOUT_MARGIN = 0.1  # of the idle timeout: a connection this near to it may be closed at the far end
+_SWEEPS_PER_IDLE_TIMEOUT = 4
+# Errors that say that this machine, not the server, had no room for a connection.
+_LOCAL_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+
+
+@dataclass(slots=True)
+class IdleConnection:
+    """A connection that can be reused, and since when it has been idle."""
+
+    connection: UpstreamConnection
+    since: int
+
+
+class PooledEndpoint:
+    """Where a server is reached, and the idle connections to the process that is there now."""
+
+    __slots__ = ("address", "idle", "is_draining", "is_excluded", "locality", "started_at")
+
+    def __init__(self, address: Address, entry: EndpointEntry, is_excluded: bool) -> None:
+        self.address = address
+        self.started_at = entry.started_at
+        self.locality = entry.zone, entry.cell
+        self.is_draining = False  # according to the endpoint list, or no longer listed
+        self.is_excluded = is_excluded  # by an operator
+        self.idle: list[IdleConnection] = []  # the most recently used last
+
+    def is_same(self, address: Address, entry: EndpointEntry) -> bool:
+        """Whether an entry of the endpoint list is about this process, at its old place."""
+        is_in_place = address == self.address and (entry.zone, entry.cell) == self.locality
+        return is_in_place and entry.started_at == self.started_at
+
+    def close_idle(self) -> None:
+        """Close all idle connections."""
+        idle, self.idle = self.idle, []
+        for entry in idle:
+            entry.connection.close()
+
+
+class ConnectionPool:
+    """All connections to servers; those being established count against the limit as well."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        limits: Limits,
+        max_connections: int,
+        on_connected: Callable[[Attempt, PooledEndpoint, UpstreamConnection], None],
+        on_connect_failed: Callable[[Attempt, Outcome], None],
+    ) -> None:
+        """Each call of `connect` is answered by one call of `on_connected` or `on_connect_failed`."""
+        self._clock = clock
+        self._connect_timeout_s = limits.connect_timeout_us / 1e6
+        self._max_idle_us = int(limits.idle_timeout_us * (1.0 - _IDLE_TIMEOUT_MARGIN))
+        self._max_connections = max_connections
+        self._on_connected = on_connected
+        self._on_connect_failed = on_connect_failed
+        self.endpoints: dict[str, PooledEndpoint] = {}
+        self.excluded: set[str] = set()  # including servers that are not listed now
+        self._endpoint_of: dict[UpstreamConnection, PooledEndpoint] = {}  # every established connection
+        self._connecting = 0
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._sweep_timer: asyncio.TimerHandle | None = None
+
+    # Endpoints
+
+    def update_endpoints(self, listing: Listing) -> None:
+        """Take over an endpoint list or its changes."""
+        if listing.full:
+            for name in self.endpoints.keys() - {entry.listed.server for entry in listing.entries}:
+                self._remove_endpoint(name)
+        for entry in listing.entries:
+            name, address = entry.listed.server, entry.address
+            if address is None:
+                self._remove_endpoint(name)
+                continue
+            endpoint, listed = self.endpoints.get(name), entry.listed
+            # Guards against writing to what was there before under the same name, or to a server that has
+            # left the zone or cell by which a retry was chosen.
+            if endpoint is None or not endpoint.is_same(address, listed):
+                self._remove_endpoint(name)
+                endpoint = self.endpoints[name] = PooledEndpoint(address, listed, name in self.excluded)
+            endpoint.is_draining = entry.listed.state is not EndpointState.READY
+            if endpoint.is_draining:
+                endpoint.close_idle()
+
+    def _remove_endpoint(self, name: str) -> None:
+        endpoint = self.endpoints.pop(name, None)
+        if endpoint is not None:
+            endpoint.is_draining = True  # seen by connections that are being established
+            endpoint.close_idle()
+
+    def exclude(self, name: str) -> None:
+        """Mark a server as excluded, listed or not, and close its idle connections."""
+        self.excluded.add(name)
+        endpoint = self.endpoints.get(name)
+        if endpoint is not None:
+            endpoint.is_excluded = True
+            endpoint.close_idle()
+
+    def include(self, name: str) -> None:
+        """Revoke `exclude`."""
+        self.excluded.discard(name)
+        endpoint = self.endpoints.get(name)
+        if endpoint is not None:
+            endpoint.is_excluded = False
+
+    # Connections
+
+    def take_idle(self, endpoint: PooledEndpoint) -> UpstreamConnection | None:
+        """Return the most recently used idle connection that is usable, if there is one."""
+        while endpoint.idle:
+            idle = endpoint.idle.pop()
+            if self._clock.now() - idle.since < self._max_idle_us and idle.connection.is_usable():
+                return idle.connection
+            idle.connection.close()
+        return None
+
+    def has_room(self) -> bool:
+        """Whether one more connection may be established; closes the longest idle one if it must."""
+        return len(self._endpoint_of) + self._connecting < self._max_connections or self._close_oldest()
+
+    def connect(self, attempt: Attempt, endpoint: PooledEndpoint) -> None:
+        """Establish a connection for an attempt; the pool has room for it."""
+        self._connecting += 1
+        task = asyncio.get_running_loop().create_task(self._connect(attempt, endpoint))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _connect(self, attempt: Attempt, endpoint: PooledEndpoint) -> None:
+        outcome = Outcome.CONNECT_FAILED
+        connection: UpstreamConnection | None = None
+        try:
+            async with asyncio.timeout(self._connect_timeout_s):
+                _, connection = await asyncio.get_running_loop().create_connection(
+                    lambda: UpstreamConnection(MAX_BUFFERED_BODY_BYTES, self.release, self._forget),
+                    *endpoint.address,
+                )
+        except (OSError, TimeoutError) as error:
+            if isinstance(error, OSError) and error.errno in _LOCAL_ERRORS:
+                outcome = Outcome.NOT_SENT
+        finally:
+            self._connecting -= 1
+        if connection is None:
+            self._on_connect_failed(attempt, outcome)
+            return
+        self._endpoint_of[connection] = endpoint
+        if connection.is_usable():
+            self._on_connected(attempt, endpoint, connection)
+        else:
+            connection.close()
+            self._on_connect_failed(attempt, Outcome.CONNECT_FAILED)
+
+    def release(self, connection: UpstreamConnection) -> None:
+        """Keep a connection for reuse, unless its server is draining or excluded."""
+        endpoint = self._endpoint_of.get(connection)
+        if endpoint is None or endpoint.is_draining or endpoint.is_excluded:
+            connection.close()
+            return
+        endpoint.idle.append(IdleConnection(connection, self._clock.now()))
+        if self._sweep_timer is None:
+            self._schedule_sweep()
+
+    def _forget(self, connection: UpstreamConnection) -> None:
+        """Drop a connection that was closed."""
+        endpoint = self._endpoint_of.pop(connection, None)
+        if endpoint is not None:
+            endpoint.idle = [idle for idle in endpoint.idle if idle.connection is not connection]
+
+    def resize(self, max_connections: int) -> None:
+        """Change the limit; the longest idle connections are closed to meet it."""
+        self._max_connections = max_connections
+        while len(self._endpoint_of) + self._connecting > max_connections and self._close_oldest():
+            pass
+
+    def _close_oldest(self) -> bool:
+        """Close the longest idle connection; return whether there was one."""
+        oldest = min(
+            (endpoint for endpoint in self.endpoints.values() if endpoint.idle),
+            key=lambda endpoint: endpoint.idle[0].since,
+            default=None,
+        )
+        if oldest is None:
+            return False
+        oldest.idle.pop(0).connection.close()
+        return True
+
+    def close_idle(self, name: str) -> None:
+        """Close the idle connections to a server, if it is listed."""
+        endpoint = self.endpoints.get(name)
+        if endpoint is not None:
+            endpoint.close_idle()
+
+    def _schedule_sweep(self) -> None:
+        interval_s = self._max_idle_us / _SWEEPS_PER_IDLE_TIMEOUT / 1e6
+        self._sweep_timer = asyncio.get_running_loop().call_later(interval_s, self._close_expired)
+
+    def _close_expired(self) -> None:
+        """Close connections that have been idle for nearly as long as servers allow."""
+        self._sweep_timer = None
+        before = self._clock.now() - self._max_idle_us
+        for endpoint in self.endpoints.values():
+            while endpoint.idle and endpoint.idle[0].since <= before:
+                endpoint.idle.pop(0).connection.close()
+        if any(endpoint.idle for endpoint in self.endpoints.values()):
+            self._schedule_sweep()
+
+    def close(self) -> None:
+        """Close all connections, and give up those being established."""
+        for task in self._tasks:
+            task.cancel()
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
+        for connection in list(self._endpoint_of):
+            connection.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,8 +18,9 @@
 from loopback import ERROR, FULL, HOST, OK, Heard, Stage, line, play, request, stage, until
 
 from sidecar.downstream.frontend import ClientSide
+from sidecar.upstream.attempt import Attempt
 from sidecar.upstream.http_exchange import UpstreamConnection
-from sidecar.upstream.upstream import Call, Upstream
+from sidecar.upstream.upstream import Upstream
 
 STEPS = 120
 KINDS = ("check", "amend", "lodge")
@@ -207,13 +208,14 @@
     faults: list[str] = []
     plain = Upstream._write
 
-    def write(self: Upstream, call: Call, connection: UpstreamConnection) -> None:
-        server, now = self._servers.get(call.server), self._clock.now()
-        if server is None or server.is_leaving or server.is_excluded:
-            faults.append(f"to {call.server}, which is not wanted")
-        if call.ended or now > min(call.until, call.begin_by) + 50_000 or not call.is_wanted():
+    def write(self: Upstream, attempt: Attempt, connection: UpstreamConnection) -> None:
+        endpoint, now = self._pool.endpoints.get(attempt.server), self._clock.now()
+        if endpoint is None or endpoint.is_draining or endpoint.is_excluded:
+            faults.append(f"to {attempt.server}, which is not wanted")
+        is_late = now > min(attempt.deadline, attempt.send_by) + 50_000
+        if attempt.is_ended or is_late or not attempt.is_wanted():
             faults.append("after its time, or for nobody")
-        plain(self, call, connection)
+        plain(self, attempt, connection)
 
     monkeypatch.setattr(Upstream, "_write", write)
     return faults
@@ -270,7 +272,8 @@
                 assert not asker.is_legal or asker.answers >= owed.get(id(asker), 0), asker.got
             assert scene.sidecar._owed == 0
             assert not [each for each, count in here.runs.items() if count > 1]
-            await until(lambda: not scene.sidecar._upstream._owners and not scene.sidecar._upstream._tasks)
+            pool = scene.sidecar._upstream._pool
+            await until(lambda: not pool._endpoint_of and not pool._tasks)
             await until(lambda: not scene.sidecar._discovery._tasks)
             assert not [each for each in scene.log if "internal" in each]
             for _, answer in here.held:
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -171,13 +171,14 @@
         async with stage(OK, console=True) as scene:
             client = await scene.client()
             sidecar = scene.sidecar
-            call = sidecar._upstream._dial
+            pool = sidecar._upstream._pool
+            connect = pool._connect
 
-            async def dial_late(*given: object) -> None:
+            async def connect_late(*given: object) -> None:
                 sidecar.exclude("s-0")
-                await call(*given)  # type: ignore[arg-type]
+                await connect(*given)  # type: ignore[arg-type]
 
-            sidecar._upstream._dial = dial_late  # type: ignore[assignment, method-assign]
+            pool._connect = connect_late  # type: ignore[assignment, method-assign]
             assert (await client.ask("lodge")).status == 503
             assert scene.heard == []
 
@@ -192,7 +193,7 @@
         async with stage(hold, hold, console=True) as scene:
             await scene.call("POST", "/api/exclude", b'{"member":"s-0"}')
             scene.discovery.tell(line("s-0", scene.servers[0].address, started_ms=1_700_000_000_000))
-            await until(lambda: scene.sidecar._upstream._servers["s-0"].started_at is not None)
+            await until(lambda: scene.sidecar._upstream._pool.endpoints["s-0"].started_at is not None)
             await asyncio.gather(*(scene.ask() for _ in range(10)))
             assert len(scene.servers[0].heard) == 0
 
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -33,8 +33,9 @@
 from balancer.settings import Limits
 from sidecar.clock import Clock
 from sidecar.discovery.catalog import parse_listing
+from sidecar.upstream.attempt import Attempt
 from sidecar.upstream.http_exchange import OutgoingRequest
-from sidecar.upstream.upstream import Call, Upstream
+from sidecar.upstream.upstream import Upstream
 
 LONG = {"dialTimeoutUs": 60_000_000}  # far longer than a test waits
 
@@ -95,13 +96,13 @@
         listed = line("s-0", self.slow.address, **changes)
         self.upstream.listed(parse_listing({"version": 1, "full": True, "servers": [listed]}))
 
-    def call(self, **how: Any) -> Call:
+    def call(self, **how: Any) -> Attempt:
         def message(left_us: int) -> OutgoingRequest:
             return OutgoingRequest(b"GET", b"/", [(b"host", b"x")])
 
-        call = Call("s-0", 2**60, message, lambda outcome, _: self.ends.append(outcome), **how)
-        self.upstream.start(call)
-        return call
+        attempt = Attempt("s-0", 2**60, message, lambda outcome, _: self.ends.append(outcome), **how)
+        self.upstream.start(attempt)
+        return attempt
 
     async def first_bytes(self) -> bytes:
         """What is written once the dial comes up, until the pool is closed."""
@@ -129,7 +130,7 @@
 def test_a_call_whose_dial_comes_up_in_time_is_written() -> None:
     async def work() -> None:
         async with late_pool() as pool:
-            pool.call(begin_by=2**59)
+            pool.call(send_by=2**59)
             assert (await pool.first_bytes()).startswith(b"GET / HTTP/1.1")
 
     play(work)
@@ -139,7 +140,7 @@
     # Guards rule 2: a keyed repeat was decided inside its window and written after it.
     async def work() -> None:
         async with late_pool() as pool:
-            pool.call(begin_by=pool.clock.now() + 30_000)
+            pool.call(send_by=pool.clock.now() + 30_000)
             await until(lambda: pool.ends == [Outcome.NOT_SENT])  # proof that nothing ran, at once
             assert await pool.first_bytes() == b""
             assert pool.ends == [Outcome.NOT_SENT]
@@ -148,13 +149,13 @@
 
 
 @pytest.mark.parametrize(
-    ("begin_by", "outcome"), [(2**61, Outcome.CONNECT_FAILED), (2**59, Outcome.NOT_SENT)], ids=str
+    ("send_by", "outcome"), [(2**61, Outcome.CONNECT_FAILED), (2**59, Outcome.NOT_SENT)], ids=str
 )
-def test_a_timer_that_fires_early_does_not_change_who_is_to_blame(begin_by: int, outcome: Outcome) -> None:
+def test_a_timer_that_fires_early_does_not_change_who_is_to_blame(send_by: int, outcome: Outcome) -> None:
     # Guards against a server to which no connection comes up and that is never ejected for it.
     async def work() -> None:
         async with late_pool() as pool:
-            pool.upstream._expire(pool.call(begin_by=begin_by))
+            pool.upstream._expire(pool.call(send_by=send_by))
             assert pool.ends == [outcome]
 
     play(work)
@@ -163,9 +164,9 @@
 def test_a_window_that_is_over_at_the_draw_lets_nothing_be_dialled() -> None:
     async def work() -> None:
         async with late_pool() as pool:
-            pool.call(begin_by=pool.clock.now())
+            pool.call(send_by=pool.clock.now())
             await until(lambda: pool.ends == [Outcome.NOT_SENT])
-            assert not pool.upstream._tasks
+            assert not pool.upstream._pool._tasks
 
     play(work)
 
@@ -212,7 +213,7 @@
             pool.call()  # no room: the first is still coming up
             await until(lambda: pool.ends == [Outcome.NOT_SENT] * 2)
             accepted = await pool.slow.let_go()
-            await until(lambda: not pool.upstream._tasks and len(pool.upstream._owners) == 1)
+            await until(lambda: not pool.upstream._pool._tasks and len(pool.upstream._pool._endpoint_of) == 1)
             pool.call()  # goes over what has come up
             assert (await asyncio.get_running_loop().sock_recv(accepted, 1_000)).startswith(b"GET /")
             accepted.close()
@@ -304,7 +305,7 @@
             return OK
 
         def hurried(scene: Stage) -> bool:
-            return bool(scene.heard) and scene.sidecar._upstream._dialling > 0
+            return bool(scene.heard) and scene.sidecar._upstream._pool._connecting > 0
 
         bounds = {**LONG, "mayCancel": False, "secondCopies": True, "sendCap": 2}
         async with stage(hold, hold, hold, bounds=bounds) as scene:
@@ -355,7 +356,7 @@
             scene.discovery.tell(line("s", slow.address))
             await until(lambda: scene.sidecar._balancer.knows("s"))
             is_listed.set()
-            await until(lambda: scene.sidecar._upstream._dialling == 1)
+            await until(lambda: scene.sidecar._upstream._pool._connecting == 1)
             answer = await client.answer()  # long before its time is up: the window is what ends it
             assert answer.status in (502, 503, 504)
             await until(lambda: at_the_sidecar(scene) == 0)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -22,8 +22,9 @@
 from balancer.settings import Limits
 from sidecar.clock import Clock
 from sidecar.discovery.catalog import parse_listing
+from sidecar.upstream.attempt import Attempt
 from sidecar.upstream.http_exchange import OutgoingRequest
-from sidecar.upstream.upstream import Call, Upstream
+from sidecar.upstream.upstream import Upstream
 
 
 def at_the_sidecar(scene: Stage) -> int:
@@ -181,7 +182,7 @@
             return OutgoingRequest(b"GET", b"/", [(b"host", b"x")])
 
         for _ in range(6):
-            upstream.start(Call("s-0", 2**60, message, lambda outcome, _: ends.append(outcome)))
+            upstream.start(Attempt("s-0", 2**60, message, lambda outcome, _: ends.append(outcome)))
         await until(lambda: len(server.heard) == 4)
         assert ends == [Outcome.NOT_SENT] * 2
         release.set()
