--- a/bench/staged.py
+++ b/bench/staged.py
@@ -25,7 +25,7 @@
 from bench.process import HOST
 from bench.relay import Client, End, relay
 from sidecar.discovery.catalog import parse_listing
-from sidecar.downstream.request import read_request
+from sidecar.downstream.request_parsing import parse_request
 from sidecar.http import RequestHead, RequestReader, ResponseHead, ResponseReader, Signal, request_head
 from sidecar.http.writer import response_head
 
@@ -117,11 +117,11 @@
 
     def _taken(self) -> None:
         assert self._head is not None
-        incoming = read_request(self._head, b"", _CLASSES, frozenset())
+        incoming = parse_request(self._head, b"", _CLASSES, frozenset())
         if self._decisions is not None:
             number, server = self._decisions.arrived(incoming.key, incoming.remaining_us)
             self._open = number, server, time.monotonic()
-        message = incoming.message(incoming.remaining_us)
+        message = incoming.to_outgoing(incoming.remaining_us)
         super().data_received(request_head(message.method, message.target, message.headers))
 
     def answered(self, head: ResponseHead, body: bytes) -> None:
--- a/deploy/native.py
+++ b/deploy/native.py
@@ -29,7 +29,8 @@
     "sidecar/http/chunked.py",
     "sidecar/http/reader.py",
     "sidecar/http/writer.py",
-    "sidecar/downstream/request.py",
+    "sidecar/downstream/request_validation.py",
+    "sidecar/downstream/request_parsing.py",
 )
 
 
--- a/sidecar/downstream/frontend.py
+++ b/sidecar/downstream/frontend.py
@@ -19,7 +19,8 @@
     write_buffer_limit,
 )
 from sidecar.downstream.listener import Listener
-from sidecar.downstream.request import CHUNKED, BadRequest, Incoming, read_request
+from sidecar.downstream.request_parsing import CHUNKED, IncomingRequest, parse_request
+from sidecar.downstream.request_validation import InvalidRequest
 from sidecar.http import (
     CONTINUE,
     LAST_CHUNK,
@@ -389,7 +390,7 @@
         upload = Upload(length, self._hold, self._let_send)
         try:
             incoming = self._frontend.read(self._request, upload)
-        except BadRequest as fault:
+        except InvalidRequest as fault:
             self._reject(400, f"{fault}\n".encode())
             return
         first, self._body = bytes(self._body), bytearray()
@@ -452,7 +453,7 @@
             return
         try:
             incoming = self._frontend.read(self._request, bytes(self._body))
-        except BadRequest as fault:
+        except InvalidRequest as fault:
             self._reject(400, f"{fault}\n".encode())
             return
         # The client's time runs from when it sent the request, not from when that was read.
@@ -501,7 +502,7 @@
         settings: Settings,
         most: int,
         memory_mb: int,
-        on_arrival: Callable[[ClientSide, Incoming], int | None],
+        on_arrival: Callable[[ClientSide, IncomingRequest], int | None],
         on_complete: Callable[[int, int], None],
         on_gone: Callable[[int], None],
     ) -> None:
@@ -535,8 +536,8 @@
     def takes_clients(self) -> bool:
         return self._listener is not None and self._listener.is_open and not self.is_draining
 
-    def read(self, head: RequestHead, body: bytes | Upload) -> Incoming:
-        return read_request(head, body, self._classes, self._tenants)
+    def read(self, head: RequestHead, body: bytes | Upload) -> IncomingRequest:
+        return parse_request(head, body, self._classes, self._tenants)
 
     def drain(self) -> None:
         """Let go of connections at rest; every further answer closes its own."""
--- /dev/null
+++ b/sidecar/downstream/request_parsing.py
@@ -0,0 +1,125 @@
+"""Parses a client's request and rewrites its headers for a server.
+
+Pure, and compiled with the codec: it is on the path of every request.
+"""
+
+from __future__ import annotations
+
+import zlib
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from balancer.settings import ServiceClass
+from sidecar.downstream.body_streaming import Upload
+from sidecar.downstream.request_validation import (
+    InvalidRequest,
+    requested_class,
+    requested_timeout_us,
+    requested_work_us,
+    required_header,
+    validate_idempotency,
+    validate_request_id,
+)
+from sidecar.http import Headers, RequestHead
+from sidecar.upstream.http_exchange import OutgoingRequest
+
+CHUNKED = (b"transfer-encoding", b"chunked")
+
+_PROTOCOL_HEADERS = frozenset(
+    b"host request-id request-class tenant request-timeout client-retry work-hint idempotency-key".split()
+)
+# Headers that concern one connection only (RFC 9110, 7.6.1), and those that are written anew for the server.
+_NOT_FORWARDED = frozenset(
+    b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect"
+    b" request-timeout content-length".split()
+)
+_ALWAYS_FORWARDED = frozenset((b"host", b"request-id", b"idempotency-key"))  # even if `Connection` names them
+
+
+@dataclass(slots=True)
+class IncomingRequest:
+    """A client's request, parsed and validated."""
+
+    service_class: str
+    tenant: str | None
+    key: int | None
+    remaining_us: int
+    cost_us: int | None
+    is_client_retry: bool
+    method: bytes
+    target: bytes
+    headers: Headers  # as they are forwarded, without the time that is left
+    body: bytes
+    upload: Upload | None = None  # in place of the body, where that is streamed
+
+    def to_outgoing(self, time_left_us: int) -> OutgoingRequest:
+        """Return the request as it is written to a server that gets so much time."""
+        if self.upload is not None:
+            time_left_us = min(time_left_us, self.remaining_us)
+        timeout = (b"request-timeout", b"%.3f" % (time_left_us / 1e6))
+        return OutgoingRequest(self.method, self.target, [*self.headers, timeout], self.body, self.upload)
+
+
+def parse_request(
+    head: RequestHead,
+    body: bytes | Upload,
+    classes: Mapping[str, ServiceClass],
+    tenants: frozenset[str],
+) -> IncomingRequest:
+    """Validate a request and prepare it for forwarding; raise InvalidRequest on what no server must see."""
+    protocol_headers: dict[bytes, bytes] = {}
+    headers = _forwarded_headers(head, protocol_headers)
+    required_header(protocol_headers, b"host")  # optional in HTTP/1.0, but not towards servers
+    service_class = requested_class(protocol_headers, classes)
+    validate_request_id(protocol_headers)
+    remaining_us = requested_timeout_us(protocol_headers)
+    validate_idempotency(head, protocol_headers, service_class)
+    if not head.target.startswith(b"/"):
+        raise InvalidRequest("the target is no path")
+    cost_us = requested_work_us(protocol_headers)
+    length = len(body) if isinstance(body, bytes) else body.length
+    if length is None:
+        headers.append(CHUNKED)
+    elif length or head.method != b"GET":
+        headers.append((b"content-length", b"%d" % length))
+    tenant = protocol_headers.get(b"tenant", b"").decode("latin-1")
+    return IncomingRequest(
+        service_class=service_class.name,
+        tenant=tenant if tenant in tenants else None,
+        key=_affinity_key(head.target),
+        remaining_us=remaining_us,
+        cost_us=cost_us,
+        is_client_retry=protocol_headers.get(b"client-retry") == b"1",
+        method=head.method,
+        target=head.target,
+        headers=headers,
+        body=body if isinstance(body, bytes) else b"",
+        upload=body if isinstance(body, Upload) else None,
+    )
+
+
+def _forwarded_headers(head: RequestHead, protocol_headers: dict[bytes, bytes]) -> Headers:
+    """Return the headers that are forwarded as they are, and fill in those of the platform's protocol."""
+    headers: Headers = []
+    connection_options: set[bytes] = set()  # headers that `Connection` declares as of this connection only
+    for header in head.headers:
+        name, value = header
+        if name in _PROTOCOL_HEADERS:
+            if name in protocol_headers:
+                raise InvalidRequest(f"{name.decode()} stands twice")
+            protocol_headers[name] = value
+        if name not in _NOT_FORWARDED:
+            headers.append(header)
+        elif name == b"connection":
+            connection_options.update(token.strip().lower() for token in value.split(b","))
+    if not connection_options:
+        return headers
+    return [
+        header for header in headers if header[0] not in connection_options or header[0] in _ALWAYS_FORWARDED
+    ]
+
+
+def _affinity_key(target: bytes) -> int | None:
+    """Return a number for the resource, the same for all requests about it."""
+    resource = target.partition(b"?")[0].rpartition(b"/")[2]
+    return zlib.crc32(resource) if resource else None
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -53,7 +53,7 @@
 from sidecar.discovery.catalog import Listing
 from sidecar.downstream.frontend import ClientSide, Frontend
 from sidecar.downstream.listener import bound
-from sidecar.downstream.request import Incoming
+from sidecar.downstream.request_parsing import IncomingRequest
 from sidecar.handover import Handover
 from sidecar.http import Headers
 from sidecar.peers import Peers
@@ -94,7 +94,7 @@
 
     __slots__ = ("calls", "client", "incoming", "last_outcome", "out", "streaming")
 
-    def __init__(self, client: ClientSide, incoming: Incoming) -> None:
+    def __init__(self, client: ClientSide, incoming: IncomingRequest) -> None:
         self.client: ClientSide | None = client  # None: it has its answer, or left
         self.incoming = incoming
         self.calls: list[Attempt] = []
@@ -439,7 +439,7 @@
         self._upstream.listed(listing)
         self._post(listing.event())
 
-    def _arrived(self, client: ClientSide, incoming: Incoming) -> int | None:
+    def _arrived(self, client: ClientSide, incoming: IncomingRequest) -> int | None:
         most = self._settings.limits.max_open_requests
         now = self._clock.now()
         if self._stop_by is not None:
@@ -461,7 +461,7 @@
                 key=incoming.key,
                 remaining_us=incoming.remaining_us,
                 cost_us=incoming.cost_us,
-                is_client_retry=incoming.client_retry,
+                is_client_retry=incoming.is_client_retry,
                 is_write=incoming.method != b"GET",
                 is_body_streaming=incoming.upload is not None,
             )
@@ -585,7 +585,7 @@
             return held.client is not None and not held.client.has_left()
 
         call = Attempt(
-            action.server, action.deadline, held.incoming.message, done, begun, action.send_by, is_wanted
+            action.server, action.deadline, held.incoming.to_outgoing, done, begun, action.send_by, is_wanted
         )
         call.sent_at = sent_at
         held.calls.append(call)
