--- /dev/null
+++ b/sidecar/downstream/connection.py
@@ -0,0 +1,397 @@
+"""One client connection: reads requests, one at a time, and writes the response to each.
+
+Which connections are closed, and when, is decided by `Downstream`, which owns them all.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, cast
+
+from sidecar.downstream.body_streaming import Upload
+from sidecar.downstream.client_transport import ClientTransport
+from sidecar.downstream.connection_state import ConnectionState
+from sidecar.downstream.flow_control import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    STALL_TIMEOUT_S,
+    ReceiveProgress,
+)
+from sidecar.downstream.request_parsing import CHUNKED
+from sidecar.downstream.request_validation import InvalidRequest
+from sidecar.http import (
+    CONTINUE,
+    LAST_CHUNK,
+    Headers,
+    Malformed,
+    RequestHead,
+    RequestReader,
+    Signal,
+    chunk,
+    response_head,
+)
+from sidecar.roles import Source, Transport
+from sidecar.wire import Wire
+
+if TYPE_CHECKING:
+    from sidecar.downstream.downstream import Downstream
+
+_BODY_TIMEOUT_S = 2.7  # to send head and body, beyond the time that the body takes at the minimum rate
+_HEALTH_TARGET = b"/_health"
+_CONNECTION_CLOSE = (b"connection", b"close")
+
+
+class DownstreamConnection(ClientTransport):
+    """The protocol of one client connection."""
+
+    _owner: Downstream
+
+    def __init__(self, owner: Downstream) -> None:
+        super().__init__(owner)
+        self._reader = RequestReader()
+        self._head: RequestHead | None = None  # of the request that arrives or awaits its response
+        self._body = bytearray()
+        self._upload: Upload | None = None  # a streamed body that has not arrived completely
+        self.receiving = ReceiveProgress(0.0)
+        self._pending_request: int | None = None  # the number of the request that awaits its response
+        self._source: Source | None = None  # of the response that is being streamed
+        self._is_response_chunked = False
+        self._response_bytes_left: int | None = None  # None: its length is not known
+
+    # Called by the sidecar
+
+    def answer(self, status: int, headers: Headers, body: bytes) -> None:
+        """Write the response to the request that awaits it."""
+        self._pending_request = None
+        if self._upload is not None:
+            self._is_reading_ended = True  # the body is given up before its end
+            self._forget_upload()
+        if self._source is not None:
+            self.abort()  # a streamed response has begun
+            return
+        if self._transport is None or self._transport.is_closing():
+            return
+        is_last = self._is_last_response
+        if is_last:
+            headers = [*headers, _CONNECTION_CLOSE]
+        if self._head is not None and self._head.method == b"HEAD":
+            body = b""  # the method allows none, not even with an error
+        head = response_head(status, [*headers, (b"content-length", b"%d" % len(body))])
+        self._transport.write(head + body)
+        self._response_written(is_last)
+
+    def begin(self, headers: Headers, length: int | None, first: bytes, source: Source) -> bool:
+        """Write the beginning of a streamed response; return whether the client is still there."""
+        if self._transport is None or self._transport.is_closing():
+            return False
+        assert self._head is not None
+        is_framed = length is not None or not self._head.is_old
+        if self._is_last_response or not is_framed:
+            headers = [*headers, _CONNECTION_CLOSE]
+        if length is not None:
+            headers = [*headers, (b"content-length", b"%d" % length)]
+        elif is_framed:
+            headers = [*headers, CHUNKED]
+        self._enter(ConnectionState.STREAMING_RESPONSE)
+        self._is_response_chunked, self._response_bytes_left = is_framed and length is None, length
+        self._transport.set_write_buffer_limits(high=self._owner.write_buffer_bytes)
+        self._source = source
+        self._was_streamed = True
+        self._transport.write(response_head(200, headers))
+        if first and not self.write(first):
+            source.pause()
+        return True
+
+    def write(self, data: bytes) -> bool:
+        """Write a piece of a streamed response; return whether more may follow at once."""
+        if self._transport is None or self._source is None or self._transport.is_closing():
+            return True  # nobody reads it
+        if self._response_bytes_left is not None:
+            self._response_bytes_left -= len(data)
+        self._transport.write(chunk(data) if self._is_response_chunked else data)
+        return not self._is_writing_paused
+
+    def finish(self) -> None:
+        """End a streamed response; one that is shorter than announced aborts the connection."""
+        self._pending_request = self._source = None
+        if self._transport is None or self._transport.is_closing():
+            return
+        if self._response_bytes_left:
+            self.abort()
+            return
+        if self._is_response_chunked:
+            self._transport.write(LAST_CHUNK)
+        is_unframed = self._response_bytes_left is None and not self._is_response_chunked
+        self._response_written(self._is_last_response or is_unframed)
+
+    # Timeouts
+
+    def time_out(self, now: float) -> None:
+        """End the wait for a request, for the client to read its response, or for it to hang up."""
+        is_lingering = self.state is ConnectionState.LINGERING
+        if is_lingering and self.has_untaken_bytes and not self._is_not_taking(now):
+            self._owner.await_client(self)
+        elif self._is_reading_ended or self._is_writing_paused:
+            self.abort()
+        elif self._head is None and self._reader.is_between:
+            self.close_unused()
+        else:
+            self._reject(408)
+
+    def _reject(self, status: int, reason: bytes = b"") -> None:
+        """Answer what is no valid request, then hang up: nothing that follows may be taken for one."""
+        self._is_reading_ended = True
+        request, self._pending_request = self._pending_request, None
+        if request is not None:
+            self._owner.on_disconnect(request)  # its end is missing, or wrong
+        self.answer(status, [], reason)
+
+    # State, for the owner
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether closing it now loses no request, not even one that lies unread in the socket."""
+        if self._pending_request is not None or self._head is not None or self._is_reading_ended:
+            return False
+        return self._wire is not None and self._wire.is_quiet()
+
+    @property
+    def is_sending_body(self) -> bool:
+        """Whether the client is sending a body of which nothing was forwarded."""
+        is_reading = self.state is ConnectionState.READING and self._head is not None
+        return is_reading and not self._is_writing_paused
+
+    @property
+    def is_streaming_response(self) -> bool:
+        """Whether a streamed response is not completely written."""
+        if self._transport is None or not self._was_streamed:
+            return False
+        return self._source is not None or self._transport.get_write_buffer_size() > 0
+
+    def is_stalled(self, now: float) -> bool:
+        """Whether the client is too slow in sending a body, or in reading its response."""
+        if self._is_writing_paused:
+            return self._is_not_taking(now)
+        if not self._reader.is_in_body or self._is_reading_ended:
+            return False
+        if self.receiving.paused_since is not None:
+            # While nothing is read, no disconnect is seen either; an attempt should have ended by then.
+            return self.has_left() or now - self.receiving.paused_since > 2 * STALL_TIMEOUT_S
+        return self.receiving.lag_s(now) > _BODY_TIMEOUT_S
+
+    # Called by the event loop
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        # The event loop's own class is none of asyncio's, so there is nothing to check.
+        self._transport = cast(Transport, transport)
+        self.receiving.started_at = asyncio.get_running_loop().time()
+        self._wire = Wire(self._transport)
+        self._owner.add(self)
+
+    def data_received(self, data: bytes) -> None:
+        if self._is_reading_ended:
+            return
+        if self._pending_request is not None and self._upload is None:
+            # What comes beside a pending request is no request: the response to that one is the last.
+            self._is_reading_ended = True
+            return
+        if self._head is None:
+            if self.has_left():
+                self.abort()
+                return
+            if self._owner.mark_active(self):
+                self.receiving.started_at = asyncio.get_running_loop().time()
+            self._enter(ConnectionState.READING)
+        self._reader.receive(data)
+        self._read()
+
+    def resume_writing(self) -> None:
+        self._is_writing_paused = False
+        if self._transport is None or self._transport.is_closing():
+            return
+        if self.receiving.paused_since is None:
+            self._transport.resume_reading()
+        if self._source is not None:
+            self._source.resume()
+        elif self.state is ConnectionState.LINGERING:
+            self._owner.await_client(self)
+        elif not self._is_reading_ended:
+            self._owner.stop_awaiting(self)
+            if self._pending_request is None and self._head is None:
+                self._owner.mark_idle(self)
+            self._read()
+
+    def eof_received(self) -> None:
+        self._client_disconnected()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        self._client_disconnected()
+        self._enter(ConnectionState.CLOSED)
+        self._is_reading_ended = True
+        self._owner.remove(self)
+        if self._wire is not None:
+            self._wire.release()
+
+    def _client_disconnected(self) -> None:
+        self._forget_upload()
+        self._source = None
+        request, self._pending_request = self._pending_request, None
+        if request is not None:
+            self._owner.on_disconnect(request)
+
+    # Reading requests
+
+    def _read(self) -> None:
+        """Read on as far as what has arrived allows."""
+        while (self._pending_request is None or self._upload is not None) and not self._is_reading_ended:
+            if self._is_writing_paused:
+                return  # guards against a client that sends request after request and reads no response
+            try:
+                event = self._reader.next_event()
+            except Malformed as error:
+                self._reject(error.status, f"{error}\n".encode())
+                return
+            if isinstance(event, bytes):
+                self._body_received(event)
+            elif isinstance(event, RequestHead):
+                self._head_received(event)
+            elif event is Signal.END:
+                if self._upload is None:
+                    self._request_received()
+                else:
+                    self._upload_completed()
+            else:
+                return
+
+    def _head_received(self, head: RequestHead) -> None:
+        assert self._transport is not None
+        self._enter(ConnectionState.READING)
+        self._head = head
+        self.receiving.received_bytes = 0
+        self._was_streamed = False
+        if head.length == 0:
+            return
+        self._owner.watch_progress(self)
+        if head.length is not None and head.length > MAX_BODY_BYTES:
+            self._reject(413)
+            return
+        if head.length is not None and head.length > MAX_BUFFERED_BODY_BYTES:
+            self._start_upload(head.length)
+        if head.expects and not self._is_reading_ended and not self._reader.has_more:
+            self._transport.write(CONTINUE)
+
+    def _body_received(self, data: bytes) -> None:
+        self.receiving.received_bytes += len(data)
+        if self.receiving.received_bytes > MAX_BODY_BYTES:
+            self._reject(413)
+        elif self._upload is not None:
+            self._upload.feed(data)
+        else:
+            self._body += data
+            if len(self._body) > MAX_BUFFERED_BODY_BYTES:
+                self._start_upload(None)
+
+    def _request_received(self) -> None:
+        """Accept a request that has arrived completely, its body buffered."""
+        assert self._head is not None
+        if self._reader.has_more:
+            self._reject_pipelined()
+            return
+        self._owner.stop_awaiting(self)
+        if self._head.target == _HEALTH_TARGET:
+            self._answer_health_check()
+            return
+        if self._body and self.has_left():
+            self.abort()
+            return
+        try:
+            incoming = self._owner.parse(self._head, bytes(self._body))
+        except InvalidRequest as error:
+            self._reject(400, f"{error}\n".encode())
+            return
+        # The client's time runs from when it sent the request, not from when that was read.
+        assert self._wire is not None
+        incoming.remaining_us = max(incoming.remaining_us - self._wire.unread_us(), 1)
+        self._pending_request = self._owner.on_arrival(self, incoming)
+        if self._pending_request is not None:
+            self._enter(ConnectionState.AWAITING_RESPONSE)
+
+    def _reject_pipelined(self) -> None:
+        # Guards against bodies of another length than their head says: a client sends one request at a time.
+        self._reject(400, b"more came than one request\n")
+
+    def _answer_health_check(self) -> None:
+        if self._owner.is_evacuated:
+            self.answer(503, [], b"evacuated\n")
+        else:
+            self.answer(200, [], b"ready\n")
+
+    def _response_written(self, is_last: bool) -> None:
+        assert self._transport is not None
+        if not self._reader.is_reusable or is_last or self._is_reading_ended:
+            self._linger()
+            return
+        self._enter(ConnectionState.IDLE)
+        self._reader.start_next()
+        self._head = None
+        self._body = bytearray()
+        if not self._is_writing_paused:
+            self._owner.mark_idle(self)
+
+    @property
+    def _is_last_response(self) -> bool:
+        """Whether a response that is begun now ends the connection."""
+        if self._is_reading_ended or self._owner.is_draining or self._head is None:
+            return True
+        return not self._head.keeps_alive
+
+    # Streamed request bodies
+
+    def _start_upload(self, length: int | None) -> None:
+        """Accept a request whose body is too long to be buffered, before that has arrived completely."""
+        assert self._head is not None
+        upload = Upload(length, self._pause_upload, self._resume_upload)
+        try:
+            incoming = self._owner.parse(self._head, upload)
+        except InvalidRequest as error:
+            self._reject(400, f"{error}\n".encode())
+            return
+        buffered, self._body = bytes(self._body), bytearray()
+        self._upload = upload
+        if buffered:
+            upload.feed(buffered)
+        request = self._owner.on_arrival(self, incoming)
+        if self._upload is not None:  # else it was answered within that call
+            self._pending_request = request
+            self._enter(ConnectionState.AWAITING_RESPONSE)
+
+    def _upload_completed(self) -> None:
+        upload, self._upload = self._upload, None
+        assert upload is not None and self._pending_request is not None
+        if self._reader.has_more:
+            self._upload = upload
+            self._reject_pipelined()
+            return
+        self._owner.stop_awaiting(self)
+        self._resume_upload()
+        upload.end()
+        if self._pending_request is not None:
+            assert self._wire is not None
+            self._owner.on_complete(self._pending_request, self._wire.unread_us())
+
+    def _pause_upload(self) -> None:
+        """Read no more of the body for now: whoever it is forwarded to is slower."""
+        if self.receiving.paused_since is None and self._upload is not None and self._transport is not None:
+            self.receiving.paused_since = asyncio.get_running_loop().time()
+            self._transport.pause_reading()
+
+    def _resume_upload(self) -> None:
+        if self.receiving.paused_since is None or self._transport is None:
+            return
+        self.receiving.resume(asyncio.get_running_loop().time())
+        if not self._is_writing_paused and not self._transport.is_closing():
+            self._transport.resume_reading()
+
+    def _forget_upload(self) -> None:
+        self._upload = None
+        self._resume_upload()
--- /dev/null
+++ b/sidecar/downstream/downstream.py
@@ -0,0 +1,242 @@
+"""All client connections: their limit, which of them are closed and when, and draining."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from itertools import islice, takewhile
+
+from balancer.settings import Settings
+from sidecar.downstream.body_streaming import Upload
+from sidecar.downstream.client_transport import CLIENT_TIMEOUT_S
+from sidecar.downstream.connection import DownstreamConnection
+from sidecar.downstream.flow_control import write_buffer_limit
+from sidecar.downstream.listener import Listener
+from sidecar.downstream.request_parsing import IncomingRequest, parse_request
+from sidecar.http import RequestHead
+
+_FIRST_REQUEST_GRACE_S = 0.25  # a connection that waits longer for its request is closed before an idle one
+_MAX_CANDIDATES = 8  # connections of each kind that are considered for closing
+_IDLE_TIMEOUT_S = 60.0
+_SWEEP_INTERVAL_S = 0.25
+_STREAMING_SWEEP_INTERVAL_S = 0.1  # while bodies are sent or read
+
+
+class Downstream:
+    """The client connections, at most `max_connections` of them, and their listener.
+
+    Each connection is in at most one of three tables, the longest first: awaited (its client must act within
+    `CLIENT_TIMEOUT_S`), watched (its client sends or reads a body and must make progress) and idle.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        max_connections: int,
+        memory_mb: int,
+        on_arrival: Callable[[DownstreamConnection, IncomingRequest], int | None],
+        on_complete: Callable[[int, int], None],
+        on_disconnect: Callable[[int], None],
+    ) -> None:
+        """`on_arrival` returns the number of the accepted request, or None if it is answered already.
+
+        `on_complete` is given that number when the last byte of a streamed body has arrived, and how long
+        that lay unread in microseconds; `on_disconnect` when its client has left before the response.
+        """
+        self.write_buffer_bytes = write_buffer_limit(memory_mb, max_connections)
+        self.on_arrival = on_arrival
+        self.on_complete = on_complete
+        self.on_disconnect = on_disconnect
+        self.is_draining = False  # every further response closes its connection
+        self.is_evacuated = False  # and health checks tell clients to go elsewhere
+        self.last_opened = 0.0
+        self._classes = {service_class.name: service_class for service_class in settings.classes}
+        self._tenants = frozenset(tenant.name for tenant in settings.tenants)
+        self._max_connections = max_connections
+        self._connections: dict[DownstreamConnection, None] = {}  # a set in the order of insertion
+        self._idle_since: dict[DownstreamConnection, float] = {}
+        self._awaited_since: dict[DownstreamConnection, float] = {}
+        self._watched: dict[DownstreamConnection, None] = {}
+        self._sweep_timer: asyncio.TimerHandle | None = None
+        self._listener: Listener | None = None
+
+    # Called by the sidecar
+
+    def listen(self, listening: socket.socket) -> None:
+        """Accept connections from this socket."""
+        self._listener = Listener(listening, lambda: DownstreamConnection(self), self._make_room)
+
+    def stop_listening(self, *, accept_the_rest: bool = False) -> None:
+        """Accept no more; `accept_the_rest`: except for what the system has accepted already."""
+        if self._listener is not None:
+            self._listener.close(accept_the_rest=accept_the_rest)
+
+    def drain(self) -> None:
+        """Close idle connections; every further response closes its own."""
+        self.is_draining = True
+        self.close_idle()
+
+    def rejoin(self) -> None:
+        """Take clients again after a drain."""
+        self.is_draining = self.is_evacuated = False
+
+    def close_idle(self) -> None:
+        """Close what is idle, and what was opened a while ago and has brought no request.
+
+        One that was just opened is about to bring its request: its client may not have heard of the drain.
+        """
+        now = asyncio.get_running_loop().time()
+        unused = _older_than(self._awaited_since, now - _FIRST_REQUEST_GRACE_S)
+        for connection in [*self._idle_since, *unused]:
+            if connection.is_idle:
+                connection.close()
+
+    @property
+    def port(self) -> int:
+        """The port on which clients are accepted."""
+        assert self._listener is not None
+        return self._listener.port
+
+    @property
+    def takes_clients(self) -> bool:
+        """Whether new connections are accepted and kept open after their response."""
+        return self._listener is not None and self._listener.is_open and not self.is_draining
+
+    @property
+    def is_passing_on(self) -> bool:
+        """Whether a client is getting a streamed response."""
+        return any(connection.is_streaming_response for connection in self._connections)
+
+    @property
+    def open_connections(self) -> int:
+        """The number of connections."""
+        return len(self._connections)
+
+    @property
+    def is_deserted(self) -> bool:
+        """Whether there is no connection, nor one that is just being accepted."""
+        return not self._connections and (self._listener is None or not self._listener.being_accepted)
+
+    # Called by connections
+
+    def parse(self, head: RequestHead, body: bytes | Upload) -> IncomingRequest:
+        """Parse a request as the settings demand; raise InvalidRequest."""
+        return parse_request(head, body, self._classes, self._tenants)
+
+    def add(self, connection: DownstreamConnection) -> None:
+        """Take in a new connection, or close it where there is no room."""
+        self.last_opened = asyncio.get_running_loop().time()
+        if len(self._connections) >= self._max_connections and not self._make_room():
+            connection.close_unused()  # all others await a response
+            return
+        self._connections[connection] = None
+        self.await_client(connection)
+        self._schedule_sweep()
+
+    def remove(self, connection: DownstreamConnection) -> None:
+        """Forget a connection that is closed."""
+        self._connections.pop(connection, None)
+        self.stop_awaiting(connection)
+
+    def await_client(self, connection: DownstreamConnection) -> None:
+        """Give the client `CLIENT_TIMEOUT_S` from now to do what is expected of it."""
+        if connection in self._connections:
+            self.stop_awaiting(connection)
+            self._awaited_since[connection] = asyncio.get_running_loop().time()
+
+    def watch_progress(self, connection: DownstreamConnection) -> None:
+        """Give the client time for a body as long as it makes progress."""
+        if connection in self._connections:
+            self.stop_awaiting(connection)
+            self._watched[connection] = None
+
+    def stop_awaiting(self, connection: DownstreamConnection) -> None:
+        """Note that nothing is expected of the client."""
+        self._awaited_since.pop(connection, None)
+        self._watched.pop(connection, None)
+        self._idle_since.pop(connection, None)
+
+    def mark_idle(self, connection: DownstreamConnection) -> None:
+        """Note that the last request was answered, and nothing of another has arrived."""
+        if connection in self._connections:
+            self.stop_awaiting(connection)
+            self._idle_since[connection] = asyncio.get_running_loop().time()
+
+    def mark_active(self, connection: DownstreamConnection) -> bool:
+        """Await the rest of a request that begins to arrive; return whether the connection was idle."""
+        if self._idle_since.pop(connection, None) is None:
+            return False
+        self.await_client(connection)
+        return True
+
+    # Closing connections
+
+    def close_overdue(self, now: float) -> None:
+        """Close connections whose clients had their time, by the event loop's clock.
+
+        Guards against slow, silent and hung peers: each would hold a descriptor forever.
+        """
+        for connection in _older_than(self._awaited_since, now - CLIENT_TIMEOUT_S):
+            del self._awaited_since[connection]
+            connection.time_out(now)
+        for connection in [connection for connection in self._watched if connection.is_stalled(now)]:
+            self._watched.pop(connection, None)
+            connection.time_out(now)
+        for connection in _older_than(self._idle_since, now - _IDLE_TIMEOUT_S):
+            if connection.is_idle:
+                connection.close()
+
+    def _schedule_sweep(self) -> None:
+        if self._sweep_timer is None:
+            interval_s = _STREAMING_SWEEP_INTERVAL_S if self._watched else _SWEEP_INTERVAL_S
+            self._sweep_timer = asyncio.get_running_loop().call_later(interval_s, self._sweep)
+
+    def _sweep(self) -> None:
+        self._sweep_timer = None
+        self.close_overdue(asyncio.get_running_loop().time())
+        if self._connections:
+            self._schedule_sweep()
+
+    def _make_room(self) -> bool:
+        """Close one connection that loses no request by it; return whether there was one.
+
+        Few are considered: with all of them polled for each new one, a rush of connections would leave no
+        time to answer anybody.
+        """
+        awaited = next(
+            (
+                connection
+                for connection in islice(self._awaited_since, _MAX_CANDIDATES)
+                if not connection.has_untaken_bytes
+            ),
+            None,
+        )
+        is_late = (
+            awaited is not None and self.last_opened - self._awaited_since[awaited] > _FIRST_REQUEST_GRACE_S
+        )
+        idle = next(
+            (connection for connection in islice(self._idle_since, _MAX_CANDIDATES) if connection.is_idle),
+            None,
+        )
+        candidate = awaited if is_late else idle or awaited or self._slowest_sender()
+        if candidate is None:
+            return False
+        if candidate is idle:
+            candidate.close_unused()
+        else:
+            candidate.abort()  # it may hold what its client does not read
+        self.remove(candidate)
+        return True
+
+    def _slowest_sender(self) -> DownstreamConnection | None:
+        """Return the connection whose client is furthest behind in sending a buffered body."""
+        senders = [
+            connection for connection in islice(self._watched, _MAX_CANDIDATES) if connection.is_sending_body
+        ]
+        return max(senders, key=lambda connection: connection.receiving.lag_s(self.last_opened), default=None)
+
+
+def _older_than(since: dict[DownstreamConnection, float], time: float) -> list[DownstreamConnection]:
+    """Return the connections that have been in a table since that time or before, the longest first."""
+    return list(takewhile(lambda connection: since[connection] <= time, since))
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -51,7 +51,8 @@
 from sidecar.console import MOST_CALLERS, Console
 from sidecar.discovery import discovery
 from sidecar.discovery.catalog import Listing
-from sidecar.downstream.frontend import ClientSide, Frontend
+from sidecar.downstream.connection import DownstreamConnection
+from sidecar.downstream.downstream import Downstream
 from sidecar.downstream.listener import bound
 from sidecar.downstream.request_parsing import IncomingRequest
 from sidecar.handover import Handover
@@ -94,8 +95,8 @@
 
     __slots__ = ("calls", "client", "incoming", "last_outcome", "out", "streaming")
 
-    def __init__(self, client: ClientSide, incoming: IncomingRequest) -> None:
-        self.client: ClientSide | None = client  # None: it has its answer, or left
+    def __init__(self, client: DownstreamConnection, incoming: IncomingRequest) -> None:
+        self.client: DownstreamConnection | None = client  # None: it has its answer, or left
         self.incoming = incoming
         self.calls: list[Attempt] = []
         self.out = 0
@@ -133,7 +134,7 @@
         self._is_alone = self._presence is None or self._presence.is_alone()
         for_clients, for_servers = self._shares()
         memory_mb = config.memory_mb // 2 if held is not None else config.memory_mb
-        self.frontend = Frontend(
+        self.frontend = Downstream(
             config.settings, for_clients, memory_mb, self._arrived, self._completed, self._gone
         )
         limits, written = config.settings.limits, self._telemetry.attempted
@@ -439,7 +440,7 @@
         self._upstream.listed(listing)
         self._post(listing.event())
 
-    def _arrived(self, client: ClientSide, incoming: IncomingRequest) -> int | None:
+    def _arrived(self, client: DownstreamConnection, incoming: IncomingRequest) -> int | None:
         most = self._settings.limits.max_open_requests
         now = self._clock.now()
         if self._stop_by is not None:
@@ -633,7 +634,7 @@
             client.answer(status, headers, body)
         self._forget_if_over(request)
 
-    def _settle(self, request: int) -> ClientSide | None:
+    def _settle(self, request: int) -> DownstreamConnection | None:
         """Nothing is owed from here on; give the client if something was."""
         held = self._open.get(request)
         if held is None or held.client is None:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -13,8 +13,8 @@
 from loopback import ERROR, HOST, OK, Heard, ScriptedServer, Stage, play, request, soon, stage, until
 from test_program import GOOD, program, started
 
+from sidecar.downstream.connection import DownstreamConnection
 from sidecar.downstream.connection_state import TRANSITIONS, ConnectionState
-from sidecar.downstream.frontend import ClientSide
 
 
 class Raw:
@@ -101,7 +101,7 @@
         async with stage(OK) as scene:
             raw = Raw(scene.sidecar.frontend.port)
             raw.send(request("lodge"))
-            await until(lambda: len(scene.sidecar.frontend._at_rest) == 1)
+            await until(lambda: len(scene.sidecar.frontend._idle_since) == 1)
             if why == "drain":
                 scene.sidecar.frontend.drain()
             elif why == "evacuation":
@@ -156,10 +156,10 @@
             )
             (connection,) = scene.sidecar.frontend._connections
             now, got, steps = asyncio.get_running_loop().time(), b"", 0
-            while before := connection._unread_bytes():
-                while connection._unread_bytes() >= before:
+            while before := connection._untaken_bytes():
+                while connection._untaken_bytes() >= before:
                     got += await soon(asyncio.get_running_loop().sock_recv(raw.socket, 2_048))
-                if not connection._unread_bytes():
+                if not connection._untaken_bytes():
                     break  # all is with its machine: nothing can cut it any more
                 now += 2.5  # it has taken some, so it may go on
                 scene.sidecar.frontend.close_overdue(now)
@@ -178,7 +178,7 @@
         body = b"x" * 65_000
         limits = {"limits": {"sockets": 72}}
         async with stage(b"HTTP/1.1 200 OK\r\nContent-Length: 65000\r\n\r\n" + body, given=limits) as scene:
-            most = scene.sidecar.frontend._most
+            most = scene.sidecar.frontend._max_connections
             slow = socket.socket()
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             slow.connect((HOST, scene.sidecar.frontend.port))
@@ -191,12 +191,12 @@
                 )
             )
             (connection,) = scene.sidecar.frontend._connections
-            assert connection.is_taking
+            assert connection.has_untaken_bytes
             silent = [Raw(scene.sidecar.frontend.port) for _ in range(most - 1)]
             await until(lambda: scene.sidecar.frontend.open_connections == most)
-            scene.sidecar.frontend._waiting[connection] -= 10.0  # it waits for longest
-            for each in scene.sidecar.frontend._waiting:
-                scene.sidecar.frontend._waiting[each] -= 1.0
+            scene.sidecar.frontend._awaited_since[connection] -= 10.0  # it waits for longest
+            for each in scene.sidecar.frontend._awaited_since:
+                scene.sidecar.frontend._awaited_since[each] -= 1.0
             newcomer = await scene.client()
             newcomer.send(request("lodge"))
             await until(lambda: len(scene.heard) == 2)
@@ -264,7 +264,9 @@
             client = await scene.client()
             whole = request("lodge", body=b"x" * 30_000)
             client.send(whole[:-20_000])
-            await until(lambda: [each.is_sending for each in scene.sidecar.frontend._connections] == [True])
+            await until(
+                lambda: [each.is_sending_body for each in scene.sidecar.frontend._connections] == [True]
+            )
             scene.sidecar.frontend.drain()
             if ends:
                 client.send(whole[-20_000:])
@@ -386,7 +388,7 @@
     assert all(ConnectionState.CLOSED in TRANSITIONS[state] for state in open_states)
     # Nothing is read as a request after our side has ended.
     assert TRANSITIONS[ConnectionState.LINGERING] == {ConnectionState.CLOSED}
-    side = ClientSide(None)  # type: ignore[arg-type]
+    side = DownstreamConnection(None)  # type: ignore[arg-type]
     side._enter(ConnectionState.LINGERING)
     with pytest.raises(AssertionError):
         side._enter(ConnectionState.READING)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,7 +17,7 @@
 import pytest
 from loopback import ERROR, FULL, HOST, OK, Heard, Stage, line, play, request, stage, until
 
-from sidecar.downstream.frontend import ClientSide
+from sidecar.downstream.connection import DownstreamConnection
 from sidecar.upstream.attempt import Attempt
 from sidecar.upstream.http_exchange import UpstreamConnection
 from sidecar.upstream.upstream import Upstream
@@ -290,13 +290,13 @@
 def test_every_state_of_a_connection_is_met_in_such_plays(monkeypatch: pytest.MonkeyPatch) -> None:
     """The plays above would prove little of a table of which they see a corner."""
     seen: set[tuple[str, str]] = set()
-    plain = ClientSide._enter
+    plain = DownstreamConnection._enter
 
-    def enter(self: ClientSide, state: Any) -> None:
+    def enter(self: DownstreamConnection, state: Any) -> None:
         seen.add((self.state.value, state.value))
         plain(self, state)
 
-    monkeypatch.setattr(ClientSide, "_enter", enter)
+    monkeypatch.setattr(DownstreamConnection, "_enter", enter)
     for seed in (0, 1, 2):
         test_in_any_order_each_request_has_one_answer_and_nothing_is_left(seed, monkeypatch)
     wanted = {
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -34,16 +34,16 @@
             port = int(scene.discovery.address.rpartition(":")[2])
             scene.discovery.stop()
             idle = []
-            for _ in range(3 * frontend._most):
+            for _ in range(3 * frontend._max_connections):
                 idle.append(socket.create_connection((HOST, frontend.port)))
                 idle[-1].sendall(sent)
                 await asyncio.sleep(0)
-            await until(lambda: frontend.open_connections == frontend._most)
+            await until(lambda: frontend.open_connections == frontend._max_connections)
             assert (await scene.ask("lodge")).status == 200  # a server is dialled, a newcomer is served
             scene.discovery.servers = [line("s-1", scene.servers[1].address)]
             await scene.discovery.start(port)
             await until(lambda: scene.sidecar._balancer.members()[0] == 1)  # the list is heard again
-            assert frontend.open_connections <= frontend._most
+            assert frontend.open_connections <= frontend._max_connections
             assert (await scene.ask("lodge")).status == 200
             for each in idle:
                 each.close()
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -10,7 +10,7 @@
 import pytest
 from loopback import HOST, OK, Heard, play, request, soon, stage, until
 
-from sidecar.downstream import frontend
+from sidecar.downstream import connection
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("form", ["length", "chunked"])
 def test_a_body_over_the_longest_gets_413(form: str, monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against a reset that takes the answer with it, when the client is still sending.
-    monkeypatch.setattr(frontend, "MAX_BODY_BYTES", 150_000)
+    monkeypatch.setattr(connection, "MAX_BODY_BYTES", 150_000)
 
     async def work() -> None:
         async with stage(OK) as scene:
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -284,7 +284,11 @@
             await until(lambda: len(scene.discovery.heard) >= 3)
             client = await scene.client()
             client.send(request("lodge", timeout="50", body=b"x" * 70_000, Content_Length="200000"))
-            await until(lambda: [each._held_since for each in scene.sidecar.frontend._connections] != [None])
+            await until(
+                lambda: (
+                    [each.receiving.paused_since for each in scene.sidecar.frontend._connections] != [None]
+                )
+            )
             client.close()
             await until(lambda: at_the_sidecar(scene) == 0)
             await nothing_was_written(scene, slow)
--- a/tests/test_module_sizes.py
+++ b/tests/test_module_sizes.py
@@ -10,7 +10,6 @@
 # Modules still to be split, with the most lines that each may have.  Lower a number when a module shrinks.
 EXCEPTIONS = {
     "balancer/balancer.py": 1_385,
-    "sidecar/downstream/frontend.py": 685,
     "sidecar/sidecar.py": 651,
     "tests/test_draw.py": 756,
     "tests/test_rules.py": 535,
--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -106,8 +106,8 @@
             client.send(request("check", timeout="5"))
             await until(lambda: any(side._is_writing_paused for side in scene.sidecar.frontend._connections))
             (side,) = scene.sidecar.frontend._connections
-            assert side._transport is not None
-            assert side._transport.get_write_buffer_size() <= scene.sidecar.frontend.part + 2 * (1 << 16)
+            limit = scene.sidecar.frontend.write_buffer_bytes + 2 * (1 << 16)
+            assert side._transport is not None and side._transport.get_write_buffer_size() <= limit
             assert sent < 32 << 20
             await soon(read_head(client.reader))
             assert len(await soon(client.reader.readexactly(32 << 20))) == 32 << 20
