--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -1,6 +1,6 @@
 """Starts a sidecar: `python -m sidecar`.
 
-Exit codes: 0 after SIGTERM or SIGINT, 1 if it can't listen, 2 if its configuration is bad.
+Exit codes: 0 after SIGTERM or SIGINT, 1 if it can't listen, 2 if its configuration is invalid.
 """
 
 from __future__ import annotations
@@ -17,81 +17,75 @@
 from sidecar.configuration import Configuration, ConfigurationError, load
 from sidecar.configuration_reload import ConfigurationReloader
 from sidecar.downstream.listener import inherited
+from sidecar.log_events import (
+    AdminInterfaceListening,
+    ConfigurationInvalid,
+    EventLog,
+    InternalError,
+    ListenFailed,
+    Listening,
+    ShutdownCompleted,
+    ShutdownStarted,
+)
+from sidecar.log_writer import LogWriter
 from sidecar.sidecar import Sidecar
 
-_LINES_PER_S = 20.0
-_LINES_AT_ONCE = 200.0
+_EXIT_LISTEN_FAILED = 1
+_EXIT_CONFIGURATION_INVALID = 2
 
 
-class LineLog:
-    """Writes lines to standard error, not more than so many a second: a log must not fill a disk."""
-
-    def __init__(self) -> None:
-        self._allowance = _LINES_AT_ONCE
-        self._at = 0.0
-        self._left_out = 0
-
-    def __call__(self, text: str) -> None:
-        now = asyncio.get_running_loop().time()
-        self._allowance = min(self._allowance + (now - self._at) * _LINES_PER_S, _LINES_AT_ONCE)
-        self._at = now
-        if self._allowance < 1.0:
-            self._left_out += 1
-            return
-        self._allowance -= 1.0
-        if self._left_out:
-            print(f"left out {self._left_out} lines", file=sys.stderr)
-            self._left_out = 0
-        print(text, file=sys.stderr, flush=True)
-
-
-def listening(config: Configuration) -> socket.socket | None:
-    """The clients' listening socket, where the platform holds it; raise ConfigurationError if it is none."""
-    if config.listen_descriptor is None:
+def inherited_listener(configuration: Configuration) -> socket.socket | None:
+    """Return the listening socket that the platform holds, if any; raise ConfigurationError if it is none."""
+    if configuration.listen_descriptor is None:
         return None
     try:
-        return inherited(config.listen_descriptor)
-    except ValueError as nonsense:
-        raise ConfigurationError(f"BALANCER_SOCKET_FD: {nonsense}") from None
+        return inherited(configuration.listen_descriptor)
+    except ValueError as error:
+        raise ConfigurationError(f"BALANCER_SOCKET_FD: {error}") from None
 
 
-async def serve(config: Configuration, held: socket.socket | None) -> None:
-    """Run until SIGTERM or SIGINT, then drain; SIGHUP reads the configuration again."""
-    log = LineLog()
-    stop = asyncio.Event()
+async def serve(configuration: Configuration, listener: socket.socket | None) -> None:
+    """Run until SIGTERM or SIGINT, then shut down gracefully; SIGHUP reloads the configuration."""
+    log = LogWriter()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     loop.set_exception_handler(
-        lambda _, what: log(f"internal error: {what['message']}: {what.get('exception')!r}")
+        lambda _, context: log(InternalError(context["message"], context.get("exception")))
     )
-    sidecar = Sidecar(config, log, held)
+    sidecar = Sidecar(configuration, log, listener)
     reloader = ConfigurationReloader(sidecar, log, os.environ)
     sidecar.on_newer = reloader.reload_if_newer
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     await sidecar.start()
-    if sidecar.admin_interface is not None and config.admin_address is not None:
-        log(f"the operators' door is at {config.admin_address[0]}:{sidecar.admin_interface.port}")
-    log(f"{config.name} serves on {config.listen_address[0]}:{sidecar.frontend.port}")
-    gc.freeze()  # what is there now stays: collections need not look at it
-    await stop.wait()
-    log("draining")
+    _log_addresses(configuration, sidecar, log)
+    gc.freeze()  # what exists now lives as long as the process: garbage collections need not scan it
+    await stop_requested.wait()
+    log(ShutdownStarted())
     await sidecar.drain()
-    log("drained")
+    log(ShutdownCompleted())
+
+
+def _log_addresses(configuration: Configuration, sidecar: Sidecar, log: EventLog) -> None:
+    if sidecar.admin_interface is not None and configuration.admin_address is not None:
+        log(AdminInterfaceListening(configuration.admin_address[0], sidecar.admin_interface.port))
+    log(Listening(configuration.name, configuration.listen_address[0], sidecar.frontend.port))
 
 
 def main() -> int:
+    """Run a sidecar as the environment says; return the exit code."""
     try:
-        config = load(os.environ)
-        held = listening(config)
-    except ConfigurationError as fault:
-        print(f"sidecar: config: {fault}".replace("\n", " "), file=sys.stderr)
-        return 2
+        configuration = load(os.environ)
+        listener = inherited_listener(configuration)
+    except ConfigurationError as error:
+        print(ConfigurationInvalid(str(error)), file=sys.stderr)
+        return _EXIT_CONFIGURATION_INVALID
     try:
-        uvloop.run(serve(config, held))
-    except OSError as fault:
-        print(f"sidecar: can't listen: {fault}", file=sys.stderr)
-        return 1
+        uvloop.run(serve(configuration, listener))
+    except OSError as error:
+        print(ListenFailed(str(error)), file=sys.stderr)
+        return _EXIT_LISTEN_FAILED
     return 0
 
 
--- a/sidecar/configuration_reload.py
+++ b/sidecar/configuration_reload.py
@@ -5,17 +5,18 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from zlib import crc32
 
 from sidecar.configuration import Configuration, ConfigurationError, load, read_file
+from sidecar.log_events import ConfigurationRejected, ConfigurationReloaded, EventLog, RestartRequired
 from sidecar.sidecar import Sidecar
 
 
 class ConfigurationReloader:
     """Applies the configuration file to a running sidecar."""
 
-    def __init__(self, sidecar: Sidecar, log: Callable[[str], None], environment: Mapping[str, str]) -> None:
+    def __init__(self, sidecar: Sidecar, log: EventLog, environment: Mapping[str, str]) -> None:
         self._sidecar = sidecar
         self._log = log
         self._environment = environment
@@ -47,10 +48,9 @@
     def _apply(self, configuration: Configuration) -> None:
         unchanged_keys = self._sidecar.reconfigure(configuration)
         if unchanged_keys:
-            self._log(f"left as it was until a restart: {', '.join(unchanged_keys)}")
+            self._log(RestartRequired(tuple(unchanged_keys)))
         host, port = configuration.discovery_address
-        version = "" if self._sidecar.version is None else f", version {self._sidecar.version}"
-        self._log(f"re-read the configuration: discovery is at {host}:{port}{version}")
+        self._log(ConfigurationReloaded(host, port, self._sidecar.version))
 
     def _log_rejection(self, error: ConfigurationError) -> None:
-        self._log(f"kept the configuration: {error}".replace("\n", " "))
+        self._log(ConfigurationRejected(str(error)))
--- a/sidecar/members.py
+++ b/sidecar/members.py
@@ -16,6 +16,13 @@
 from sidecar.cluster.message import State
 from sidecar.cluster.settings import MembershipSettings
 from sidecar.cluster.view import Action, Datagram, Doubled, News, Size, Slept, Wake
+from sidecar.log_events import (
+    EventLog,
+    InternalError,
+    MemberNumberConflict,
+    MembershipChanged,
+    ProcessStalled,
+)
 from sidecar.peers import Peers
 
 _SAY_EVERY_S = 1.0  # what changed is told in one line, at most so often
@@ -36,7 +43,7 @@
         seed: int,
         clock: Clock,
         peers: Peers,
-        log: Callable[[str], None],
+        log: EventLog,
         on_size: Callable[[Size], None],
     ) -> None:
         """`on_size` hears the tier's size after each event, whether it changed or not."""
@@ -131,7 +138,7 @@
             membership.worked(now, requests)
             self._carry_out(event(membership, now))
         except Exception as fault:
-            self._log(f"internal error: {fault!r} (membership)")
+            self._log(InternalError("membership", fault))
             if not self._alarm.is_set:
                 self._alarm.at(now + _AGAIN_US)
 
@@ -145,9 +152,9 @@
                 case News():
                     self._changed(f"{action.member} {action.state.name.lower()} (by {action.by})")
                 case Doubled():
-                    self._log(f"another process claims this sidecar's number {action.member}: look for it")
+                    self._log(MemberNumberConflict(action.member))
                 case Slept():
-                    self._log(f"stood still for {action.late_us / 1e6:.1f} s: doubts its own sight for now")
+                    self._log(ProcessStalled(action.late_us / 1e6))
         if self.membership is not None and self._informs:
             self._on_size(self.membership.size())
 
@@ -173,4 +180,4 @@
             if getattr(size, name):
                 counted += f", {getattr(size, name)} {name}"
         minority = "; this copy sees half or fewer" if size.in_minority else ""
-        self._log(f"members: {counted}{minority}: {named}{more}")
+        self._log(MembershipChanged(f"{counted}{minority}", f"{named}{more}"))
--- a/sidecar/persisted_exclusions.py
+++ b/sidecar/persisted_exclusions.py
@@ -16,6 +16,7 @@
 from pathlib import Path
 
 from sidecar.errors import SidecarError
+from sidecar.log_events import EventLog, ExclusionsFileIgnored, ExclusionsFileNotWritten
 
 _FILE_NAME = "excluded.json"
 _MAX_FILE_BYTES = 1 << 20
@@ -30,7 +31,7 @@
 class PersistedExclusions:
     """The file of excluded servers, as seen by one of the processes that share it."""
 
-    def __init__(self, directory: Path, log: Callable[[str], None]) -> None:
+    def __init__(self, directory: Path, log: EventLog) -> None:
         """`directory` is shared by all processes of this sidecar."""
         self._path = directory / _FILE_NAME
         self._log = log
@@ -48,7 +49,7 @@
         except FileNotFoundError:
             return None
         except (OSError, ValueError, RecursionError, ExclusionsFileError) as error:
-            self._log(f"ignored the file of excluded servers: {error}".replace("\n", " "))
+            self._log(ExclusionsFileIgnored(str(error)))
             return None
 
     def record(self, server: str, is_excluded: bool, known_exclusions: frozenset[str]) -> None:
@@ -64,7 +65,7 @@
                 excluded = known_exclusions if stored is None else stored
                 self._replace(excluded | {server} if is_excluded else excluded - {server})
         except OSError as error:
-            self._log(f"could not write the file of excluded servers: {error}")
+            self._log(ExclusionsFileNotWritten(str(error)))
 
     def watch(self, on_change: Callable[[frozenset[str]], None]) -> None:
         """Start polling for changes by another process; `on_change` is called with all excluded servers."""
--- a/sidecar/process_lock.py
+++ b/sidecar/process_lock.py
@@ -8,9 +8,10 @@
 
 import fcntl
 import os
-from collections.abc import Callable
 from pathlib import Path
 
+from sidecar.log_events import EventLog, ProcessLockFailed
+
 _LOCK_PREFIX = "alive."
 _NO_DESCRIPTOR = -1
 
@@ -18,7 +19,7 @@
 class ProcessLock:
     """The lock file of this process, and a check of those of others."""
 
-    def __init__(self, directory: Path, log: Callable[[str], None], name: str | None = None) -> None:
+    def __init__(self, directory: Path, log: EventLog, name: str | None = None) -> None:
         """Take the lock; a failure is logged.  `name` identifies this process, by default its process id."""
         self._directory = directory
         self._path = directory / f"{_LOCK_PREFIX}{name or os.getpid()}"
@@ -30,7 +31,7 @@
             fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             new_path.rename(self._path)
         except OSError as error:
-            log(f"could not mark this process as alive: {error}")
+            log(ProcessLockFailed(str(error)))
 
     def is_alone(self) -> bool:
         """Return whether no other process is alive; assumed where that can't be determined."""
--- a/sidecar/rollout.py
+++ b/sidecar/rollout.py
@@ -16,6 +16,16 @@
 from sidecar.cluster.table import Table
 from sidecar.cluster.view import Datagram, Wake
 from sidecar.configuration import Configuration
+from sidecar.log_events import (
+    ConfigurationConflict,
+    ConfigurationInForceEverywhere,
+    ConfigurationMissing,
+    ConfigurationNotEverywhere,
+    ConfigurationWithdrawn,
+    EventLog,
+    InternalError,
+    LogEvent,
+)
 from sidecar.peers import Peers
 
 _LINES_PER_S = 0.1  # whatever others say, the log is filled no faster; ...
@@ -33,7 +43,7 @@
         seed: int,
         clock: Clock,
         peers: Peers,
-        log: Callable[[str], None],
+        log: EventLog,
         look: Callable[[], None],
     ) -> None:
         """`look` reads the file again, and brings back what it holds through `configure`."""
@@ -135,7 +145,7 @@
         try:
             self._carry_out(event(rollout, now))
         except Exception as fault:
-            self._log(f"internal error: {fault!r} (versions)")
+            self._log(InternalError("configuration versions", fault))
             if not self._alarm.is_set:
                 self._alarm.at(now + _AGAIN_US)
 
@@ -157,33 +167,32 @@
         self._lines = min(self._lines + passed_s * _LINES_PER_S, _LINES_AT_ONCE)
         if self._lines >= 1.0:
             self._lines -= 1.0
-            self._log(_worded(what))
+            self._log(_log_event(what))
 
 
-def _worded(what: Settled | Ambiguous | Missing | Forgotten) -> str:
-    match what:
+def _log_event(step: Settled | Ambiguous | Missing | Forgotten) -> LogEvent:
+    match step:
         case Settled(after_us, answer):
             return _settled(after_us / 1e6, answer)
         case Ambiguous(version, low, high):
-            return f"configuration: two contents go by version {version}: digests {low:08x} and {high:08x}"
+            return ConfigurationConflict(version, low, high)
         case Missing(version, by, after_us):
-            told = f"configuration: version {version}, first said by {by}, is not in the file of this sidecar"
-            return f"{told} after {after_us / 1e6:.0f} s: it looks once a minute from now on"
+            return ConfigurationMissing(version, by, after_us / 1e6)
         case Forgotten(version, by):
-            return f"configuration: version {version}, first said by {by}, is in force nowhere any more"
+            return ConfigurationWithdrawn(version, by)
 
 
-def _settled(after_s: float, answer: Answer) -> str:
-    version, counted = f"configuration: version {answer.version}", f"{answer.count} of {answer.asked}"
+def _settled(after_s: float, answer: Answer) -> LogEvent:
     if answer.everywhere:
-        return f"{version} in force here; everywhere after {after_s:.1f} s ({counted})"
-    behind = _named("behind", answer.behind, answer.behind_count)
-    unheard = _named("unheard", answer.unheard, answer.unheard_count)
-    return f"{version} not known to be everywhere after {after_s:.1f} s ({counted}){behind}{unheard}"
+        return ConfigurationInForceEverywhere(answer.version, after_s, answer.count, answer.asked)
+    behind = _members(answer.behind, answer.behind_count)
+    unheard = _members(answer.unheard, answer.unheard_count)
+    return ConfigurationNotEverywhere(answer.version, after_s, answer.count, answer.asked, behind, unheard)
 
 
-def _named(what: str, members: tuple[int, ...], count: int) -> str:
+def _members(members: tuple[int, ...], count: int) -> str:
+    """Name members by number; `count` of them, of which not all may be listed."""
     if not count:
-        return ""
+        return "none"
     more = f" and {count - len(members)} more" if count > len(members) else ""
-    return f"; {what}: {', '.join(map(str, members))}{more}"
+    return f"{', '.join(map(str, members))}{more}"
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -45,6 +45,7 @@
     TimerFired,
 )
 from balancer.settings import DiscoveryMode, LoadReportSource
+from sidecar import log_events
 from sidecar.admin_interface import MAX_CONNECTIONS, AdminInterface
 from sidecar.clock import Clock
 from sidecar.configuration import Configuration, ConfigurationError
@@ -55,7 +56,7 @@
 from sidecar.downstream.request import Incoming
 from sidecar.http import Headers
 from sidecar.metrics import Metrics
-from sidecar.peers import Peers
+from sidecar.peers import MOST_BYTES, Peers
 from sidecar.persisted_exclusions import PersistedExclusions
 from sidecar.process_lock import ProcessLock
 from sidecar.roles import Sink
@@ -101,7 +102,7 @@
     """One sidecar from its start to its end."""
 
     def __init__(
-        self, config: Configuration, log: Callable[[str], None], held: socket.socket | None = None
+        self, config: Configuration, log: log_events.EventLog, held: socket.socket | None = None
     ) -> None:
         """`held` is the clients' listening socket, where the platform holds it for all processes."""
         self._config = config
@@ -123,7 +124,6 @@
         self._exclusions_file = PersistedExclusions(folder, log) if is_operated and folder else None
         self._process_lock = ProcessLock(folder, log) if held is not None and folder is not None else None
         self._looking: asyncio.TimerHandle | None = None
-        # At an upgrade two processes are one sidecar, and have its descriptors together.
         self._is_alone = self._process_lock is None or self._process_lock.is_alone()
         for_clients, for_servers = self._shares()
         memory_mb = config.memory_mb // 2 if held is not None else config.memory_mb
@@ -151,8 +151,7 @@
         self._told_size: ClusterSizeChanged | None = None
         self._members: Members | None = None  # None: the others are not kept track of
         self._versions: Versions | None = None  # None: versions of the configuration are not compared
-        # Called when another has a newer version: the file has to be read again, as at SIGHUP.
-        self.on_newer: Callable[[], None] = lambda: None
+        self.on_newer: Callable[[], None] = lambda: None  # another sidecar has a newer version
 
     def _shares(self) -> tuple[int, int]:
         """How many connections this process may have to clients and to servers.
@@ -197,7 +196,7 @@
         try:
             await self._peers.listen(address, shared=self._held is not None)
         except OSError as fault:
-            self._log(f"can't hear other sidecars: {fault}")
+            self._log(log_events.PeerListenFailed(str(fault)))
         else:
             self._keep_track(self._config.membership)
             self._compare_versions(self._config)
@@ -235,7 +234,8 @@
             # Not at the top: what it needs takes 2 MB, which a sidecar without it need not have.
             from sidecar.members import Members
 
-            me, log, own = self._settings.instance_index, self._log, self._config
+            me, own = self._settings.instance_index, self._config
+            log = self._log
             self._members = Members(
                 me, own.cluster, own.seed, self._clock, self._peers, log, self._tier_sized
             )
@@ -384,7 +384,7 @@
             return False
         self.frontend.is_evacuated = True
         self.frontend.drain()
-        self._log("evacuated: clients are sent away")
+        self._log(log_events.ClientsDrained())
         return True
 
     def resume_clients(self) -> bool:
@@ -392,7 +392,7 @@
         if self._stop_by is not None:
             return False
         self.frontend.rejoin()
-        self._log("rejoined: clients are taken again")
+        self._log(log_events.ClientsResumed())
         return True
 
     # Events
@@ -420,7 +420,7 @@
 
     def _defect(self, event: Event, fault: Exception) -> None:
         """Live on after a defect in the decisions, and owe nobody an answer because of it."""
-        self._log(f"internal error: {type(event).__name__}: {fault!r}")
+        self._log(log_events.InternalError(type(event).__name__, fault))
         if isinstance(event, (RequestArrived, AttemptEnded)):
             self._answer(event.request, 500, [])
 
@@ -562,9 +562,9 @@
                 self._probe(action.server)
             case SendPeerMessage():
                 if not self._peers.tell(action.receiver, action.payload):
-                    self._log("a message to other sidecars could not be sent")
+                    self._log(log_events.PeerMessageNotSent(MOST_BYTES))
             case Log():
-                self._log(action.text)
+                self._log(log_events.BalancerLine(action.text))
 
     def _send(self, action: SendAttempt) -> None:
         number = action.request
--- a/testbed/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -208,5 +208,5 @@
         pass
 
 
-def unheard(_: str) -> None:
+def unheard(_: object) -> None:
     """Nobody reads a hollow member's log."""
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -348,7 +348,7 @@
         **(given or {}),
     }
     log: list[str] = []
-    sidecar = Sidecar(parse(config), log.append)
+    sidecar = Sidecar(parse(config), lambda event: log.append(str(event)))
     await sidecar.start()
     scene = Stage(sidecar, discovery, servers, log)
     try:
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -397,10 +397,10 @@
             await until(lambda: len(running.server.heard) == 1)
             assert running.process.stderr is not None
             running.process.send_signal(signal.SIGTERM)
-            assert await soon(running.process.stderr.readline()) == b"draining\n"
+            assert await soon(running.process.stderr.readline()) == b"shutdown_started: draining\n"
             running.process.send_signal(signal.SIGTERM)
             running.process.send_signal(signal.SIGHUP)
-            assert (await soon(running.process.stderr.readline())).startswith(b"re-read the configuration")
+            assert (await soon(running.process.stderr.readline())).startswith(b"configuration_reloaded: ")
             release.set()
             assert (await taken.answer()).status == 200
             assert await soon(taken.reader.read()) == b""
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -27,7 +27,7 @@
                 "settings": {"lanes": CLASSES, "zone": "a", "discovery": "pushed"},
             }
         ),
-        log.append,
+        lambda event: log.append(str(event)),
     )
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -10,6 +10,7 @@
 from sidecar.clock import Clock
 from sidecar.cluster.settings import MembershipSettings
 from sidecar.cluster.view import Size
+from sidecar.log_events import EventLog
 from sidecar.members import Members
 from sidecar.peers import Peers
 from sidecar.upstream.client import Address
@@ -31,13 +32,18 @@
         return None if figures is None else figures[name]
 
 
+def logged(lines: list[str]) -> EventLog:
+    """A log that keeps its lines."""
+    return lambda event: lines.append(str(event))
+
+
 async def copies(addresses: tuple[Address, ...], count: int) -> list[Copy]:
     out: list[Copy] = []
     for me in range(count):
         peers = Peers(addresses, None, me, lambda by, data, me=me: out[me].members.heard(by, data))  # type: ignore[misc]
         lines: list[str] = []
         sizes: list[Size] = []
-        members = Members(me, "0", me, Clock(), peers, lines.append, sizes.append)
+        members = Members(me, "0", me, Clock(), peers, logged(lines), sizes.append)
         out.append(Copy(members, peers, lines, sizes))
         await peers.listen(addresses[me])
     for each in out:
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -1,11 +1,13 @@
-"""Every log line that the module writes stands on the on-call page, and the module keeps its stated size."""
+"""Every log event of the sidecar and every line of the balancer is documented on the on-call page."""
 
 from __future__ import annotations
 
+import dataclasses
 import re
 from pathlib import Path
 
 from balancer.events import Outcome
+from sidecar.log_events import LogEvent
 
 ROOT = Path(__file__).parent.parent
 MODULE = (ROOT / "balancer" / "balancer.py").read_text(encoding="utf-8")
@@ -31,11 +33,49 @@
     return re.findall(r"Outcome\.(\w+)", listed[1])
 
 
-def test_every_line_of_the_sidecar_stands_on_the_on_call_page() -> None:
+def documented_lines() -> list[str]:
+    """The lines in the first column of the page's tables."""
     page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
-    source = "".join(each.read_text(encoding="utf-8") for each in (ROOT / "sidecar").rglob("*.py"))
-    written = re.findall(r'(?:log|print)\(\s*f?"([^"]*)"', source)
-    assert len(written) >= 8
-    for text in written:
-        fixed = max(re.split(r"\{[^}]*\}", text), key=len).strip(" :")
-        assert fixed and fixed in page, text
+    return re.findall(r"^\| `([^`]*)` \|", page, flags=re.MULTILINE)
+
+
+def documented_form(event: type[LogEvent]) -> str:
+    """An event's line as the page shows it: fields as words in capitals."""
+    text = re.sub(r"\{(\w+)[^}]*\}", lambda field: field[1].upper(), event.template)
+    return f"{event.name}: {text}"
+
+
+def events_with_a_name() -> list[type[LogEvent]]:
+    return [event for event in LogEvent.__subclasses__() if hasattr(event, "template")]
+
+
+def test_every_log_event_is_documented_on_the_on_call_page() -> None:
+    documented = documented_lines()
+    assert len(events_with_a_name()) >= 17
+    assert [event for event in events_with_a_name() if documented_form(event) not in documented] == []
+
+
+def test_event_names_are_stable_words_and_no_other_name_is_documented() -> None:
+    names = {event.name for event in events_with_a_name()}
+    assert all(re.fullmatch(r"[a-z]+(_[a-z]+)*", name) for name in names)
+    documented = {line.partition(":")[0] for line in documented_lines() if re.match(r"[a-z_]+: ", line)}
+    assert documented == names
+
+
+def test_every_event_is_written_on_one_line_after_its_name() -> None:
+    for event in events_with_a_name():
+        fields = dataclasses.fields(event)  # type: ignore[arg-type]
+        is_number = {field.name: field.type in ("int", "float") for field in fields}
+        line = str(event(*(7 if is_number[field.name] else f"a\n{field.name}" for field in fields)))
+        assert line.startswith(f"{event.name}: ") and "\n" not in line
+        assert all(
+            "7" in line if is_number[name] else f"a {name}" in line.replace("\\n", " ") for name in is_number
+        )
+
+
+def test_nothing_is_logged_or_printed_but_events() -> None:
+    modules = [path for path in (ROOT / "sidecar").rglob("*.py") if path.name != "log_events.py"]
+    source = "".join(path.read_text(encoding="utf-8") for path in modules)
+    assert re.findall(r"\b_?(?:log|print)\(\s*f?[\"']", source) == []
+    logged = set(re.findall(r"\b_?(?:log|print|return)\b[ (]+(?:log_events\.)?([A-Z]\w+)\(", source))
+    assert {event.__name__ for event in events_with_a_name()} <= logged
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -199,11 +199,11 @@
             other.servers = good["known"]["servers"]
             path.write_text("{")
             running.process.send_signal(signal.SIGHUP)
-            assert (await soon(stderr.readline())).startswith(b"kept the configuration: BALANCER_CONFIG: ")
+            assert (await soon(stderr.readline())).startswith(b"configuration_rejected: BALANCER_CONFIG: ")
             path.write_text(json.dumps({**good, "discovery": other.address}))
             running.process.send_signal(signal.SIGHUP)
             told = (await soon(stderr.readline())).decode()
-            assert told == f"re-read the configuration: discovery is at {other.address}\n"
+            assert told == f"configuration_reloaded: discovery is at {other.address}, version none\n"
             await until(lambda: len(other.heard) >= 2)
             assert (await (await running.client()).ask()).status == 200
             running.process.send_signal(signal.SIGTERM)
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -62,7 +62,8 @@
         "console": f"{HOST}:0",
         **changes,
     }
-    sidecar = Sidecar(parse(config, {"TMPDIR": str(folder)} if folder else {}), log.append)
+    environment = {"TMPDIR": str(folder)} if folder else {}
+    sidecar = Sidecar(parse(config, environment), lambda event: log.append(str(event)))
     try:
         async with asyncio.timeout(WITHIN_S):
             await sidecar.start()
@@ -102,7 +103,7 @@
                 },
                 TIER,
             )
-            assert any("other sidecars" in each for each in log)
+            assert any(line.startswith("peer_listen_failed: ") for line in log)
 
     play(work)
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -37,8 +37,8 @@
             path.write_text(json.dumps({**given, "discovery": other.address, "seed": "77"}))
             running.process.send_signal(signal.SIGHUP)
             told = (await soon(stderr.readline())).decode()
-            assert told == "left as it was until a restart: settings, sockets\n"
-            assert (await soon(stderr.readline())).startswith(b"re-read the configuration")
+            assert told == "restart_required: settings, sockets\n"
+            assert (await soon(stderr.readline())).startswith(b"configuration_reloaded: ")
             await until(lambda: len(other.heard) >= 2)  # and what may change has
             client = await running.client()
             assert (await client.ask("lodge")).status == 200
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -275,7 +275,7 @@
             (await scene.client()).send(request())
             data, sender = await got.get()
             assert (data, sender) == (b"hi", own)
-            assert scene.log == ["a message to other sidecars could not be sent"]
+            assert scene.log == ["peer_message_not_sent: no such peer, or over 256 bytes"]
             transport.sendto(b"back", own)
             await until(lambda: balancer.heard(PeerMessageReceived) == [PeerMessageReceived(1, b"back")])
         transport.close()
@@ -297,7 +297,7 @@
         async with stage(OK) as scene:
             assert (await scene.ask("lodge")).status == 500
             assert (await scene.ask("check")).status == 200
-            assert scene.log == ["internal error: RequestArrived: ZeroDivisionError()"]
+            assert scene.log == ["internal_error: RequestArrived: ZeroDivisionError()"]
 
     play(work)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -31,6 +31,7 @@
 
 from sidecar.configuration import parse
 from sidecar.downstream.listener import inherited
+from sidecar.log_events import ExclusionsFileIgnored, ExclusionsFileNotWritten, LogEvent, ProcessLockFailed
 from sidecar.persisted_exclusions import PersistedExclusions
 from sidecar.process_lock import ProcessLock
 from sidecar.sidecar import Sidecar
@@ -76,7 +77,7 @@
         one = Running(process, 0)
         self.running.append(one)
         while "serves on" not in (told := await one.line()):
-            door = re.search(r"the operators' door is at .*:(\d+)", told)
+            door = re.search(r"admin_interface_listening: .*:(\d+)", told)
             one.console = int(door[1]) if door else one.console
         return one
 
@@ -121,7 +122,7 @@
             await until(lambda: len(scene.servers[0].heard) == 1)
             await scene.start()
             old.process.send_signal(signal.SIGTERM)
-            assert await old.line() == "draining\n"
+            assert await old.line() == "shutdown_started: draining\n"
             new = [await scene.client() for _ in range(4)]
             for client in new:
                 client.send(request("lodge"))
@@ -196,12 +197,12 @@
     ids=lambda value: repr(value)[:20],
 )
 def test_a_corrupt_file_is_logged_ignored_and_replaced(content: bytes, tmp_path: Path) -> None:
-    log: list[str] = []
+    log: list[LogEvent] = []
     exclusions = PersistedExclusions(tmp_path, log.append)
     assert exclusions.read() is None and log == []  # there is none yet
     (tmp_path / "excluded.json").write_bytes(content)
     assert exclusions.read() is None
-    assert len(log) == 1 and log[0].startswith("ignored the file of excluded servers: ")
+    assert len(log) == 1 and isinstance(log[0], ExclusionsFileIgnored)
     exclusions.record("b", True, frozenset({"a"}))
     assert exclusions.read() == frozenset({"a", "b"})
 
@@ -216,9 +217,9 @@
 
 
 def test_a_folder_that_takes_no_file_is_logged_and_the_call_goes_on(tmp_path: Path) -> None:
-    log: list[str] = []
+    log: list[LogEvent] = []
     PersistedExclusions(tmp_path / "missing", log.append).record("a", True, frozenset())
-    assert len(log) == 1 and log[0].startswith("could not write the file of excluded servers: ")
+    assert len(log) == 1 and isinstance(log[0], ExclusionsFileNotWritten)
 
 
 def test_a_process_that_lives_is_seen_and_one_that_ended_is_not(tmp_path: Path) -> None:
@@ -230,8 +231,9 @@
     assert first.is_alone()
     first.close()
     assert list(tmp_path.iterdir()) == []
-    log: list[str] = []
-    assert ProcessLock(tmp_path / "missing", log.append).is_alone() and len(log) == 1
+    log: list[LogEvent] = []
+    assert ProcessLock(tmp_path / "missing", log.append).is_alone()
+    assert len(log) == 1 and isinstance(log[0], ProcessLockFailed)
 
 
 def test_two_processes_share_the_descriptors_and_one_has_them_all(tmp_path: Path) -> None:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -5,11 +5,11 @@
 import asyncio
 import json
 import random
-import re
 import subprocess
 import sys
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
+from functools import partial
 from pathlib import Path
 from typing import Any
 
@@ -120,8 +120,9 @@
             running.copies[3].hang_up()
             await running.until(version=2, in_force_everywhere=True, in_force=4)
             for number in range(4):
-                assert running.said(number, "re-read the configuration: discovery is at")
-                await until(lambda number=number: running.said(number, "version 2 in force here; everywhere"))  # type: ignore[misc]
+                assert running.said(number, "configuration_reloaded: discovery is at")
+                line = "configuration_in_force_everywhere: version 2 "
+                await until(partial(running.said, number, line))
             await running.copies[1].kill()
             running.publish(1, 1)
             await running.copies[1].start()
@@ -131,7 +132,7 @@
             await running.until(version=2, in_force_everywhere=True, behind=[])
             running.publish(0, 1)
             running.copies[0].hang_up()
-            await until(lambda: running.said(0, "kept the configuration: version: 1 is older than 2"))
+            await until(lambda: running.said(0, "configuration_rejected: version: 1 is older than 2"))
             assert (await running.figures(0))["refused"] == 1
             await running.until(version=2)
 
@@ -326,13 +327,3 @@
     assert parse(given(own, other, version=1, discovery=f"{HOST}:10", **left_out)).digest == some.digest
     assert parse(given(own, other)).digest == 0 and parse(given(own, other)).version is None
     assert first.rollout == RolloutSettings()
-
-
-def test_every_line_about_versions_stands_on_the_on_call_page() -> None:
-    page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
-    source = (ROOT / "sidecar" / "rollout.py").read_text(encoding="utf-8")
-    written = re.findall(r'f"(configuration: [^"]*)"', source) + re.findall(r'f"\{version\}([^"]*)"', source)
-    assert len(written) == 6
-    for text in written:
-        fixed = max(re.split(r"\{[^}]*\}", text), key=len).strip(" :")
-        assert fixed and fixed in page, text
