--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -56,14 +56,14 @@
     )
     sidecar = Sidecar(configuration, log, listener)
     reloader = ConfigurationReloader(sidecar, log, os.environ)
-    sidecar.on_newer = reloader.reload_if_newer
+    sidecar.on_newer_version = reloader.reload_if_newer
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     await sidecar.start()
     _log_addresses(configuration, sidecar, log)
     gc.freeze()  # what exists now lives as long as the process: garbage collections need not scan it
     await stop_requested.wait()
     log(ShutdownStarted())
-    await sidecar.drain()
+    await sidecar.shut_down()
     log(ShutdownCompleted())
 
 
--- /dev/null
+++ b/sidecar/administration.py
@@ -0,0 +1,125 @@
+"""What operators can ask of a running sidecar: metrics, exclusion of servers, draining of clients."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from balancer import Balancer
+from balancer.events import EndpointExcluded, EndpointIncluded, Event
+from sidecar.cluster_service import ClusterService
+from sidecar.downstream.frontend import Frontend
+from sidecar.log_events import ClientsDrained, ClientsResumed, EventLog
+from sidecar.metrics import Metrics
+from sidecar.open_requests import OpenRequests
+from sidecar.persisted_exclusions import PersistedExclusions
+from sidecar.shutdown_state import ShutdownState
+from sidecar.upstream.upstream import Upstream
+
+
+class ServerExclusions:
+    """Excludes servers in the connection pool, the balancer and the file that outlives the process."""
+
+    def __init__(
+        self,
+        balancer: Balancer,
+        upstream: Upstream,
+        persisted: PersistedExclusions | None,
+        dispatch: Callable[[Event], None],
+    ) -> None:
+        self._balancer = balancer
+        self._upstream = upstream
+        self._persisted = persisted
+        self._dispatch = dispatch
+
+    def restore(self, *, watch: bool) -> None:
+        """Apply what the file says; `watch`: and what another process writes to it from now on."""
+        if self._persisted is None:
+            return
+        self._apply_all(self._persisted.read() or frozenset())
+        if watch:
+            self._persisted.watch(self._apply_all)
+
+    def set_excluded(self, server: str, is_excluded: bool) -> bool:
+        """Exclude or include a server, as an operator asked; False if it was never listed."""
+        if not self._balancer.knows(server):
+            return False
+        if self._persisted is not None:
+            self._persisted.record(server, is_excluded, self._upstream.excluded)
+        self._apply(server, is_excluded)
+        return True
+
+    def close(self) -> None:
+        """Stop watching the file."""
+        if self._persisted is not None:
+            self._persisted.close()
+
+    def _apply(self, server: str, is_excluded: bool) -> None:
+        if is_excluded:
+            self._upstream.exclude(server)
+            self._dispatch(EndpointExcluded(server))
+        else:
+            self._upstream.include(server)
+            self._dispatch(EndpointIncluded(server))
+
+    def _apply_all(self, excluded: frozenset[str]) -> None:
+        for server in sorted(self._upstream.excluded ^ excluded):
+            self._apply(server, server in excluded)
+
+
+class Administration:
+    """The operations of the admin interface on one process."""
+
+    def __init__(
+        self,
+        balancer: Balancer,
+        frontend: Frontend,
+        requests: OpenRequests,
+        metrics: Metrics,
+        exclusions: ServerExclusions,
+        cluster: ClusterService,
+        shutdown: ShutdownState,
+        log: EventLog,
+    ) -> None:
+        self._balancer = balancer
+        self._frontend = frontend
+        self._requests = requests
+        self._metrics = metrics
+        self._exclusions = exclusions
+        self._cluster = cluster
+        self._shutdown = shutdown
+        self._log = log
+
+    def is_ready(self) -> bool:
+        """Return whether this process accepts clients."""
+        return self._frontend.takes_clients
+
+    def metrics(self) -> dict[str, object]:
+        """Return all metrics under their names."""
+        members, unavailable = self._balancer.members()
+        own = self._metrics.snapshot(self._requests.pending, members, unavailable)
+        return {**own, **self._cluster.metrics()}
+
+    def exclude(self, server: str) -> bool:
+        """Send nothing more to a server; False if it was never listed."""
+        return self._exclusions.set_excluded(server, True)
+
+    def include(self, server: str) -> bool:
+        """Use a server again; False if it was never listed."""
+        return self._exclusions.set_excluded(server, False)
+
+    def drain_clients(self) -> bool:
+        """Send clients away, as at an end, and keep running; False during the graceful shutdown."""
+        if self._shutdown.is_shutting_down:
+            return False
+        self._frontend.is_evacuated = True
+        self._frontend.drain()
+        self._log(ClientsDrained())
+        return True
+
+    def resume_clients(self) -> bool:
+        """Accept clients again; False during the graceful shutdown."""
+        if self._shutdown.is_shutting_down:
+            return False
+        self._frontend.rejoin()
+        self._log(ClientsResumed())
+        return True
--- /dev/null
+++ b/sidecar/attempts.py
@@ -0,0 +1,123 @@
+"""Sends attempts to servers, and turns their responses and outcomes into events for the balancer."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from balancer.actions import CancelAttempt, SendAttempt
+from balancer.events import AttemptEnded, Event, HealthCheckEnded, Outcome, ResponseStarted
+from balancer.settings import LoadReportSource, Settings
+from sidecar.clock import Clock
+from sidecar.http import Headers
+from sidecar.open_requests import OpenRequests
+from sidecar.roles import Sink
+from sidecar.upstream.client import ClientConnection, Message, Response
+from sidecar.upstream.upstream import Call, Upstream, load_report
+
+_HEALTH_CHECK_TIMEOUT_US = 1_000_000
+_FORWARDED_HEADERS = (b"content-type", b"content-encoding")  # those that describe the body
+
+
+class Attempts:
+    """Attempts of open requests, and health checks."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        clock: Clock,
+        requests: OpenRequests,
+        upstream: Upstream,
+        dispatch: Callable[[Event], None],
+    ) -> None:
+        self._load_report_columns = settings.load_report_columns
+        self._has_load_reports = settings.load_report_source is not LoadReportSource.NONE
+        self._clock = clock
+        self._requests = requests
+        self._upstream = upstream
+        self._dispatch = dispatch
+
+    def send(self, action: SendAttempt) -> None:
+        """Start a further attempt of an open request."""
+        number = action.request
+        request = self._requests[number]
+        attempt = len(request.calls)
+
+        def done(outcome: Outcome, response: Response | None) -> None:
+            self._ended(number, attempt, outcome, response)
+
+        def begun(source: ClientConnection, head: Response, length: int | None) -> Sink | None:
+            return self._response_started(number, attempt, source, head, length)
+
+        def is_wanted() -> bool:
+            return request.client is not None and not request.client.has_left()
+
+        call = Call(
+            action.server, action.deadline, request.incoming.message, done, begun, action.send_by, is_wanted
+        )
+        call.sent_at = self._clock.now()
+        request.calls.append(call)
+        request.attempts_in_flight += 1
+        self._upstream.start(call, is_late=attempt > 0)
+
+    def cancel(self, action: CancelAttempt) -> None:
+        """Stop waiting for an attempt; one that does not exist is ignored."""
+        request = self._requests.get(action.request)
+        if request is not None and action.attempt < len(request.calls):
+            self._upstream.cancel(request.calls[action.attempt])
+
+    def send_health_check(self, server: str) -> None:
+        """Ask a server whether it is healthy, and for its load report where servers give one."""
+        sent_at = self._clock.now()
+        is_report_in_body = self._has_load_reports
+
+        def done(outcome: Outcome, response: Response | None) -> None:
+            report = load_report(response, self._load_report_columns, in_body=is_report_in_body)
+            self._dispatch(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
+
+        path = b"/_load" if is_report_in_body else b"/ping"
+        message = Message(b"GET", path, [(b"host", server.encode())])
+        self._upstream.start(Call(server, sent_at + _HEALTH_CHECK_TIMEOUT_US, lambda left_us: message, done))
+
+    def _response_started(
+        self, number: int, attempt: int, source: ClientConnection, head: Response, length: int | None
+    ) -> Sink | None:
+        """Pass a response through that is too long to be buffered; None if the client has one or is gone."""
+        request = self._requests.get(number)
+        if request is None or request.client is None or request.streaming_attempt is not None:
+            return None
+        client = request.client
+        if not client.begin(_forwarded(head), length, head.body, source):
+            return None
+        request.streaming_attempt = attempt
+        call = request.calls[attempt]
+        elapsed_us = max(self._clock.now() - head.unread_us - call.sent_at, 0)
+        self._dispatch(ResponseStarted(number, attempt, call.server, elapsed_us))
+        return request.client
+
+    def _ended(self, number: int, attempt: int, outcome: Outcome, response: Response | None) -> None:
+        request = self._requests[number]
+        request.attempts_in_flight -= 1
+        request.last_outcome = outcome
+        if request.streaming_attempt == attempt:
+            self._requests.finish_streaming(number, is_complete=outcome is Outcome.DELIVERED)
+        elif outcome is Outcome.DELIVERED and response is not None and request.streaming_attempt is None:
+            self._requests.respond(number, 200, _forwarded(response), response.body)
+        call, upload = request.calls[attempt], request.incoming.upload
+        # Time in the socket's buffer is this process's delay, not the server's.
+        unread_us = response.unread_us if response is not None else 0
+        self._dispatch(
+            AttemptEnded(
+                request=number,
+                attempt=attempt,
+                server=call.server,
+                outcome=outcome,
+                elapsed_us=max(self._clock.now() - unread_us - call.sent_at, 0),
+                is_request_answered=False,  # set when the event is handled
+                load_report=load_report(response, self._load_report_columns),
+                is_body_consumed=upload is not None and upload.is_spent,
+            )
+        )
+
+
+def _forwarded(response: Response) -> Headers:
+    return [header for header in response.headers if header[0] in _FORWARDED_HEADERS]
--- /dev/null
+++ b/sidecar/cluster_service.py
@@ -0,0 +1,169 @@
+"""The other sidecars of the cluster, for this process: datagrams, membership and configuration versions.
+
+Membership and versions are imported when they are first switched on: a process without them saves memory.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from balancer.events import ClusterSizeChanged, Event, PeerMessageReceived
+from sidecar.clock import Clock
+from sidecar.configuration import Configuration, ConfigurationError
+from sidecar.log_events import EventLog, PeerListenFailed
+from sidecar.peers import Peers
+
+if TYPE_CHECKING:
+    from sidecar.cluster.settings import MembershipSettings
+    from sidecar.cluster.view import Size
+    from sidecar.members import Members
+    from sidecar.rollout import Versions
+
+
+class ClusterService:
+    """Sends and receives datagrams, and keeps membership and versions as configured."""
+
+    def __init__(
+        self,
+        configuration: Configuration,
+        clock: Clock,
+        dispatch: Callable[[Event], None],
+        on_newer_version: Callable[[], None],
+        log: EventLog,
+    ) -> None:
+        """`on_newer_version` is called when another sidecar has a newer version of the configuration."""
+        self._configuration = configuration
+        self._number = configuration.settings.instance_index
+        self._clock = clock
+        self._dispatch = dispatch
+        self._on_newer_version = on_newer_version
+        self._log = log
+        self._last_size: ClusterSizeChanged | None = None  # as dispatched last
+        self._is_shut_down = False
+        self.peers = self.create_peers(configuration)
+        self.members: Members | None = None  # None: never switched on
+        self.versions: Versions | None = None  # likewise
+
+    def create_peers(self, configuration: Configuration) -> Peers:
+        """Return the datagram endpoint; a subclass may return another one."""
+        addresses, broadcast = configuration.peer_addresses, configuration.broadcast_address
+        return Peers(addresses, broadcast, self._number, self.message_received)
+
+    def create_members(self) -> Members:
+        """Return the membership of this process; a subclass may return another one."""
+        from sidecar.members import Members
+
+        own = self._configuration
+        return Members(
+            self._number, own.cluster, own.seed, self._clock, self.peers, self._log, self.size_changed
+        )
+
+    async def listen(self, *, is_port_shared: bool) -> None:
+        """Receive datagrams, if configured; an address that can't be bound is logged and delays nothing."""
+        address = self._configuration.peer_listen_address
+        if address is None or not self._configuration.settings.limits.may_message_peers:
+            return
+        try:
+            await self.peers.listen(address, shared=is_port_shared)
+        except OSError as error:
+            self._log(PeerListenFailed(str(error)))
+        else:
+            self._configure_membership(self._configuration.membership)
+            self._configure_versions(self._configuration, is_complete=True)
+
+    def check_version(self, configuration: Configuration) -> None:
+        """Raise ConfigurationError if the version of a configuration is older than that in force."""
+        refusal = None if self.versions is None else self.versions.refusal(configuration)
+        if refusal is not None:
+            raise ConfigurationError(refusal)
+
+    def reconfigure(self, configuration: Configuration, *, is_complete: bool) -> None:
+        """Apply a new configuration; not `is_complete`: some of it takes effect at a restart only."""
+        self.peers.move(configuration.peer_addresses, configuration.broadcast_address)
+        if self.peers.is_listening and not self._is_shut_down:
+            self._configure_membership(configuration.membership)
+            self._configure_versions(configuration, is_complete=is_complete)
+
+    @property
+    def version(self) -> int | None:
+        """The version of the configuration that is in force; None where versions are not compared."""
+        return None if self.versions is None else self.versions.version
+
+    def metrics(self) -> dict[str, object]:
+        """Return the metrics of what is switched on, by name."""
+        membership = None if self.members is None else self.members.figures()
+        versions = None if self.versions is None else self.versions.figures()
+        metrics: dict[str, object] = {}
+        if membership is not None:
+            metrics["membership"] = membership
+        if versions is not None:
+            metrics["configuration"] = versions
+        return metrics
+
+    def request_received(self) -> None:
+        """Count a client's request: membership uses the rate as a measure of local load."""
+        if self.members is not None:
+            self.members.requests += 1
+
+    def message_received(self, sender: int, payload: bytes) -> None:
+        """Hand a datagram to membership or versions while they are on, else to the balancer."""
+        if self.members is None or self.members.membership is None:
+            self._dispatch(PeerMessageReceived(sender, payload))
+        elif self.versions is None or not self.versions.heard(sender, payload):
+            self.members.heard(sender, payload)
+
+    def size_changed(self, size: Size) -> None:
+        """Dispatch the size of the cluster if it differs from the last one."""
+        event = ClusterSizeChanged(size.configured, size.high, size.low, size.in_minority)
+        if event != self._last_size:
+            self._last_size = event
+            self._dispatch(event)
+
+    def shut_down(self, *, has_successor: bool) -> None:
+        """Leave the cluster, unless a successor stays in it: then all datagrams are the successor's."""
+        self._is_shut_down = True
+        if self.versions is not None:
+            self.versions.close()
+        if self.members is not None:
+            self.members.leave(has_successor)
+        if has_successor:
+            self.peers.close()
+
+    def close(self) -> None:
+        """Release the socket and all timers."""
+        if self.versions is not None:
+            self.versions.close()
+        if self.members is not None:
+            self.members.close()
+        self.peers.close()
+
+    def _configure_membership(self, settings: MembershipSettings) -> None:
+        if self.members is None:
+            if not settings.on:
+                return
+            self.members = self.create_members()
+        self.members.configure(settings)
+
+    def _configure_versions(self, configuration: Configuration, *, is_complete: bool) -> None:
+        membership = None if self.members is None else self.members.membership
+        if self.versions is None:
+            is_off = configuration.version is None or not configuration.rollout.on
+            if is_off or membership is None:
+                return
+            self.versions = self._create_versions()
+        self.versions.configure(membership, configuration, is_complete)
+
+    def _create_versions(self) -> Versions:
+        from sidecar.rollout import Versions
+
+        own = self._configuration
+        return Versions(
+            self._number,
+            own.cluster,
+            own.seed,
+            self._clock,
+            self.peers,
+            self._log,
+            self._on_newer_version,
+        )
--- /dev/null
+++ b/sidecar/hot_restart.py
@@ -0,0 +1,68 @@
+"""Shares the connection limits between two processes of one sidecar while a hot restart has both running."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from sidecar.process_lock import ProcessLock
+
+_RESERVED_SOCKETS = 48  # for everything but clients, servers and the admin interface
+_MAX_DOWNSTREAM_SHARE = 1 / 3  # of all sockets, as the platform's terms allow
+_DOWNSTREAM_SHARE = 1 / 2  # of the sockets that are not reserved, where that is less
+_POLL_INTERVAL_S = 0.1
+
+
+@dataclass(frozen=True, slots=True)
+class ConnectionLimits:
+    """How many connections one process may have."""
+
+    downstream: int
+    upstream: int
+
+
+def connection_limits(max_sockets: int, max_admin_connections: int, *, is_alone: bool) -> ConnectionLimits:
+    """Divide the sockets of a sidecar.
+
+    Two processes get half of the upstream connections each.  Clients get their share of all sockets whichever
+    process they are connected to: in a hot restart they move from one to the other within a moment.
+    """
+    available = max_sockets - _RESERVED_SOCKETS - max_admin_connections
+    downstream = int(min(max_sockets * _MAX_DOWNSTREAM_SHARE, available * _DOWNSTREAM_SHARE))
+    return ConnectionLimits(downstream, (available - downstream) // (1 if is_alone else 2))
+
+
+class HotRestart:
+    """Watches for another process of this sidecar."""
+
+    def __init__(self, process_lock: ProcessLock | None) -> None:
+        """Without a lock, this process is the only one."""
+        self._process_lock = process_lock
+        self._timer: asyncio.TimerHandle | None = None
+        self._on_change: Callable[[], None] = lambda: None
+        self.is_alone = not self.has_other_process()  # when last polled
+
+    def has_other_process(self) -> bool:
+        """Check now whether another process of this sidecar is alive."""
+        return self._process_lock is not None and not self._process_lock.is_alone()
+
+    def watch(self, on_change: Callable[[], None]) -> None:
+        """Start polling; `on_change` is called after `is_alone` has changed."""
+        self._on_change = on_change
+        if self._process_lock is not None:
+            self._poll()
+
+    def close(self) -> None:
+        """Stop polling and release the lock."""
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._process_lock is not None:
+            self._process_lock.close()
+
+    def _poll(self) -> None:
+        self._timer = asyncio.get_running_loop().call_later(_POLL_INTERVAL_S, self._poll)
+        is_alone = not self.has_other_process()
+        if is_alone != self.is_alone:
+            self.is_alone = is_alone
+            self._on_change()
--- /dev/null
+++ b/sidecar/open_requests.py
@@ -0,0 +1,116 @@
+"""The requests that are open: from their arrival until they are answered and all their attempts have ended.
+
+A client gets its final response from here and nowhere else.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from balancer.events import Outcome
+from sidecar.downstream.frontend import ClientSide
+from sidecar.downstream.request import Incoming
+from sidecar.http import Headers
+from sidecar.metrics import Metrics
+from sidecar.upstream.upstream import Call
+
+
+class OpenRequest:
+    """A request, its client while a response is owed to it, and its attempts by number."""
+
+    __slots__ = ("attempts_in_flight", "calls", "client", "incoming", "last_outcome", "streaming_attempt")
+
+    def __init__(self, client: ClientSide, incoming: Incoming) -> None:
+        self.client: ClientSide | None = client  # None: it has its response, or disconnected
+        self.incoming = incoming
+        self.calls: list[Call] = []
+        self.attempts_in_flight = 0
+        self.streaming_attempt: int | None = None  # whose response is passed through to the client
+        self.last_outcome: Outcome | None = None
+
+    @property
+    def is_body_complete(self) -> bool:
+        """Whether the last byte of the request has arrived."""
+        return self.incoming.upload is None or self.incoming.upload.is_whole
+
+
+class OpenRequests:
+    """The table of open requests by number."""
+
+    def __init__(self, metrics: Metrics, withdraw: Callable[[Call], None]) -> None:
+        """`withdraw` stops a call from being started, when its request is settled before that."""
+        self._metrics = metrics
+        self._withdraw = withdraw
+        self._requests: dict[int, OpenRequest] = {}
+        self._next_number = 1
+        self.unanswered = 0  # requests that are owed a final response
+
+    def __len__(self) -> int:
+        return len(self._requests)
+
+    def __getitem__(self, number: int) -> OpenRequest:
+        return self._requests[number]
+
+    def get(self, number: int) -> OpenRequest | None:
+        """Return a request; None if it is over."""
+        return self._requests.get(number)
+
+    def numbers(self) -> list[int]:
+        """Return the numbers of all open requests."""
+        return list(self._requests)
+
+    @property
+    def pending(self) -> int:
+        """How many requests have arrived completely and are unanswered."""
+        unanswered = (request for request in self._requests.values() if request.client is not None)
+        return self.unanswered - sum(not request.is_body_complete for request in unanswered)
+
+    def add(self, client: ClientSide, incoming: Incoming) -> int:
+        """Add a request that has just arrived; return its number."""
+        number = self._next_number
+        self._next_number += 1
+        self._requests[number] = OpenRequest(client, incoming)
+        self.unanswered += 1
+        return number
+
+    def is_answered(self, number: int) -> bool:
+        """Return whether nothing is owed to the client any more."""
+        request = self._requests.get(number)
+        return request is None or request.client is None
+
+    def respond(self, number: int, status: int, headers: Headers | None = None, body: bytes = b"") -> None:
+        """Send the final response, unless the request has been answered."""
+        client = self.settle(number)
+        if client is not None:
+            self._metrics.response_sent(self._requests[number].incoming.service_class, status)
+            client.answer(status, headers or [], body)
+        self.remove_if_over(number)
+
+    def finish_streaming(self, number: int, *, is_complete: bool) -> None:
+        """End a response that was passed through; a client sees by an abort that it is not complete."""
+        client = self.settle(number)
+        if client is None:
+            return
+        status = 200 if is_complete else 502
+        self._metrics.response_sent(self._requests[number].incoming.service_class, status)
+        if is_complete:
+            client.finish()
+        else:
+            client.abort()
+
+    def settle(self, number: int) -> ClientSide | None:
+        """Owe nothing from here on; return the client if something was owed to it."""
+        request = self._requests.get(number)
+        if request is None or request.client is None:
+            return None
+        client, request.client = request.client, None
+        self.unanswered -= 1
+        for call in request.calls:
+            self._withdraw(call)
+        return client
+
+    def remove_if_over(self, number: int) -> None:
+        """Forget a request that is answered and has no attempt in flight."""
+        request = self._requests.get(number)
+        if request is not None and request.client is None and request.attempts_in_flight == 0:
+            del self._requests[number]
--- /dev/null
+++ b/sidecar/request_intake.py
@@ -0,0 +1,78 @@
+"""Turns what clients do into events for the balancer: requests, completed bodies and disconnects."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from balancer.events import ClientDisconnected, Event, RequestArrived, RequestBodyCompleted
+from balancer.settings import Settings
+from sidecar.clock import Clock
+from sidecar.downstream.frontend import ClientSide
+from sidecar.downstream.request import Incoming
+from sidecar.open_requests import OpenRequests
+from sidecar.shutdown_state import ShutdownState
+from sidecar.upstream.upstream import Upstream
+
+
+class RequestIntake:
+    """Receives requests from the downstream side."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        clock: Clock,
+        requests: OpenRequests,
+        upstream: Upstream,
+        shutdown: ShutdownState,
+        dispatch: Callable[[Event], None],
+        on_request: Callable[[], None],
+    ) -> None:
+        """`on_request` is called for each request, before it is dispatched."""
+        self._max_open_requests = settings.limits.max_open_requests
+        self._clock = clock
+        self._requests = requests
+        self._upstream = upstream
+        self._shutdown = shutdown
+        self._dispatch = dispatch
+        self._on_request = on_request
+
+    def request_received(self, client: ClientSide, incoming: Incoming) -> int | None:
+        """Take a request; return its number, or None if it has been answered already."""
+        incoming.remaining_us = self._shutdown.limit(incoming.remaining_us, self._clock.now())
+        number = self._requests.add(client, incoming)
+        self._on_request()
+        if self._max_open_requests is not None and self._requests.unanswered > self._max_open_requests:
+            self._requests.respond(number, 503)
+            return None
+        self._dispatch(
+            RequestArrived(
+                request=number,
+                service_class=incoming.service_class,
+                tenant=incoming.tenant,
+                key=incoming.key,
+                remaining_us=incoming.remaining_us,
+                cost_us=incoming.cost_us,
+                is_client_retry=incoming.client_retry,
+                is_write=incoming.method != b"GET",
+                is_body_streaming=incoming.upload is not None,
+            )
+        )
+        return None if self._requests.is_answered(number) else number
+
+    def body_completed(self, number: int, waited_us: int) -> None:
+        """Start the time of a request whose streamed body has arrived; `waited_us` were spent in waiting."""
+        request, now = self._requests[number], self._clock.now()
+        remaining_us = max(request.incoming.remaining_us - waited_us, 1)
+        remaining_us = self._shutdown.limit(remaining_us, now)
+        for call in request.calls:
+            self._upstream.hurry(call, now + remaining_us)
+        self._dispatch(RequestBodyCompleted(number, remaining_us))
+
+    def client_disconnected(self, number: int) -> None:
+        """Stop what was done for a client that is gone."""
+        request = self._requests.get(number)
+        if request is not None and request.streaming_attempt is not None:
+            self._upstream.cancel(request.calls[request.streaming_attempt])  # nobody reads the rest
+        self._requests.settle(number)
+        self._dispatch(ClientDisconnected(number))
+        self._requests.remove_if_over(number)
--- /dev/null
+++ b/sidecar/shutdown_state.py
@@ -0,0 +1,25 @@
+"""Whether the process is shutting down, and by when all requests must then be answered."""
+
+from __future__ import annotations
+
+
+class ShutdownState:
+    """Shared by all who behave differently during the graceful shutdown."""
+
+    def __init__(self) -> None:
+        self._respond_by: int | None = None  # clock time in microseconds
+
+    @property
+    def is_shutting_down(self) -> bool:
+        """Whether the graceful shutdown has begun."""
+        return self._respond_by is not None
+
+    def begin(self, respond_by: int) -> None:
+        """Begin the shutdown; all requests must be answered by this clock time."""
+        self._respond_by = respond_by
+
+    def limit(self, remaining_us: int, now: int) -> int:
+        """Return the time that a request has left, which ends with the shutdown; at least 1 us then."""
+        if self._respond_by is None:
+            return remaining_us
+        return max(min(remaining_us, self._respond_by - now), 1)
--- a/testbed/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -13,9 +13,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from balancer.events import Event
+from sidecar.clock import Clock
 from sidecar.cluster.message import State
-from sidecar.cluster.settings import MembershipSettings
 from sidecar.cluster.view import Action, News
+from sidecar.cluster_service import ClusterService
 from sidecar.configuration import Configuration
 from sidecar.discovery.catalog import Listing
 from sidecar.members import Members
@@ -133,47 +135,74 @@
         super()._carry_out(actions)
 
 
+class GroundCluster(ClusterService):
+    """The program's cluster service, with datagrams and membership of the ground."""
+
+    def __init__(
+        self,
+        ground: Ground,
+        counts: Counts,
+        own: socket.socket,
+        configuration: Configuration,
+        clock: Clock,
+        dispatch: Callable[[Event], None],
+        on_newer_version: Callable[[], None],
+    ) -> None:
+        self._ground, self._counts, self._own = ground, counts, own
+        super().__init__(configuration, clock, dispatch, on_newer_version, unheard)
+
+    def create_peers(self, configuration: Configuration) -> Peers:
+        peers = configuration.peer_addresses
+        return GroundPeers(self._ground, self._counts, self._own, peers, self._number, self.message_received)
+
+    def create_members(self) -> Members:
+        own, number = self._configuration, self._number
+        members = GroundMembers(
+            number, own.cluster, own.seed, self._clock, self.peers, unheard, self.size_changed
+        )
+        members.on_gone = lambda news: self._ground.hear(number, news)
+        return members
+
+
 class Hollow(Sidecar):
     """One life of a hollow member."""
 
     def __init__(
         self, ground: Ground, number: int, counts: Counts, own: socket.socket, config: Configuration
     ) -> None:
-        super().__init__(config, unheard)
         self.number = number
-        self._ground = ground
-        self._peers: Peers = GroundPeers(
-            ground, counts, own, config.peer_addresses, number, self._message_received
+        self._ground, self._counts, self._own = ground, counts, own
+        super().__init__(config, unheard)
+
+    def _create_cluster(self) -> ClusterService:
+        return GroundCluster(
+            self._ground,
+            self._counts,
+            self._own,
+            self._configuration,
+            self._clock,
+            self._dispatcher.dispatch,
+            lambda: self.on_newer_version(),
         )
 
     @property
     def members(self) -> Members | None:
-        return self._members
-
-    def _keep_track(self, membership: MembershipSettings) -> None:
-        if self._members is None and membership.on:
-            own, number = self._config, self.number
-            members = GroundMembers(
-                number, own.cluster, own.seed, self._clock, self._peers, unheard, self._tier_sized
-            )
-            members.on_gone = lambda news: self._ground.hear(number, news)
-            self._members = members
-        super()._keep_track(membership)
-
-    def _listed(self, listing: Listing) -> None:
+        return self._cluster.members
+
+    def _endpoint_list_received(self, endpoint_list: Listing) -> None:
         self._ground.on_told(self.number)
-        super()._listed(listing)
+        super()._endpoint_list_received(endpoint_list)
 
-    def reconfigure(self, config: Configuration) -> list[str]:
-        kept = super().reconfigure(config)
+    def reconfigure(self, configuration: Configuration) -> list[str]:
+        kept = super().reconfigure(configuration)
         if self.version is not None:
             self._ground.on_version(self.number, self.version)
         return kept
 
     def leave(self) -> None:
         """End as planned: the others are told."""
-        if self._members is not None:
-            self._members.leave()
+        if self.members is not None:
+            self.members.leave()
         self.close()
 
 
--- a/testbed/scale/worker.py
+++ b/testbed/scale/worker.py
@@ -143,7 +143,7 @@
                 own = Hollow(self._ground, number, self._counts[number], self._sockets[number], config)
                 self._alive[number] = own
                 reloader = self._reloaders[number] = ConfigurationReloader(own, unheard, environ)
-                own.on_newer = reloader.reload_if_newer  # as the program does
+                own.on_newer_version = reloader.reload_if_newer  # as the program does
                 await own.start()
                 await asyncio.sleep(0)
         gc.freeze()  # as the program does after its start
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -99,7 +99,7 @@
             if why == "drain":
                 scene.sidecar.frontend.drain()
             elif why == "evacuation":
-                scene.sidecar.drain_clients()
+                scene.sidecar.administration.drain_clients()
             else:
                 scene.sidecar.frontend.close_overdue(asyncio.get_running_loop().time() + 3_600)
             raw.send(request("lodge"))  # in that very moment: nothing has run since
@@ -231,7 +231,7 @@
             await until(lambda: len(scene.heard) == 2)
             silent = await scene.client()
             await until(lambda: scene.sidecar.frontend.open_connections == 3)
-            draining = asyncio.get_running_loop().create_task(scene.sidecar.drain())
+            draining = asyncio.get_running_loop().create_task(scene.sidecar.shut_down())
             for each in (resting, silent):
                 assert await soon(each.reader.read()) == b""
                 each.close()
@@ -295,7 +295,7 @@
                 client = await scene.client()
                 client.send(request("lodge"))
                 await until(lambda: scene.sidecar.frontend.is_deserted and scene.sidecar.open_requests == 0)
-            assert len(scene.heard) == 20 and scene.sidecar._owed == 0
+            assert len(scene.heard) == 20 and scene.sidecar.unanswered_requests == 0
             assert not [each for each in scene.log if "internal" in each]
         assert not [each for each in faults if "sidecar" in repr(each)]
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -180,9 +180,9 @@
     async def exclude(self) -> None:
         name = f"s-{self.chance.randrange(len(self.scene.servers))}"
         if self.chance.random() < 0.4:
-            self.scene.sidecar.exclude(name)
+            self.scene.sidecar.administration.exclude(name)
         else:
-            self.scene.sidecar.include(name)
+            self.scene.sidecar.administration.include(name)
 
     async def hurry(self) -> None:
         """Those whose time is up by now go."""
@@ -251,9 +251,10 @@
                 server.script = here.serve
             for _ in range(STEPS):
                 await here.step()
-                assert scene.sidecar._owed >= 0 and scene.sidecar.frontend.open_connections <= 340
+                assert scene.sidecar.unanswered_requests >= 0
+                assert scene.sidecar.frontend.open_connections <= 340
             owed = {id(each): each.sent for each in here.askers if each.is_legal}
-            draining = loop.create_task(scene.sidecar.drain())
+            draining = loop.create_task(scene.sidecar.shut_down())
             while not draining.done():
                 await here.chance.choice([here.answer, here.go_on, here.pause])()
                 await asyncio.sleep(0.001)
@@ -268,7 +269,7 @@
             for asker in here.askers:
                 assert asker.answers <= asker.sent + (not asker.is_legal) + bool(asker.rest), asker.got
                 assert not asker.is_legal or asker.answers >= owed.get(id(asker), 0), asker.got
-            assert scene.sidecar._owed == 0
+            assert scene.sidecar.unanswered_requests == 0
             assert not [each for each, count in here.runs.items() if count > 1]
             await until(lambda: not scene.sidecar._upstream._owners and not scene.sidecar._upstream._tasks)
             await until(lambda: not scene.sidecar._discovery._tasks)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -57,8 +57,8 @@
             await scene.call("POST", "/api/rejoin")
             assert await health(await scene.client()) == 200
             await scene.call("POST", "/api/evacuate")
-            ending = asyncio.create_task(scene.sidecar.drain())
-            await until(lambda: scene.sidecar._stop_by is not None)
+            ending = asyncio.create_task(scene.sidecar.shut_down())
+            await until(lambda: scene.sidecar.is_shutting_down)
             assert (await scene.call("POST", "/api/rejoin"))[0] == 409
             assert (await scene.call("POST", "/api/evacuate"))[0] == 409
             assert (await scene.ask()).status == 200
@@ -73,7 +73,7 @@
         async with stage(OK, console=True) as scene:
             young = await scene.client()
             await until(lambda: scene.sidecar.frontend.open_connections == 1)
-            scene.sidecar.drain_clients()
+            scene.sidecar.administration.drain_clients()
             assert (await young.ask()).status == 200
 
     play(work)
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -174,7 +174,7 @@
             call = sidecar._upstream._dial
 
             async def dial_late(*given: object) -> None:
-                sidecar.exclude("s-0")
+                sidecar.administration.exclude("s-0")
                 await call(*given)  # type: ignore[arg-type]
 
             sidecar._upstream._dial = dial_late  # type: ignore[assignment, method-assign]
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -261,7 +261,7 @@
             for client in scene.clients:
                 client.close()
             await until(lambda: at_the_sidecar(scene) == 0)
-            assert scene.sidecar._owed == 0 and scene.heard == []
+            assert scene.sidecar.unanswered_requests == 0 and scene.heard == []
             scene.discovery.tell(line("s-0", scene.servers[0].address, started_ms=1))
             await until(lambda: len(scene.discovery.heard) >= 4)
             scene.discovery.tell(line("s", slow.address, state="left"))
@@ -312,10 +312,10 @@
             balancer = scene.sidecar._balancer
             asked = asyncio.get_running_loop().create_task(scene.ask("check", timeout="20"))
             await until(lambda: len(scene.heard) == 1)
-            (number,) = scene.sidecar._open
+            (number,) = scene.sidecar._requests.numbers()
             scene.discovery.tell(line("s", slow.address))
             await until(lambda: balancer.knows("s"))
-            scene.sidecar._carry_out(
+            scene.sidecar._executor.execute(
                 SendAttempt(number, "s", 2**60)
             )  # as the decisions do for an overdue attempt
             await until(lambda: hurried(scene))
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -47,7 +47,7 @@
         sidecar = pushed_sidecar(agent.address, server.address, [])
         starting = asyncio.get_running_loop().create_task(sidecar.start())
         await until(lambda: len(agent.heard) == 1)
-        assert not sidecar.is_ready() and not starting.done()
+        assert not sidecar.administration.is_ready() and not starting.done()
         release.set()
         await soon(starting)
         reader, writer = await asyncio.open_connection(HOST, sidecar.frontend.port)
@@ -68,9 +68,9 @@
 ) -> None:
     async def work() -> None:
         if agent_is == "silent":
-            monkeypatch.setattr("sidecar.sidecar._FIRST_WORD_S", 0.05)
+            monkeypatch.setattr("sidecar.sidecar._FIRST_LIST_TIMEOUT_S", 0.05)
         else:
-            monkeypatch.setattr("sidecar.sidecar._FIRST_WORD_S", 3_600.0)  # a "no" is not waited out
+            monkeypatch.setattr("sidecar.sidecar._FIRST_LIST_TIMEOUT_S", 3_600.0)  # a "no" is not waited out
         script: Script = reply(b"", "503 Busy") if agent_is == "busy" else None
         server, agent = await ScriptedServer(OK).start(), await ScriptedServer(script).start()
         address = agent.address
--- a/tests/test_module_sizes.py
+++ b/tests/test_module_sizes.py
@@ -11,7 +11,6 @@
 EXCEPTIONS = {
     "balancer/balancer.py": 1_385,
     "sidecar/downstream/frontend.py": 685,
-    "sidecar/sidecar.py": 651,
     "tests/test_draw.py": 756,
     "tests/test_rules.py": 535,
     "tests/test_stream.py": 580,
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -71,8 +71,8 @@
             writer.write(request("lodge"))
             assert (await reader.readline()).startswith(b"HTTP/1.1 200")
             writer.close()
-            assert sidecar.exclude("s-0")
-            assert sidecar.include("s-0")
+            assert sidecar.administration.exclude("s-0")
+            assert sidecar.administration.include("s-0")
     finally:
         sidecar.close()
         server.stop()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -63,12 +63,12 @@
         }
         sidecar = Sidecar(parse(given), print)
         await sidecar.start()
-        assert sidecar._members is None
+        assert sidecar._cluster.members is None
         other = {**given["settings"], "tier": 4, "me": 0}
         kept = sidecar.reconfigure(parse({**given, "membership": {"on": True}, "settings": other}))
         assert kept == ["settings", "tier"]
-        assert sidecar._members is not None
-        assert (sidecar._members._tier, sidecar._members._me) == ("3", 1)
+        assert sidecar._cluster.members is not None
+        assert (sidecar._cluster.members._tier, sidecar._cluster.members._me) == ("3", 1)
         sidecar.close()
 
     play(work)
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -20,7 +20,7 @@
     RequestBodyCompleted,
     ResponseStarted,
 )
-from sidecar import sidecar
+from sidecar import graceful_shutdown
 from sidecar.downstream import stream
 from sidecar.downstream.stream import Upload, part_of_budget
 from sidecar.upstream import client, upstream
@@ -315,8 +315,8 @@
 
 def test_the_end_of_a_process_cuts_off_no_long_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against losing what its server is still giving: whatever else has to be over, it goes on.
-    for name in ("_KILLED_AFTER_S", "_LONGEST_DEADLINE_S", "_NEW_FOR_S", "_SPARE_S"):
-        monkeypatch.setattr(sidecar, name, 0.0)
+    for name in ("_KILL_DELAY_S", "_MAX_DEADLINE_S", "_ACCEPT_FOR_S", "_RESERVE_S"):
+        monkeypatch.setattr(graceful_shutdown, name, 0.0)
 
     async def work() -> None:
         release = asyncio.Event()
@@ -334,7 +334,7 @@
             await soon(read_head(reading.reader))
             waiting.send(request("lodge", timeout="5"))
             await until(lambda: len(scene.heard) == 2)
-            ending = asyncio.create_task(scene.sidecar.drain())
+            ending = asyncio.create_task(scene.sidecar.shut_down())
             assert (await waiting.answer()).status == 504
             assert not ending.done()
             release.set()
@@ -409,7 +409,7 @@
             sender = await scene.client()
             sender.send(request("lodge", body=BODY)[:-1])
             await until(lambda: taker.begun == 1)
-            assert scene.sidecar.metrics()["pending"] == 0
+            assert scene.sidecar.administration.metrics()["pending"] == 0
             sender.send(BODY[-1:])
             assert (await sender.answer()).status == 200
         server.close()
@@ -477,7 +477,7 @@
 
 async def list_only(scene: Scene, address: str) -> None:
     scene.discovery.tell(line("s-0", address))
-    await until(lambda: scene.sidecar.metrics()["members"] == 1)
+    await until(lambda: scene.sidecar.administration.metrics()["members"] == 1)
 
 
 def test_a_server_that_reads_nothing_holds_the_client_back_then_takes_the_rest() -> None:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -173,16 +173,16 @@
         ear, _ = await asyncio.get_running_loop().create_datagram_endpoint(Ear, local_addr=other)
         sidecar = Sidecar(parse(given(own, other, **more)), print)
         await sidecar.start()
-        assert sidecar._versions is None and sidecar.version is None
-        assert "configuration" not in sidecar.metrics()
+        assert sidecar._cluster.versions is None and sidecar.version is None
+        assert "configuration" not in sidecar.administration.metrics()
         lower = parse(given(own, other, **{**more, "version": 1} if "version" in more else more))
         assert sidecar.reconfigure(lower) == []  # taken over as ever
-        if sidecar._members is not None:
+        if sidecar._cluster.members is not None:
             await until(lambda: len(heard) >= 2)
             exchange = write(tier_number("0"), 1, Kind.ASK, Tally(9, 1, 1, 0), 0, 0)
-            sidecar._message_received(1, exchange)
-            assert sidecar._members.membership is not None
-            assert sidecar._members.membership.dropped["another version"] == 1
+            sidecar._cluster.message_received(1, exchange)
+            assert sidecar._cluster.members.membership is not None
+            assert sidecar._cluster.members.membership.dropped["another version"] == 1
         assert all(each[1] == 1 for each in heard)  # membership's, as the version before sends them
         sidecar.close()
         ear.close()
@@ -221,14 +221,14 @@
         await sidecar.start()
         sidecar.reconfigure(config(version=5))
         assert sidecar.version == 5
-        figures = sidecar.metrics()["configuration"]
+        figures = sidecar.administration.metrics()["configuration"]
         assert isinstance(figures, dict)
         assert figures["in_force_everywhere"] is None and figures["unheard"] == [1]
         with pytest.raises(ConfigurationError, match="version: 4 is older than 5, which is in force"):
             sidecar.reconfigure(config(version=4))
         assert sidecar.version == 5
         sidecar.reconfigure(config(version=5, rollout={"on": False}))
-        assert sidecar.version is None and "configuration" not in sidecar.metrics()
+        assert sidecar.version is None and "configuration" not in sidecar.administration.metrics()
         sidecar.reconfigure(config(version=4))  # nothing was in force by a version
         assert sidecar.version == 4
         sidecar.reconfigure(config(version=6, membership={"on": False}))
@@ -251,7 +251,7 @@
             parse(given(own, other, version=6, limits={**GOOD["limits"], "sockets": 999}))
         ) == ["sockets"]
         assert sidecar.version == 5
-        figures = sidecar.metrics()["configuration"]
+        figures = sidecar.administration.metrics()["configuration"]
         assert isinstance(figures, dict)
         assert (figures["newest_heard"], figures["in_force"]) == (6, 0)
         assert sidecar.reconfigure(parse(given(own, other, version=7))) == []
@@ -267,7 +267,7 @@
         sidecar = Sidecar(parse(given(own, other)), print)
         await sidecar.start()
         sidecar.reconfigure(parse(given(own, other, version=6, limits={**GOOD["limits"], "sockets": 999})))
-        assert sidecar.version is None and "configuration" not in sidecar.metrics()
+        assert sidecar.version is None and "configuration" not in sidecar.administration.metrics()
         sidecar.close()
 
     play(work)
@@ -282,7 +282,7 @@
         moved["peers"] = moved["peers"][:1]
         with pytest.raises(ConfigurationError):
             sidecar.reconfigure(parse(moved))
-        assert sidecar._peers.size == 2 and sidecar._discovery._address == (HOST, 9)
+        assert sidecar._cluster.peers.size == 2 and sidecar._discovery._address == (HOST, 9)
         sidecar.close()
 
     play(work)
