--- a/bench/decide.py
+++ b/bench/decide.py
@@ -35,7 +35,8 @@
 from bench.sidecars import how_built, restart_as_built
 from bench.spread import show, spread
 from sidecar.clock import Clock
-from sidecar.discovery.catalog import Catalog, Listing, parse_listing
+from sidecar.discovery.endpoint_list import EndpointList, parse_endpoint_list
+from sidecar.discovery.endpoint_list_tracker import EndpointListTracker
 from sidecar.upstream.upstream import Upstream
 from testbed.capacity.samples import FOLDER, Sample, save
 
@@ -89,7 +90,7 @@
         known = listed(range(FIRST_PORT, FIRST_PORT + servers), setting.zones)
         for each in known["servers"][: round(servers * setting.cold)]:
             each["started_ms"] = BEGAN_US // 1_000
-        listing = parse_listing(known)
+        listing = parse_endpoint_list(known)
         self._take(self._balancer.handle(self._now, listing.event(EndpointListKind.CACHED)))
         self._take(self._balancer.handle(self._now + 1, listing.event()))
 
@@ -155,19 +156,19 @@
 def take_list(body: bytes) -> dict[str, float]:
     """Read a whole list and take it over where an equal one was held, as the sidecar does; us by stage."""
     given = json.loads(body)
-    held = parse_listing(given)
-    catalog = Catalog(held)
+    held = parse_endpoint_list(given)
+    tracker = EndpointListTracker(held)
     pool = Upstream(Clock(), Limits(), 64, lambda: None)
     pool.listed(held)
     balancer = Balancer(settings_from_wire({**SETTINGS, "zone": "z0"}), 1)
     balancer.handle(0, held.event(EndpointListKind.CACHED))
-    found: list[Listing] = []
+    found: list[EndpointList] = []
     event: list[EndpointListReceived] = []
-    begun = catalog.begin()
+    begun = tracker.begin_poll()
     stages: dict[str, Callable[[], object]] = {
         "json": lambda: json.loads(body),
-        "parse": lambda: found.append(parse_listing(given)),
-        "admit": lambda: catalog.admit(found[0], begun, held.version),
+        "parse": lambda: found.append(parse_endpoint_list(given)),
+        "admit": lambda: tracker.accept(found[0], begun, held.version),
         "pool": lambda: pool.listed(found[0]),
         "event": lambda: event.append(found[0].event()),
         "decisions": lambda: balancer.handle(1, event[0]),
--- a/bench/staged.py
+++ b/bench/staged.py
@@ -24,7 +24,7 @@
 from bench.listed import listed
 from bench.process import HOST
 from bench.relay import Client, End, relay
-from sidecar.discovery.catalog import parse_listing
+from sidecar.discovery.endpoint_list import parse_endpoint_list
 from sidecar.downstream.request import read_request
 from sidecar.http import RequestHead, RequestReader, ResponseHead, ResponseReader, Signal, request_head
 from sidecar.http.writer import response_head
@@ -40,8 +40,8 @@
         self._balancer = Balancer(_SETTINGS, 1)
         self._number = 0
         known = listed(ports)
-        self._play(parse_listing(known).event(EndpointListKind.CACHED))
-        self._play(parse_listing(known).event())
+        self._play(parse_endpoint_list(known).event(EndpointListKind.CACHED))
+        self._play(parse_endpoint_list(known).event())
 
     def arrived(self, key: int | None, remaining_us: int) -> tuple[int, str]:
         """A request came: its number, and the server that it is for."""
--- a/sidecar/action_executor.py
+++ b/sidecar/action_executor.py
@@ -73,9 +73,9 @@
             case CloseIdleConnections():
                 self._upstream.close_idle(action.server)
             case WatchEndpoints():
-                self._discovery.follow(action.is_enabled)
+                self._discovery.watch(action.is_enabled)
             case PollEndpoints():
-                self._discovery.fetch()
+                self._discovery.poll()
             case HealthCheck():
                 self._attempts.send_health_check(action.server)
             case SendPeerMessage():
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -16,7 +16,7 @@
 from balancer import Settings
 from balancer.adapter import settings_from_wire
 from sidecar.cluster.settings import MembershipSettings, RolloutSettings
-from sidecar.discovery.catalog import Listing, parse_listing
+from sidecar.discovery.endpoint_list import EndpointList, EndpointListError, parse_endpoint_list
 from sidecar.errors import SidecarError
 from sidecar.upstream.client import Address, parse_address
 
@@ -62,7 +62,7 @@
     seed: int
     max_sockets: int
     memory_mb: int
-    known_endpoints: Listing  # the endpoint list to start with
+    known_endpoints: EndpointList  # the endpoint list to start with
     peer_listen_address: Address | None
     peer_addresses: tuple[Address, ...]  # of all sidecars of the cluster, this one included
     broadcast_address: Address | None  # reaches all other sidecars of the cluster
@@ -152,12 +152,12 @@
         raise ConfigurationError(path) from None
 
 
-def _known_endpoints(value: object) -> Listing:
+def _known_endpoints(value: object) -> EndpointList:
     if value is None:
-        return Listing(0, True, ())
+        return EndpointList(0, True, ())
     try:
-        return parse_listing(value)
-    except ValueError as error:
+        return parse_endpoint_list(value)
+    except EndpointListError as error:
         raise ConfigurationError(f"known: {error}") from None
 
 
--- /dev/null
+++ b/sidecar/discovery/watcher.py
@@ -0,0 +1,72 @@
+"""Watches the endpoint list: polls that discovery answers when there are changes, one after another."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from random import Random
+
+from sidecar.discovery.connection import DiscoveryConnection, PollFailedError
+from sidecar.discovery.endpoint_list import EndpointList
+from sidecar.discovery.endpoint_list_tracker import EndpointListTracker, InconsistentChangesError
+from sidecar.discovery.hedged_poll import HedgedPoll
+from sidecar.upstream.client import Address
+
+_MAX_WAIT_MS = 20_000
+# Part of the wait by which it may be shorter, at random: where all watches of a cluster break at once, they
+# must not all come back at once.
+_WAIT_JITTER = 0.25
+
+
+class Watcher:
+    """One watch of discovery at one address."""
+
+    def __init__(
+        self,
+        address: Address,
+        tracker: EndpointListTracker,
+        random: Random,
+        on_list: Callable[[EndpointList], None],
+        on_first_response: Callable[[], None],
+    ) -> None:
+        self._address = address
+        self._tracker = tracker
+        self._random = random
+        self._on_list = on_list
+        self._on_first_response = on_first_response
+        self.has_response = False  # whether a poll has been answered
+
+    async def run(self) -> None:
+        """Watch until a poll fails, then raise PollFailedError.
+
+        The first poll does not wait, so that it is answered soon.
+        """
+        connection: DiscoveryConnection | None = None
+        wait_ms = 0
+        try:
+            while True:
+                after_version, position = self._tracker.after_version, self._tracker.begin_poll()
+                poll = HedgedPoll(self._address, after_version, wait_ms, connection)
+                try:
+                    endpoint_list = await poll.result()
+                finally:
+                    connection = poll.close()
+                self._response_received(endpoint_list, position, after_version)
+                wait_ms = int(_MAX_WAIT_MS * (1.0 - _WAIT_JITTER * self._random.random()))
+        finally:
+            if connection is not None:
+                connection.close()
+
+    def _response_received(
+        self, endpoint_list: EndpointList, position: int, after_version: int | None
+    ) -> None:
+        """Report a list that is news; the first response is reported whatever it says."""
+        try:
+            news = self._tracker.accept(endpoint_list, position, after_version)
+        except InconsistentChangesError as error:
+            raise PollFailedError(str(error)) from None
+        if news is None or not (news.is_complete or news.endpoints):
+            news = None if self.has_response else EndpointList(self._tracker.version, False, ())
+        self.has_response = True
+        self._on_first_response()
+        if news is not None:
+            self._on_list(news)
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -15,8 +15,8 @@
 from sidecar.clock import Clock
 from sidecar.cluster_service import ClusterService
 from sidecar.configuration import Configuration
-from sidecar.discovery.catalog import Listing
 from sidecar.discovery.discovery import Discovery
+from sidecar.discovery.endpoint_list import EndpointList
 from sidecar.downstream.frontend import Frontend
 from sidecar.downstream.listener import bound
 from sidecar.event_dispatcher import EventDispatcher
@@ -80,7 +80,7 @@
         self._exclusions.restore(watch=self._listener is not None)
         self._hot_restart.watch(self._resize_upstream)
         self._discovery.start()
-        await self._discovery.first_word(_FIRST_LIST_TIMEOUT_S)
+        await self._discovery.wait_for_first_list(_FIRST_LIST_TIMEOUT_S)
         self.frontend.listen(self._listener or bound(configuration.listen_address))
 
     def reconfigure(self, configuration: Configuration) -> list[str]:
@@ -141,7 +141,7 @@
         self._upstream.close()
         self.frontend.stop_listening()
 
-    def _endpoint_list_received(self, endpoint_list: Listing) -> None:
+    def _endpoint_list_received(self, endpoint_list: EndpointList) -> None:
         self._upstream.listed(endpoint_list)
         self._dispatcher.dispatch(endpoint_list.event())
 
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -10,7 +10,7 @@
 from balancer.events import EndpointEntry, EndpointState, Outcome
 from balancer.settings import Limits
 from sidecar.clock import Clock
-from sidecar.discovery.catalog import Listing
+from sidecar.discovery.endpoint_list import EndpointList
 from sidecar.downstream.stream import KEPT, STALLED_S
 from sidecar.roles import Sink
 from sidecar.upstream.client import Address, ClientConnection, Failure, Message, Response
@@ -119,23 +119,23 @@
 
     # The list
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, listing: EndpointList) -> None:
         """Take over a list or its changes, before any action that follows from it."""
-        if listing.full:
-            for name in self._servers.keys() - {each.listed.server for each in listing.entries}:
+        if listing.is_complete:
+            for name in self._servers.keys() - {each.entry.server for each in listing.endpoints}:
                 self._drop(name)
-        for entry in listing.entries:
-            name, address = entry.listed.server, entry.address
+        for endpoint in listing.endpoints:
+            name, address = endpoint.entry.server, endpoint.address
             if address is None:
                 self._drop(name)
                 continue
-            server, listed = self._servers.get(name), entry.listed
+            server, listed = self._servers.get(name), endpoint.entry
             # Guards against writing to what was there before under the same id, or to a server that is no
             # longer in the zone or cell by which a repeat was drawn.
             if server is None or not server.is_same(address, listed):
                 self._drop(name)
                 server = self._servers[name] = _Server(address, listed, name in self._excluded)
-            server.is_leaving = entry.listed.state is not EndpointState.READY
+            server.is_leaving = endpoint.entry.state is not EndpointState.READY
             if server.is_leaving:
                 self._close_idle(server)
 
--- a/testbed/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -19,7 +19,7 @@
 from sidecar.cluster.view import Action, News
 from sidecar.cluster_service import ClusterService
 from sidecar.configuration import Configuration
-from sidecar.discovery.catalog import Listing
+from sidecar.discovery.endpoint_list import EndpointList
 from sidecar.members import Members
 from sidecar.peers import Peers
 from sidecar.sidecar import Sidecar
@@ -189,7 +189,7 @@
     def members(self) -> Members | None:
         return self._cluster.members
 
-    def _endpoint_list_received(self, endpoint_list: Listing) -> None:
+    def _endpoint_list_received(self, endpoint_list: EndpointList) -> None:
         self._ground.on_told(self.number)
         super()._endpoint_list_received(endpoint_list)
 
--- a/testbed/tier/line.py
+++ b/testbed/tier/line.py
@@ -1,7 +1,7 @@
 """DiscoveryMode's line after an outage: how soon all of a tier have an answer again; `make line`, as data.
 
 The sidecars' waits are those of the module itself (`balancer.Balancer`), their calls those of
-`sidecar.discovery.discovery`: a watch that broke is called anew when the module says so, and keeps its place
+`sidecar.discovery.watcher`: a watch that broke is called anew when the module says so, and keeps its place
 in the line when it is asked for again.  Modelled is discovery: it refuses while it is down; later it serves
 calls one after another, each for so long, and gives up (an answer without a list) what has stood in line
 for 3 s.
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -21,9 +21,9 @@
 )
 
 from balancer import balancer
-from sidecar.discovery import discovery as calls
-from sidecar.discovery.catalog import Listing, parse_listing
+from sidecar.discovery import connection, hedged_poll
 from sidecar.discovery.discovery import Discovery
+from sidecar.discovery.endpoint_list import EndpointList, parse_endpoint_list
 from sidecar.upstream.client import parse_address
 
 
@@ -31,17 +31,17 @@
     """What discovery told."""
 
     def __init__(self, server: ScriptedServer, version: int = 41, pushed: bool = False) -> None:
-        self.events: asyncio.Queue[Listing | None] = asyncio.Queue()
+        self.events: asyncio.Queue[EndpointList | None] = asyncio.Queue()
         self.discovery = Discovery(
             parse_address(server.address),
-            Listing(version, True, ()),
+            EndpointList(version, True, ()),
             pushed,
             7,
             self.events.put_nowait,
             lambda: self.events.put_nowait(None),
         )
 
-    async def next(self) -> Listing | None:
+    async def next(self) -> EndpointList | None:
         return await soon(self.events.get())
 
 
@@ -51,18 +51,18 @@
         server.servers = [line("s-1", "127.0.0.2:80")]
         await server.start()
         ears = Ears(server)
-        ears.discovery.follow(True)
+        ears.discovery.watch(True)
         first = await ears.next()
-        assert first is not None and first.full and first.version == 1
+        assert first is not None and first.is_complete and first.version == 1
         await until(lambda: len(server.heard) == 2)
         assert server.heard[0].target == "/catalog/members?after=41&wait_ms=0"
         target, _, wait_ms = server.heard[1].target.rpartition("=")
         assert target == "/catalog/members?after=1&wait_ms" and 15_000 <= int(wait_ms) <= 20_000
         server.tell(line("s-1", "127.0.0.2:80", state="leaving"))
         news = await ears.next()
-        assert news is not None and not news.full and news.version == 2
+        assert news is not None and not news.is_complete and news.version == 2
         await until(lambda: len(server.heard) == 3)
-        ears.discovery.follow(False)
+        ears.discovery.watch(False)
         await until(lambda: len(server.closed) == 0 or server.closed == [0])
         ears.discovery.close()
         server.stop()
@@ -79,7 +79,7 @@
         if not answered:
             old.script = None  # slow as it is, the call is owed one answer
         ears = Ears(old)
-        ears.discovery.follow(True)
+        ears.discovery.watch(True)
         if answered:
             assert await ears.next() is not None
         await until(lambda: len(old.heard) == (2 if answered else 1))
@@ -92,7 +92,7 @@
         new.tell(line("s-1", "127.0.0.2:80", state="leaving"))
         told = await ears.next()
         assert told is not None and told.version == 10
-        ears.discovery.fetch()
+        ears.discovery.poll()
         assert await ears.next() is not None and len(old.heard) <= 2
         ears.discovery.close()
         old.stop()
@@ -119,7 +119,7 @@
     ],
     ids=str,
 )
-@pytest.mark.parametrize("how", ["follow", "fetch"])
+@pytest.mark.parametrize("how", ["watch", "poll"])
 def test_a_call_that_fails_is_one_failure_and_the_next_is_heard(answer: bytes | None, how: str) -> None:
     async def work() -> None:
         async def once(heard: Heard) -> bytes:
@@ -133,10 +133,10 @@
         ears = Ears(server)
 
         def call() -> None:
-            if how == "follow":
-                ears.discovery.follow(True)
+            if how == "watch":
+                ears.discovery.watch(True)
             else:
-                ears.discovery.fetch()
+                ears.discovery.poll()
 
         call()
         assert await ears.next() is None
@@ -155,9 +155,9 @@
         server = await ScriptedServer(None).start()
         ears = Ears(server)
         server.stop()
-        ears.discovery.follow(True)
+        ears.discovery.watch(True)
         assert await ears.next() is None
-        ears.discovery.fetch()
+        ears.discovery.poll()
         assert await ears.next() is None
 
     play(work)
@@ -175,9 +175,9 @@
         server = await ScriptedServer(slow).start()
         ears = Ears(server)
         for _ in range(3):
-            ears.discovery.follow(True)
+            ears.discovery.watch(True)
         await until(lambda: len(server.heard) == 1)
-        ears.discovery.follow(True)
+        ears.discovery.watch(True)
         release.set()
         assert await ears.next() is not None
         assert server.connections == 1
@@ -229,10 +229,10 @@
 @pytest.fixture
 def short_waits(monkeypatch: pytest.MonkeyPatch) -> None:
     """Watches wait for 20 ms and are overdue 10 ms later; what is made beside one, 10 ms after that."""
-    monkeypatch.setattr("sidecar.discovery.discovery._WATCH_MS", 20)
-    for name in ("_WATCH_OVERDUE_S", "_BESIDE_OVERDUE_S", "_ANSWER_OVERDUE_S"):
-        monkeypatch.setattr(f"sidecar.discovery.discovery.{name}", 0.01)
-    monkeypatch.setattr("sidecar.discovery.discovery._FAILED_AFTER_S", PATIENCE_S)
+    monkeypatch.setattr("sidecar.discovery.watcher._MAX_WAIT_MS", 20)
+    for name in ("WATCH_OVERDUE_S", "HEDGE_OVERDUE_S", "POLL_OVERDUE_S"):
+        monkeypatch.setattr(f"sidecar.discovery.hedged_poll.{name}", 0.01)
+    monkeypatch.setattr("sidecar.discovery.hedged_poll.POLL_TIMEOUT_S", PATIENCE_S)
 
 
 @pytest.mark.parametrize("silent", [1, 2])
@@ -250,7 +250,7 @@
 
         server = await Scripted(answers).start()
         ears = Ears(server, 0, pushed)
-        ears.discovery.start() if pushed else ears.discovery.follow(True)
+        ears.discovery.start() if pushed else ears.discovery.watch(True)
         assert (first := await ears.next()) is not None and first.version == 1
         assert (news := await ears.next()) is not None and news.version == 2
         watch, beside = server.heard[1], server.heard[1 + silent]
@@ -267,7 +267,7 @@
     async def work() -> None:
         server = await Scripted(lambda number, _: None if number == 0 else whole(3, s="active")).start()
         ears = Ears(server)
-        ears.discovery.follow(True)
+        ears.discovery.watch(True)
         assert (first := await ears.next()) is not None and first.version == 3
         ears.discovery.close()
         server.stop()
@@ -280,11 +280,11 @@
         busy = reply(b"", "503 Busy")
         server = await Scripted(lambda number, _: busy if number < 2 else whole(4, s="active")).start()
         ears = Ears(server)
-        ears.discovery.follow(True)
-        ears.discovery.fetch()
+        ears.discovery.watch(True)
+        ears.discovery.poll()
         assert [await ears.next(), await ears.next()] == [None, None]
         assert ears.events.empty()
-        ears.discovery.follow(True)
+        ears.discovery.watch(True)
         assert (heard := await ears.next()) is not None and heard.version == 4
         ears.discovery.close()
         server.stop()
@@ -301,7 +301,7 @@
 
         server = await Scripted(answers).start()
         ears = Ears(server)
-        ears.discovery.follow(True)
+        ears.discovery.watch(True)
         assert await ears.next() is not None
         assert (news := await ears.next()) is not None and news.version == 2
         ears.discovery.close()
@@ -314,10 +314,10 @@
     short_waits: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
-        monkeypatch.setattr("sidecar.discovery.discovery._FAILED_AFTER_S", 0.1)
+        monkeypatch.setattr("sidecar.discovery.hedged_poll.POLL_TIMEOUT_S", 0.1)
         server = await Scripted(lambda number, _: whole(1) if number == 0 else None).start()
         ears = Ears(server)
-        ears.discovery.follow(True)
+        ears.discovery.watch(True)
         assert await ears.next() is not None
         assert await ears.next() is None
         await until(lambda: len(server.closed) == server.connections)
@@ -334,7 +334,7 @@
 
         server = await Scripted(answers).start()
         ears = Ears(server)
-        ears.discovery.follow(True)
+        ears.discovery.watch(True)
         assert await ears.next() is not None
         assert await ears.next() is None
         assert len(server.heard) == 4 and ears.events.empty()
@@ -356,13 +356,13 @@
 
         server = await ScriptedServer(script).start()
         ears = Ears(server, 3)
-        ears.discovery.fetch()
+        ears.discovery.poll()
         await until(lambda: len(server.heard) == 1)
-        ears.discovery.follow(True)
+        ears.discovery.watch(True)
         assert (news := await ears.next()) is not None and news.version == 9
         release.set()
         answer = await ears.next()
-        assert answer is not None and (answer.version, answer.entries) == (9, ())
+        assert answer is not None and (answer.version, answer.endpoints) == (9, ())
         ears.discovery.close()
         server.stop()
 
@@ -382,7 +382,7 @@
             await Scripted(lambda *_: whole(6, s="leaving")).start(),
         )
         ears = Ears(old, 3)
-        ears.discovery.fetch()
+        ears.discovery.poll()
         await until(lambda: len(old.heard) == 1)
         ears.discovery.move(parse_address(new.address))
         release.set()
@@ -401,12 +401,12 @@
         old, new = ScriptedDiscovery(), await ScriptedServer(None).start()
         await old.start()
         ears = Ears(old)
-        ears.discovery.follow(True)
+        ears.discovery.watch(True)
         assert await ears.next() is not None
         ears.discovery.move(parse_address(new.address))
         await until(lambda: len(new.heard) == 1)
-        ears.discovery.follow(True)
-        ears.discovery.fetch()  # comes after whatever a new watch would have asked
+        ears.discovery.watch(True)
+        ears.discovery.poll()  # comes after whatever a new watch would have asked
         await until(lambda: len(new.heard) == 2)
         assert "?" not in new.heard[1].target and new.closed == []
         ears.discovery.close()
@@ -417,25 +417,25 @@
 
 
 def test_a_listing_is_read_as_the_decisions_need_it() -> None:
-    listing = parse_listing(
+    listing = parse_endpoint_list(
         {"version": 3, "full": False, "servers": [line("a", "127.0.0.1:80", started_ms=1_700_000_000_123)]}
     )
-    listed = listing.entries[0].listed
-    assert listed.started_at == 1_700_000_000_123_000
-    gone = parse_listing({"version": 3, "full": False, "servers": [{"id": "a", "state": "left"}]})
-    assert gone.entries[0].address is None
+    entry = listing.endpoints[0].entry
+    assert entry.started_at == 1_700_000_000_123_000
+    gone = parse_endpoint_list({"version": 3, "full": False, "servers": [{"id": "a", "state": "left"}]})
+    assert gone.endpoints[0].address is None
 
 
 def test_whatever_failed_discovery_is_asked_again_well_before_its_word_counts_as_told() -> None:
     # From when it can be reached on, the longest way to the first call that it hears.  The rest of
     # the 6 s is for its line: it serves the calls of the whole tier one after another.
     waits_s = balancer.ASK_AGAIN_LONGEST * balancer.TOLD_US / 1e6
-    last_asked_s = calls._ANSWER_OVERDUE_S + calls._BESIDE_OVERDUE_S
+    last_asked_s = hedged_poll.POLL_OVERDUE_S + hedged_poll.HEDGE_OVERDUE_S
     ways = {
         "a wait had just begun": waits_s,
-        "a dial had just begun, and hangs": calls._DIAL_WITHIN_S + waits_s,
-        "a call was just accepted, and is silent": calls._ANSWER_OVERDUE_S,
-        "so was the last one beside it": calls._FAILED_AFTER_S - last_asked_s + waits_s,
+        "a dial had just begun, and hangs": connection.CONNECT_TIMEOUT_S + waits_s,
+        "a call was just accepted, and is silent": hedged_poll.POLL_OVERDUE_S,
+        "so was the last one beside it": hedged_poll.POLL_TIMEOUT_S - last_asked_s + waits_s,
     }
-    assert calls._MOST_BESIDE == 3  # what is counted here: a call and two beside it
+    assert hedged_poll.MAX_CONNECTIONS == 3  # what is counted here: a call and two beside it
     assert max(ways.values()) <= balancer.TOLD_US / 1e6 - 1.2
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -32,7 +32,7 @@
 from balancer.events import Outcome
 from balancer.settings import Limits
 from sidecar.clock import Clock
-from sidecar.discovery.catalog import parse_listing
+from sidecar.discovery.endpoint_list import parse_endpoint_list
 from sidecar.upstream.client import Message
 from sidecar.upstream.upstream import Call, Upstream
 
@@ -93,7 +93,7 @@
 
     def listed(self, **changes: Any) -> None:
         listed = line("s-0", self.slow.address, **changes)
-        self.upstream.listed(parse_listing({"version": 1, "full": True, "servers": [listed]}))
+        self.upstream.listed(parse_endpoint_list({"version": 1, "full": True, "servers": [listed]}))
 
     def call(self, **how: Any) -> Call:
         def message(left_us: int) -> Message:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -21,7 +21,7 @@
 from balancer.events import Outcome
 from balancer.settings import Limits
 from sidecar.clock import Clock
-from sidecar.discovery.catalog import parse_listing
+from sidecar.discovery.endpoint_list import parse_endpoint_list
 from sidecar.upstream.client import Message
 from sidecar.upstream.upstream import Call, Upstream
 
@@ -174,7 +174,7 @@
         server = await ScriptedServer(hold).start()
         upstream = Upstream(Clock(), Limits(connect_timeout_us=1_000_000), 4, lambda: None)
         listed = line("s-0", server.address)
-        upstream.listed(parse_listing({"version": 1, "full": True, "servers": [listed]}))
+        upstream.listed(parse_endpoint_list({"version": 1, "full": True, "servers": [listed]}))
         ends: list[Outcome] = []
 
         def message(left_us: int) -> Message:
