--- a/sidecar/attempts.py
+++ b/sidecar/attempts.py
@@ -9,8 +9,8 @@
 from balancer.settings import LoadReportSource, Settings
 from sidecar.clock import Clock
 from sidecar.http import Headers
+from sidecar.interfaces import ResponseSink
 from sidecar.open_requests import OpenRequests
-from sidecar.roles import Sink
 from sidecar.upstream.client import ClientConnection, Message, Response
 from sidecar.upstream.upstream import Call, Upstream, load_report
 
@@ -45,7 +45,7 @@
         def done(outcome: Outcome, response: Response | None) -> None:
             self._ended(number, attempt, outcome, response)
 
-        def begun(source: ClientConnection, head: Response, length: int | None) -> Sink | None:
+        def begun(source: ClientConnection, head: Response, length: int | None) -> ResponseSink | None:
             return self._response_started(number, attempt, source, head, length)
 
         def is_wanted() -> bool:
@@ -80,7 +80,7 @@
 
     def _response_started(
         self, number: int, attempt: int, source: ClientConnection, head: Response, length: int | None
-    ) -> Sink | None:
+    ) -> ResponseSink | None:
         """Pass a response through that is too long to be buffered; None if the client has one or is gone."""
         request = self._requests.get(number)
         if request is None or request.client is None or request.streaming_attempt is not None:
--- a/sidecar/clock.py
+++ b/sidecar/clock.py
@@ -6,44 +6,48 @@
 import time
 from collections.abc import Callable
 
-_SOONEST_S = 0.001  # a timer that is due at once must not spin
+_MIN_DELAY_S = 0.001  # a timer that is due must not keep the event loop spinning
 
 
 class Clock:
-    """Whole microseconds of Unix time, read once; from there on only the monotonic clock moves it.
+    """Unix time in whole microseconds, read once; from then on only the monotonic clock moves it.
 
-    Servers' start times compare with it, and no step of the system's clock disturbs a timer or a deadline.
+    It can be compared with the start times of servers, and a step of the system's clock affects no timer.
     """
 
     def __init__(self) -> None:
         self._offset_ns = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
+        """Return the time in microseconds."""
         return (time.monotonic_ns() + self._offset_ns) // 1_000
 
 
-class Alarm:
-    """One timer: set anew, it rings at the new time in place of the old."""
+class Timer:
+    """A timer that can be rescheduled: only the last schedule counts."""
 
-    def __init__(self, clock: Clock, ring: Callable[[], None]) -> None:
-        self._clock, self._ring = clock, ring
-        self._timer: asyncio.TimerHandle | None = None
+    def __init__(self, clock: Clock, callback: Callable[[], None]) -> None:
+        self._clock = clock
+        self._callback = callback
+        self._handle: asyncio.TimerHandle | None = None
 
     @property
     def is_set(self) -> bool:
-        return self._timer is not None
+        """Whether the callback will be called."""
+        return self._handle is not None
 
-    def at(self, at: int) -> None:
-        """Ring at this time of the clock, or as good as at once where that has passed."""
+    def schedule(self, due: int) -> None:
+        """Call the callback at this time of the clock, or about now if that has passed."""
         self.cancel()
-        wait_s = max((at - self._clock.now()) / 1e6, _SOONEST_S)
-        self._timer = asyncio.get_running_loop().call_later(wait_s, self._rings)
+        delay_s = max((due - self._clock.now()) / 1e6, _MIN_DELAY_S)
+        self._handle = asyncio.get_running_loop().call_later(delay_s, self._fire)
 
     def cancel(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-
-    def _rings(self) -> None:
-        self._timer = None
-        self._ring()
+        """Don't call the callback, until it is scheduled again."""
+        if self._handle is not None:
+            self._handle.cancel()
+            self._handle = None
+
+    def _fire(self) -> None:
+        self._handle = None
+        self._callback()
--- a/sidecar/downstream/frontend.py
+++ b/sidecar/downstream/frontend.py
@@ -10,6 +10,7 @@
 from typing import cast
 
 from balancer.settings import Settings
+from sidecar.connection_socket import ConnectionSocket
 from sidecar.downstream.listener import Listener
 from sidecar.downstream.request import CHUNKED, BadRequest, Incoming, read_request
 from sidecar.downstream.stream import KEPT, LONGEST, STALLED_S, BoundedReader, Upload, part_of_budget
@@ -24,8 +25,7 @@
     chunk,
     response_head,
 )
-from sidecar.roles import Source, Transport
-from sidecar.wire import Wire
+from sidecar.interfaces import ResponseSource, Transport
 
 _YOUNG_S = 0.25  # a connection that waits for its request for longer goes before one at rest
 _LOOKS = 8  # connections at rest that are looked at for one to let go
@@ -75,14 +75,14 @@
         self._frontend = frontend
         self._http = RequestReader()
         self._transport: Transport | None = None
-        self._wire: Wire | None = None
+        self._socket: ConnectionSocket | None = None
         self._request: RequestHead | None = None
         self._body = bytearray()
         self._received = 0  # of the body
         self._began = 0.0  # when the client's time to send began
         self._upload: Upload | None = None  # a body that passes through and has not come to its end
         self._held_since: float | None = None  # since when the client is kept from sending
-        self._source: Source | None = None  # of the answer that passes through now
+        self._source: ResponseSource | None = None  # of the answer that passes through now
         self._is_long = False  # whether the last answer passed through
         self._is_chunked = False  # and whether that in chunks
         self._left: int | None = None  # how much of it is to come, where its head says so
@@ -98,7 +98,7 @@
         """Whether closing it now loses no request, not even one that lies unread in the socket."""
         if self._owed is not None or self._request is not None or self._ended:
             return False
-        return self._wire is not None and self._wire.is_quiet()
+        return self._socket is not None and self._socket.is_idle()
 
     def _enter(self, phase: Phase) -> None:
         if phase is not self.phase:
@@ -134,7 +134,7 @@
             return True
         return not self._request.keeps_alive
 
-    def begin(self, headers: Headers, length: int | None, first: bytes, source: Source) -> bool:
+    def begin(self, headers: Headers, length: int | None, first: bytes, source: ResponseSource) -> bool:
         """Write the beginning of an answer that passes through; say whether the client is there for it."""
         if self._transport is None or self._transport.is_closing():
             return False
@@ -194,8 +194,8 @@
         if self._transport is None or self._ended:
             return
         if not self._transport.is_closing() and not self._transport.get_write_buffer_size():
-            assert self._wire is not None
-            self._wire.end()  # at once: the transport's own end waits for its turn in the event loop
+            assert self._socket is not None
+            self._socket.shut_down()  # at once: the transport's own end waits for its turn in the event loop
         self._hang_up()
 
     def abort(self) -> None:
@@ -209,8 +209,8 @@
         """End a connection that has brought nothing and has no answer on its way, and free its descriptor."""
         if self._transport is None:
             return
-        if not self._transport.is_closing() and self._wire is not None:
-            self._wire.end()
+        if not self._transport.is_closing() and self._socket is not None:
+            self._socket.shut_down()
         self._enter(Phase.CLOSED)
         self._ended = True
         self._transport.close()
@@ -268,8 +268,8 @@
 
     def _unread_bytes(self) -> int:
         """How much was written for the client and not taken by its machine."""
-        assert self._transport is not None and self._wire is not None
-        return self._transport.get_write_buffer_size() + self._wire.unsent_bytes()
+        assert self._transport is not None and self._socket is not None
+        return self._transport.get_write_buffer_size() + self._socket.unsent_bytes()
 
     # What the event loop calls
 
@@ -277,7 +277,7 @@
         # The event loop's own class is none of asyncio's, so there is nothing to check.
         self._transport = cast(Transport, transport)
         self._began = asyncio.get_running_loop().time()
-        self._wire = Wire(self._transport)
+        self._socket = ConnectionSocket(self._transport)
         self._frontend.opened(self)
 
     def data_received(self, data: bytes) -> None:
@@ -327,8 +327,8 @@
         self._enter(Phase.CLOSED)
         self._ended = True
         self._frontend.closed(self)
-        if self._wire is not None:
-            self._wire.release()
+        if self._socket is not None:
+            self._socket.release()
 
     # The rest
 
@@ -338,7 +338,7 @@
         Guards against collapse: when there is too little time for all, requests are read so late that their
         clients have given up and ask anew, and all the time would go to answers that nobody reads.
         """
-        return self._wire is not None and self._wire.has_left()
+        return self._socket is not None and self._socket.is_peer_closed()
 
     def _gone(self) -> None:
         self._forget_upload()
@@ -430,8 +430,8 @@
         self._let_send()
         upload.end()
         if self._owed is not None:
-            assert self._wire is not None
-            self._frontend.completed(self._owed, self._wire.unread_us())
+            assert self._socket is not None
+            self._frontend.completed(self._owed, self._socket.unread_us())
 
     def _hold(self) -> None:
         """Read no more of the body for now: whoever takes it is slower."""
@@ -473,8 +473,8 @@
             self._reject(400, f"{fault}\n".encode())
             return
         # The client's time runs from when it sent the request, not from when that was read.
-        assert self._wire is not None
-        incoming.remaining_us = max(incoming.remaining_us - self._wire.unread_us(), 1)
+        assert self._socket is not None
+        incoming.remaining_us = max(incoming.remaining_us - self._socket.unread_us(), 1)
         self._owed = self._frontend.arrived(self, incoming)
         if self._owed is not None:
             self._enter(Phase.OWED)
--- a/sidecar/downstream/listener.py
+++ b/sidecar/downstream/listener.py
@@ -8,8 +8,8 @@
 import socket
 from collections.abc import Callable
 
+from sidecar.connection_socket import PEER_CLOSED_EVENTS
 from sidecar.upstream.client import Address
-from sidecar.wire import LEFT
 
 _BACKLOG = 1_024
 _AT_ONCE = 8  # so many connections are accepted before those over the limit are let go
@@ -20,7 +20,7 @@
 
 def _has_left(connection: socket.socket) -> bool:
     poll = select.poll()
-    poll.register(connection, LEFT)
+    poll.register(connection, PEER_CLOSED_EVENTS)
     return bool(poll.poll(0))
 
 
--- a/sidecar/downstream/stream.py
+++ b/sidecar/downstream/stream.py
@@ -10,7 +10,7 @@
 import asyncio
 from collections.abc import Callable
 
-from sidecar.roles import Outlet
+from sidecar.interfaces import RequestBodySink
 
 KEPT = 64 << 10  # a message of up to this length is kept whole
 LONGEST = 32 << 20  # and none may be longer than this
@@ -52,7 +52,7 @@
         self._resume = resume
         self._waiting: list[bytes] = []
         self._size = 0
-        self._outlet: Outlet | None = None
+        self._outlet: RequestBodySink | None = None
 
     def feed(self, data: bytes) -> None:
         """More of it came from the client."""
@@ -70,7 +70,7 @@
         if self._outlet is not None:
             self._outlet.end_body()
 
-    def attach(self, outlet: Outlet) -> None:
+    def attach(self, outlet: RequestBodySink) -> None:
         """Send it here from now on."""
         self._outlet = outlet
         self.is_spent = True
@@ -89,7 +89,7 @@
         """All that was sent is written: more may come."""
         self._resume()
 
-    def detach(self, outlet: Outlet) -> None:
+    def detach(self, outlet: RequestBodySink) -> None:
         """The exchange is over; what still comes goes nowhere."""
         if self._outlet is outlet:
             self._outlet = None
--- a/sidecar/members.py
+++ b/sidecar/members.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Callable
 
-from sidecar.clock import Alarm, Clock
+from sidecar.clock import Clock, Timer
 from sidecar.cluster.membership import Membership
 from sidecar.cluster.message import State
 from sidecar.cluster.settings import MembershipSettings
@@ -52,7 +52,7 @@
         self._me, self._tier = me, tier
         self._random = random.Random(f"members {seed}")
         self._clock, self._peers, self._log, self._on_size = clock, peers, log, on_size
-        self._alarm = Alarm(clock, self._tick)
+        self._timer = Timer(clock, self._tick)
         self._changes: list[str] = []
         self._unnamed = 0  # changes beyond those that one line names
         self._saying: asyncio.TimerHandle | None = None
@@ -80,12 +80,12 @@
     def leave(self, has_successor: bool = False) -> None:
         """This process ends: say so, unless another goes on in its place."""
         membership, self.membership = self.membership, None
-        self._alarm.cancel()
+        self._timer.cancel()
         if membership is not None:
             self._carry_out(membership.leave(self._clock.now(), has_successor))
 
     def close(self) -> None:
-        self._alarm.cancel()
+        self._timer.cancel()
         if self._saying is not None:
             self._saying.cancel()
 
@@ -139,8 +139,8 @@
             self._carry_out(event(membership, now))
         except Exception as fault:
             self._log(InternalError("membership", fault))
-            if not self._alarm.is_set:
-                self._alarm.at(now + _AGAIN_US)
+            if not self._timer.is_set:
+                self._timer.schedule(now + _AGAIN_US)
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
@@ -148,7 +148,7 @@
                 case Datagram():
                     self._peers.tell(action.receiver, action.payload)
                 case Wake():
-                    self._alarm.at(action.at)
+                    self._timer.schedule(action.at)
                 case News():
                     self._changed(f"{action.member} {action.state.name.lower()} (by {action.by})")
                 case Doubled():
--- a/sidecar/rollout.py
+++ b/sidecar/rollout.py
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Callable
 
-from sidecar.clock import Alarm, Clock
+from sidecar.clock import Clock, Timer
 from sidecar.cluster.answer import Ambiguous, Answer, Forgotten, Look, Missing, Settled, Step
 from sidecar.cluster.exchange import is_exchange
 from sidecar.cluster.membership import Membership
@@ -53,7 +53,7 @@
         self._me, self._tier = me, tier
         self._random = random.Random(f"rollout {seed}")
         self._clock, self._peers, self._log, self._look = clock, peers, log, look
-        self._alarm = Alarm(clock, self._tick)
+        self._timer = Timer(clock, self._tick)
         self._lines, self._lines_at = _LINES_AT_ONCE, clock.now()
 
     @property
@@ -103,7 +103,7 @@
     def close(self) -> None:
         """Compare no more, and hold no timer."""
         self._rollout = self._table = None
-        self._alarm.cancel()
+        self._timer.cancel()
 
     def figures(self) -> dict[str, object] | None:
         """What operators see of it; None while it is off."""
@@ -146,8 +146,8 @@
             self._carry_out(event(rollout, now))
         except Exception as fault:
             self._log(InternalError("configuration versions", fault))
-            if not self._alarm.is_set:
-                self._alarm.at(now + _AGAIN_US)
+            if not self._timer.is_set:
+                self._timer.schedule(now + _AGAIN_US)
 
     def _carry_out(self, steps: list[Step]) -> None:
         for each in steps:
@@ -155,7 +155,7 @@
                 case Datagram():
                     self._peers.tell(each.receiver, each.payload)
                 case Wake():
-                    self._alarm.at(each.at)
+                    self._timer.schedule(each.at)
                 case Look():
                     self._look()
                 case Settled() | Ambiguous() | Missing() | Forgotten():
--- a/sidecar/upstream/client.py
+++ b/sidecar/upstream/client.py
@@ -13,6 +13,7 @@
 from enum import Enum, unique
 from typing import cast
 
+from sidecar.connection_socket import ConnectionSocket
 from sidecar.downstream.stream import BoundedReader, Upload
 from sidecar.http import (
     LAST_CHUNK,
@@ -24,8 +25,7 @@
     chunk,
     request_head,
 )
-from sidecar.roles import Sink, Transport
-from sidecar.wire import Wire
+from sidecar.interfaces import ResponseSink, Transport
 
 _HELD_S = 0.05  # an answer of unknown length that goes on for longer is passed on as it comes
 
@@ -82,7 +82,7 @@
 
 Ended = Callable[[Response | Failure], None]
 # An answer too long to be kept begins, of this length if that is known: where does it go?
-Started = Callable[["ClientConnection", Response, int | None], Sink | None]
+Started = Callable[["ClientConnection", Response, int | None], ResponseSink | None]
 
 
 class ClientConnection(BoundedReader):
@@ -98,7 +98,7 @@
         self._on_free = on_free
         self._on_closed = on_closed
         self._transport: Transport | None = None
-        self._wire: Wire | None = None
+        self._socket: ConnectionSocket | None = None
         self._http = ResponseReader()
         self._ended: Ended | None = None
         self._head: ResponseHead | None = None
@@ -108,7 +108,7 @@
         self._on_started: Started | None = None  # None: what is too long is garbled
         self._upload: Upload | None = None  # a body that is not written to its end
         self._is_chunked = False  # and whether it goes in chunks
-        self._sink: Sink | None = None  # where the answer passes on to
+        self._sink: ResponseSink | None = None  # where the answer passes on to
         self._holding: asyncio.TimerHandle | None = None
         self.moved = 0  # bytes of bodies that passed through, either way
         self._closed = False
@@ -123,7 +123,7 @@
         """
         if self._closed or self._transport is None or self._transport.is_closing() or self._ended is not None:
             return False
-        return self._wire is not None and self._wire.is_quiet()
+        return self._socket is not None and self._socket.is_idle()
 
     def exchange(
         self,
@@ -206,8 +206,8 @@
         self._ended = None
         self._let_go()
         if self._transport is not None and not self._closed:
-            if self._wire is not None:
-                self._wire.end(socket.SHUT_RDWR)
+            if self._socket is not None:
+                self._socket.shut_down(socket.SHUT_RDWR)
             self._transport.abort()
         self._report_closed()
 
@@ -217,7 +217,7 @@
         # The event loop's own class is none of asyncio's, so there is nothing to check.
         self._transport = cast(Transport, transport)
         self._transport.set_write_buffer_limits(high=0)  # pause_writing then means: something is unwritten
-        self._wire = Wire(self._transport)
+        self._socket = ConnectionSocket(self._transport)
 
     def pause_writing(self) -> None:
         self._unwritten = True
@@ -243,8 +243,8 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._fail(self._broken())
-        if self._wire is not None:
-            self._wire.release()
+        if self._socket is not None:
+            self._socket.release()
 
     # The rest
 
@@ -297,8 +297,8 @@
         if self._on_started is None:
             self._fail(Failure.GARBLED)
             return
-        assert self._wire is not None
-        unread_us = self._wire.unread_us()
+        assert self._socket is not None
+        unread_us = self._socket.unread_us()
         begun = Response(200, self._head.headers, bytes(self._body), unread_us)
         self._body = bytearray()
         self._sink = self._on_started(self, begun, length)
@@ -327,8 +327,8 @@
             told()
 
     def _answered(self) -> None:
-        assert self._head is not None and self._wire is not None
-        unread_us = self._wire.unread_us()
+        assert self._head is not None and self._socket is not None
+        unread_us = self._socket.unread_us()
         response = Response(self._head.status, self._head.headers, bytes(self._body), unread_us)
         self._body = bytearray()
         ended, self._ended = self._ended, None
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -12,7 +12,7 @@
 from sidecar.clock import Clock
 from sidecar.discovery.endpoint_list import EndpointList
 from sidecar.downstream.stream import KEPT, STALLED_S
-from sidecar.roles import Sink
+from sidecar.interfaces import ResponseSink
 from sidecar.upstream.client import Address, ClientConnection, Failure, Message, Response
 
 _IDLE_MARGIN = 0.1  # of the idle limit: a connection this near to it may be closed at the far end by now
@@ -21,7 +21,7 @@
 
 Done = Callable[[Outcome, Response | None], None]
 # An answer begins that passes through: where from, its head and first bytes, and its length if that is known.
-Begun = Callable[[ClientConnection, Response, int | None], Sink | None]
+Begun = Callable[[ClientConnection, Response, int | None], ResponseSink | None]
 
 
 class Call:
@@ -268,7 +268,7 @@
         def ended(how: Response | Failure) -> None:
             self._end(call, _outcome(how), how if isinstance(how, Response) else None)
 
-        def started(source: ClientConnection, head: Response, length: int | None) -> Sink | None:
+        def started(source: ClientConnection, head: Response, length: int | None) -> ResponseSink | None:
             sink = call.begun(source, head, length) if call.begun is not None else None
             if sink is not None:
                 self._watch(call)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,10 +13,10 @@
 import uvloop
 
 from sidecar.configuration import parse
-from sidecar.roles import Transport
+from sidecar.connection_socket import ConnectionSocket
+from sidecar.interfaces import Transport
 from sidecar.sidecar import Sidecar
 from sidecar.upstream.client import Address
-from sidecar.wire import Wire
 
 HOST = "127.0.0.1"
 PATIENCE_S = 20.0  # how long a test waits for what must come; never what it measures
@@ -138,7 +138,9 @@
         writers, self._writers = self._writers, []
         for writer in writers:
             if not writer.transport.is_closing():
-                Wire(cast(Transport, writer.transport)).end()  # at once, before the event loop goes on
+                ConnectionSocket(
+                    cast(Transport, writer.transport)
+                ).shut_down()  # at once, before the event loop goes on
             writer.close()
 
     def stop(self) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_connection_socket.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from sidecar.roles import Transport
-from sidecar.wire import Wire
+from sidecar.connection_socket import ConnectionSocket
+from sidecar.interfaces import Transport
 
 
 class Lent:
@@ -31,40 +31,42 @@
         yield near, far
 
 
-def wire(own: socket.socket) -> Wire:
-    return Wire(cast(Transport, Lent(own)))
+def connection_socket(own: socket.socket) -> ConnectionSocket:
+    return ConnectionSocket(cast(Transport, Lent(own)))
 
 
-def test_it_tells_what_lies_unread_and_who_has_left(ends: tuple[socket.socket, socket.socket]) -> None:
+def test_unread_data_and_a_closed_peer_are_reported(ends: tuple[socket.socket, socket.socket]) -> None:
     near, far = ends
-    looked_at = wire(near)
-    assert looked_at.is_quiet() and not looked_at.has_left()
+    connection = connection_socket(near)
+    assert connection.is_idle() and not connection.is_peer_closed()
     far.sendall(b"x")
-    assert not looked_at.is_quiet() and not looked_at.has_left()
+    assert not connection.is_idle() and not connection.is_peer_closed()
     far.close()
-    assert looked_at.has_left()
+    assert connection.is_peer_closed()
 
 
-def test_an_end_is_seen_at_once_and_the_socket_stays_open(ends: tuple[socket.socket, socket.socket]) -> None:
+def test_shutdown_is_seen_at_once_and_the_socket_stays_open(
+    ends: tuple[socket.socket, socket.socket],
+) -> None:
     near, far = ends
-    looked_at = wire(near)
-    looked_at.end()
+    connection = connection_socket(near)
+    connection.shut_down()
     assert far.recv(1) == b""
-    del looked_at
+    del connection
     assert near.fileno() >= 0
     far.sendall(b"y")
     assert near.recv(1) == b"y"
 
 
-def test_a_released_one_touches_no_other_connection(ends: tuple[socket.socket, socket.socket]) -> None:
+def test_released_socket_affects_no_other_connection(ends: tuple[socket.socket, socket.socket]) -> None:
     # Guards against ending or polling whatever has the descriptor next.
     near, far = ends
-    looked_at = wire(near)
-    looked_at.release()
+    connection = connection_socket(near)
+    connection.release()
     far.sendall(b"x")
-    assert looked_at.is_quiet() and not looked_at.has_left()
-    assert looked_at.unread_us() == looked_at.unsent_bytes() == 0
-    looked_at.end(socket.SHUT_RDWR)
+    assert connection.is_idle() and not connection.is_peer_closed()
+    assert connection.unread_us() == connection.unsent_bytes() == 0
+    connection.shut_down(socket.SHUT_RDWR)
     near.sendall(b"y")
     assert far.recv(1) == b"y"
-    looked_at.release()
+    connection.release()
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -137,7 +137,9 @@
     # Guards against windows that shut, and servers held for slow, because this process is busy.
     async def work() -> None:
         balancer = scripted(on_arrival(lambda number: SendAttempt(number, "s-0", FAR)))
-        monkeypatch.setattr("sidecar.wire.Wire.unread_us", lambda wire: 3_600_000_000)
+        monkeypatch.setattr(
+            "sidecar.connection_socket.ConnectionSocket.unread_us", lambda wire: 3_600_000_000
+        )
         async with stage(OK) as scene:
             assert (await scene.ask()).status == 200
             (ended,) = balancer.heard(AttemptEnded)
