--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -290,7 +290,7 @@
         return await (await self.client()).ask(kind, **how)
 
     async def operator(self) -> Client:
-        """A connection to the operators' door."""
+        """A connection to the admin interface."""
         assert self.sidecar.admin_interface is not None
         client = Client(*await asyncio.open_connection(HOST, self.sidecar.admin_interface.port))
         self.clients.append(client)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -261,7 +261,7 @@
         "sidecar: list and configuration",
         "discovery",
         "whatever spreads configuration",
-        "operators' door and figures",
+        "admin interface and metrics",
         "the 7 machines",
     }
     needed = {name for each in given.row for name in names_in(each.figure) | _placed(each.note)}
