--- a/sidecar/downstream/body_streaming.py
+++ b/sidecar/downstream/body_streaming.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from sidecar.downstream.flow_control import MAX_BUFFERED_BODY_BYTES
-from sidecar.roles import Outlet
+from sidecar.interfaces import RequestBodySink
 
 
 class Upload:
@@ -24,7 +24,7 @@
         self._resume = resume
         self._buffered: list[bytes] = []
         self._buffered_bytes = 0
-        self._outlet: Outlet | None = None
+        self._outlet: RequestBodySink | None = None
 
     def feed(self, data: bytes) -> None:
         """Forward or buffer a piece that came from the client."""
@@ -43,7 +43,7 @@
         if self._outlet is not None:
             self._outlet.end_body()
 
-    def attach(self, outlet: Outlet) -> None:
+    def attach(self, outlet: RequestBodySink) -> None:
         """Forward the buffered beginning, and all that follows, to this outlet."""
         self._outlet = outlet
         self.is_consumed = True
@@ -62,7 +62,7 @@
         """Read on from the client: the outlet has written everything."""
         self._resume()
 
-    def detach(self, outlet: Outlet) -> None:
+    def detach(self, outlet: RequestBodySink) -> None:
         """Discard whatever still comes: the outlet's exchange is over."""
         if self._outlet is outlet:
             self._outlet = None
--- a/sidecar/members.py
+++ b/sidecar/members.py
@@ -11,11 +11,18 @@
 import time
 from collections.abc import Callable
 
-from sidecar.clock import Alarm, Clock
+from sidecar.clock import Clock, Timer
 from sidecar.cluster.membership import Membership
 from sidecar.cluster.message import State
 from sidecar.cluster.settings import MembershipSettings
 from sidecar.cluster.view import Action, Datagram, Doubled, News, Size, Slept, Wake
+from sidecar.log_events import (
+    EventLog,
+    InternalError,
+    MemberNumberConflict,
+    MembershipChanged,
+    ProcessStalled,
+)
 from sidecar.peers import Peers
 
 _SAY_EVERY_S = 1.0  # what changed is told in one line, at most so often
@@ -36,7 +43,7 @@
         seed: int,
         clock: Clock,
         peers: Peers,
-        log: Callable[[str], None],
+        log: EventLog,
         on_size: Callable[[Size], None],
     ) -> None:
         """`on_size` hears the tier's size after each event, whether it changed or not."""
@@ -45,7 +52,7 @@
         self._me, self._tier = me, tier
         self._random = random.Random(f"members {seed}")
         self._clock, self._peers, self._log, self._on_size = clock, peers, log, on_size
-        self._alarm = Alarm(clock, self._tick)
+        self._timer = Timer(clock, self._tick)
         self._changes: list[str] = []
         self._unnamed = 0  # changes beyond those that one line names
         self._saying: asyncio.TimerHandle | None = None
@@ -73,12 +80,12 @@
     def leave(self, has_successor: bool = False) -> None:
         """This process ends: say so, unless another goes on in its place."""
         membership, self.membership = self.membership, None
-        self._alarm.cancel()
+        self._timer.cancel()
         if membership is not None:
             self._carry_out(membership.leave(self._clock.now(), has_successor))
 
     def close(self) -> None:
-        self._alarm.cancel()
+        self._timer.cancel()
         if self._saying is not None:
             self._saying.cancel()
 
@@ -131,9 +138,9 @@
             membership.worked(now, requests)
             self._carry_out(event(membership, now))
         except Exception as fault:
-            self._log(f"internal error: {fault!r} (membership)")
-            if not self._alarm.is_set:
-                self._alarm.at(now + _AGAIN_US)
+            self._log(InternalError("membership", fault))
+            if not self._timer.is_set:
+                self._timer.schedule(now + _AGAIN_US)
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
@@ -141,13 +148,13 @@
                 case Datagram():
                     self._peers.tell(action.receiver, action.payload)
                 case Wake():
-                    self._alarm.at(action.at)
+                    self._timer.schedule(action.at)
                 case News():
                     self._changed(f"{action.member} {action.state.name.lower()} (by {action.by})")
                 case Doubled():
-                    self._log(f"another process claims this sidecar's number {action.member}: look for it")
+                    self._log(MemberNumberConflict(action.member))
                 case Slept():
-                    self._log(f"stood still for {action.late_us / 1e6:.1f} s: doubts its own sight for now")
+                    self._log(ProcessStalled(action.late_us / 1e6))
         if self.membership is not None and self._informs:
             self._on_size(self.membership.size())
 
@@ -173,4 +180,4 @@
             if getattr(size, name):
                 counted += f", {getattr(size, name)} {name}"
         minority = "; this copy sees half or fewer" if size.in_minority else ""
-        self._log(f"members: {counted}{minority}: {named}{more}")
+        self._log(MembershipChanged(f"{counted}{minority}", f"{named}{more}"))
--- a/sidecar/upstream/connection_pool.py
+++ b/sidecar/upstream/connection_pool.py
@@ -11,7 +11,7 @@
 from balancer.settings import Limits
 from sidecar.address import Address
 from sidecar.clock import Clock
-from sidecar.discovery.catalog import Listing
+from sidecar.discovery.endpoint_list import EndpointList
 from sidecar.downstream.flow_control import MAX_BUFFERED_BODY_BYTES
 from sidecar.upstream.attempt import Attempt
 from sidecar.upstream.http_exchange import UpstreamConnection
@@ -82,23 +82,24 @@
 
     # Endpoints
 
-    def update_endpoints(self, listing: Listing) -> None:
+    def update_endpoints(self, endpoint_list: EndpointList) -> None:
         """Take over an endpoint list or its changes."""
-        if listing.full:
-            for name in self.endpoints.keys() - {entry.listed.server for entry in listing.entries}:
+        if endpoint_list.is_complete:
+            for name in self.endpoints.keys() - {listed.entry.server for listed in endpoint_list.endpoints}:
                 self._remove_endpoint(name)
-        for entry in listing.entries:
-            name, address = entry.listed.server, entry.address
+        for listed in endpoint_list.endpoints:
+            name, address = listed.entry.server, listed.address
             if address is None:
                 self._remove_endpoint(name)
                 continue
-            endpoint, listed = self.endpoints.get(name), entry.listed
+            endpoint = self.endpoints.get(name)
             # Guards against writing to what was there before under the same name, or to a server that has
             # left the zone or cell by which a retry was chosen.
-            if endpoint is None or not endpoint.is_same(address, listed):
+            if endpoint is None or not endpoint.is_same(address, listed.entry):
                 self._remove_endpoint(name)
-                endpoint = self.endpoints[name] = PooledEndpoint(address, listed, name in self.excluded)
-            endpoint.is_draining = entry.listed.state is not EndpointState.READY
+                endpoint = PooledEndpoint(address, listed.entry, name in self.excluded)
+                self.endpoints[name] = endpoint
+            endpoint.is_draining = listed.entry.state is not EndpointState.READY
             if endpoint.is_draining:
                 endpoint.close_idle()
 
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -8,9 +8,9 @@
 from balancer.events import Outcome
 from balancer.settings import Limits
 from sidecar.clock import Clock
-from sidecar.discovery.catalog import Listing
+from sidecar.discovery.endpoint_list import EndpointList
 from sidecar.downstream.flow_control import STALL_TIMEOUT_S
-from sidecar.roles import Sink
+from sidecar.interfaces import ResponseSink
 from sidecar.upstream.attempt import Attempt, outcome_of
 from sidecar.upstream.connection_pool import ConnectionPool, PooledEndpoint
 from sidecar.upstream.http_exchange import ExchangeFailure, Response, UpstreamConnection
@@ -41,9 +41,9 @@
 
     # Endpoints
 
-    def listed(self, listing: Listing) -> None:
+    def listed(self, endpoint_list: EndpointList) -> None:
         """Take over an endpoint list or its changes, before any action that follows from it."""
-        self._pool.update_endpoints(listing)
+        self._pool.update_endpoints(endpoint_list)
 
     @property
     def excluded(self) -> frozenset[str]:
@@ -117,7 +117,9 @@
         def on_result(result: Response | ExchangeFailure) -> None:
             self._end(attempt, outcome_of(result), result if isinstance(result, Response) else None)
 
-        def on_streaming(source: UpstreamConnection, beginning: Response, length: int | None) -> Sink | None:
+        def on_streaming(
+            source: UpstreamConnection, beginning: Response, length: int | None
+        ) -> ResponseSink | None:
             start_streaming = attempt.on_streaming_response
             sink = start_streaming(source, beginning, length) if start_streaming is not None else None
             if sink is not None:
