--- a/sidecar/downstream/listener.py
+++ b/sidecar/downstream/listener.py
@@ -1,4 +1,4 @@
-"""The clients' listening socket: its own, or one that the platform holds and every process inherits."""
+"""The listening socket for clients: bound by this process, or held by the platform for every process."""
 
 from __future__ import annotations
 
@@ -12,87 +12,84 @@
 from sidecar.connection_socket import PEER_CLOSED_EVENTS
 
 _BACKLOG = 1_024
-_AT_ONCE = 8  # so many connections are accepted before those over the limit are let go
-_AGAIN_S = 0.1  # after which accepting is tried again when this machine had no room
-_MADE_S = 0.01  # and when a connection was let go for it, whose descriptor is free in the next rounds
-_NO_ROOM = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-
-
-def _has_left(connection: socket.socket) -> bool:
-    poll = select.poll()
-    poll.register(connection, PEER_CLOSED_EVENTS)
-    return bool(poll.poll(0))
+_MAX_ACCEPTS_PER_TURN = 8  # so that connections over the limit are closed before more are accepted
+_RETRY_S = 0.1  # until accepting is tried again when this machine had no room
+_RETRY_AFTER_CLOSE_S = 0.01  # when a connection was closed to make room: its descriptor is free soon
+_NO_ROOM_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 def inherited(descriptor: int) -> socket.socket:
-    """The listening socket behind a descriptor; raise ValueError if there is none."""
+    """Return the listening socket behind an inherited descriptor; raise ValueError if there is none."""
     try:
-        found = socket.socket(fileno=descriptor)
-    except (OSError, OverflowError, ValueError) as fault:
-        raise ValueError(f"descriptor {descriptor} is no socket: {fault}") from None
-    is_tcp = found.family in (socket.AF_INET, socket.AF_INET6) and found.type == socket.SOCK_STREAM
-    if not is_tcp or not found.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        found.detach()  # it is somebody else's
+        listening = socket.socket(fileno=descriptor)
+    except (OSError, OverflowError, ValueError) as error:
+        raise ValueError(f"descriptor {descriptor} is no socket: {error}") from None
+    is_tcp = listening.family in (socket.AF_INET, socket.AF_INET6) and listening.type == socket.SOCK_STREAM
+    if not is_tcp or not listening.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+        listening.detach()  # it belongs to somebody else and stays open
         raise ValueError(f"descriptor {descriptor} is no listening TCP socket")
-    return found
+    return listening
 
 
 def bound(address: Address) -> socket.socket:
-    """A listening socket of this process's own; raise OSError if there can be none."""
-    own = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
+    """Return a listening socket bound to the address; raise OSError if there can be none."""
+    listening = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     try:
-        own.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        own.bind(address)
-        own.listen(_BACKLOG)
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening.bind(address)
+        listening.listen(_BACKLOG)
     except OSError:
-        own.close()
+        listening.close()
         raise
-    return own
+    return listening
 
 
 class Listener:
     """Accepts connections, a few at a time, until it is closed.
 
-    Another process may accept from the same socket: it is never shut down, and its queue is left as it is.
+    Another process may accept from the same socket, so that is never shut down, and its queue of connections
+    is left alone.
     """
 
     def __init__(
         self,
-        own: socket.socket,
-        made: Callable[[], asyncio.BaseProtocol],
+        listening: socket.socket,
+        create_protocol: Callable[[], asyncio.BaseProtocol],
         make_room: Callable[[], bool] = lambda: False,
     ) -> None:
-        """`make_room` lets a connection go that can be spared, and says whether there was one."""
-        self._socket = own
-        self._made = made
+        """`make_room` closes a connection that can be spared, and returns whether there was one."""
+        self._socket = listening
+        self._create_protocol = create_protocol
         self._make_room = make_room
         self._tasks: set[asyncio.Task[object]] = set()
-        self._again: asyncio.TimerHandle | None = None
-        own.setblocking(False)
+        self._retry_timer: asyncio.TimerHandle | None = None
+        listening.setblocking(False)
         self._loop = asyncio.get_running_loop()
-        self._accept_more()
+        self._resume()
 
     @property
     def port(self) -> int:
+        """The port that the socket is bound to."""
         return int(self._socket.getsockname()[1])
 
     @property
     def is_open(self) -> bool:
+        """Whether it has not been closed."""
         return self._socket.fileno() >= 0
 
     @property
     def being_accepted(self) -> int:
-        """Connections that were accepted and have not been handed on yet."""
+        """The number of connections that were accepted and have no protocol yet."""
         return len(self._tasks)
 
     def close(self, *, accept_the_rest: bool = False) -> None:
-        """Stop accepting; what was accepted lives on.
+        """Stop accepting; connections that were accepted live on.
 
-        A connection that still waits in the system's queue is reset by the end of its listening socket, and
-        what its client has sent with it; `accept_the_rest` takes those in first.
+        A connection that still waits in the system's queue is reset when its listening socket is closed, and
+        whatever its client has sent is lost; `accept_the_rest` accepts those first.
         """
-        if self._again is not None:
-            self._again.cancel()
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
         if not self.is_open:
             return
         self._loop.remove_reader(self._socket)
@@ -101,39 +98,51 @@
                 break
         self._socket.close()
 
-    def _accept_more(self) -> None:
-        self._again = None
+    def _resume(self) -> None:
+        self._retry_timer = None
         if self.is_open:
             self._loop.add_reader(self._socket, self._accept)
 
     def _accept(self) -> None:
-        for _ in range(_AT_ONCE):
+        for _ in range(_MAX_ACCEPTS_PER_TURN):
             if not self._accept_one():
                 return
 
     def _accept_one(self) -> bool:
-        """Accept a connection; say whether there may be more."""
+        """Accept a connection; return whether there may be more."""
         try:
             connection, _ = self._socket.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False  # nobody is there, or another process was quicker
-        except OSError as fault:
-            if fault.errno not in _NO_ROOM:
+        except OSError as error:
+            if error.errno not in _NO_ROOM_ERRORS:
                 raise
-            self._loop.remove_reader(self._socket)
-            # Guards against idle clients that hold what a new one needs, where the system has less to give
-            # than the settings say: their own budget would never end one.
-            wait_s = _MADE_S if self._make_room() else _AGAIN_S
-            self._again = self._loop.call_later(wait_s, self._accept_more)
+            self._retry_later()
             return False
-        if _has_left(connection):
-            # Guards against collapse: in a rush many give up while they queue, and cost no less.
+        if _is_peer_closed(connection):
+            # Guards against collapse: in a rush many clients give up in the queue, and cost no less.
             connection.close()
             return True
         connection.setblocking(False)
         task: asyncio.Task[object] = self._loop.create_task(
-            self._loop.connect_accepted_socket(self._made, connection)
+            self._loop.connect_accepted_socket(self._create_protocol, connection)
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return True
+
+    def _retry_later(self) -> None:
+        """Pause accepting, and make room.
+
+        Guards against idle clients that hold the descriptors which new ones need, where the system has fewer
+        than the settings say: the limit on connections would never close one.
+        """
+        self._loop.remove_reader(self._socket)
+        delay_s = _RETRY_AFTER_CLOSE_S if self._make_room() else _RETRY_S
+        self._retry_timer = self._loop.call_later(delay_s, self._resume)
+
+
+def _is_peer_closed(connection: socket.socket) -> bool:
+    poll = select.poll()
+    poll.register(connection, PEER_CLOSED_EVENTS)
+    return bool(poll.poll(0))
