--- a/sidecar/admin_interface.py
+++ b/sidecar/admin_interface.py
@@ -17,7 +17,7 @@
 
 from sidecar.address import Address
 from sidecar.errors import SidecarError
-from sidecar.http import CONTINUE, Malformed, RequestHead, RequestReader, Signal, response_head
+from sidecar.http import CONTINUE, MalformedMessage, RequestHead, RequestReader, Signal, response_head
 
 MAX_CONNECTIONS = 16  # at once; each takes a descriptor
 _MAX_BODY_BYTES = 4 << 10
@@ -180,7 +180,7 @@
         self._http.receive(data)
         try:
             self._read_request()
-        except Malformed as error:
+        except MalformedMessage as error:
             self._respond(AdminResponse(error.status, {"error": f"this is no HTTP/1.1: {error}"}))
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -218,7 +218,7 @@
         rejection = self._interface.routes.reject(request)
         if rejection is not None:
             self._respond(rejection)
-        elif request.expects:
+        elif request.expects_continue:
             self._write(CONTINUE)
 
     def _body_received(self, data: bytes) -> None:
--- a/sidecar/downstream/connection.py
+++ b/sidecar/downstream/connection.py
@@ -24,7 +24,7 @@
     CONTINUE,
     LAST_CHUNK,
     Headers,
-    Malformed,
+    MalformedMessage,
     RequestHead,
     RequestReader,
     Signal,
@@ -85,7 +85,7 @@
         if self._transport is None or self._transport.is_closing():
             return False
         assert self._head is not None
-        is_framed = length is not None or not self._head.is_old
+        is_framed = length is not None or not self._head.is_http_1_0
         if self._is_last_response or not is_framed:
             headers = [*headers, _CONNECTION_CLOSE]
         if length is not None:
@@ -133,7 +133,7 @@
             self._owner.await_client(self)
         elif self._is_reading_ended or self._is_writing_paused:
             self.abort()
-        elif self._head is None and self._reader.is_between:
+        elif self._head is None and self._reader.is_idle:
             self.close_unused()
         else:
             self._reject(408)
@@ -248,7 +248,7 @@
                 return  # guards against a client that sends request after request and reads no response
             try:
                 event = self._reader.next_event()
-            except Malformed as error:
+            except MalformedMessage as error:
                 self._reject(error.status, f"{error}\n".encode())
                 return
             if isinstance(event, bytes):
@@ -277,7 +277,7 @@
             return
         if head.length is not None and head.length > MAX_BUFFERED_BODY_BYTES:
             self._start_upload(head.length)
-        if head.expects and not self._is_reading_ended and not self._reader.has_more:
+        if head.expects_continue and not self._is_reading_ended and not self._reader.has_trailing_data:
             self._transport.write(CONTINUE)
 
     def _body_received(self, data: bytes) -> None:
@@ -294,7 +294,7 @@
     def _request_received(self) -> None:
         """Accept a request that has arrived completely, its body buffered."""
         assert self._head is not None
-        if self._reader.has_more:
+        if self._reader.has_trailing_data:
             self._reject_pipelined()
             return
         self._owner.stop_awaiting(self)
@@ -368,7 +368,7 @@
     def _upload_completed(self) -> None:
         upload, self._upload = self._upload, None
         assert upload is not None and self._pending_request is not None
-        if self._reader.has_more:
+        if self._reader.has_trailing_data:
             self._upload = upload
             self._reject_pipelined()
             return
--- a/sidecar/http/__init__.py
+++ b/sidecar/http/__init__.py
@@ -1,10 +1,10 @@
 """HTTP/1.1 as bytes, without any I/O: bytes in, events out.
 
-`grammar` says what a head must be, beyond what the C parser checks; `chunked` decodes bodies in chunks;
-`reader` turns bytes into events; `writer` turns messages into bytes.
+`grammar` validates and parses heads more strictly than the C parser does; `chunked` decodes the chunked
+transfer coding; `reader` turns bytes into events; `writer` turns messages into bytes.
 """
 
-from sidecar.http.grammar import Headers, Malformed, RequestHead, ResponseHead
+from sidecar.http.grammar import Headers, MalformedMessage, RequestHead, ResponseHead
 from sidecar.http.reader import RequestReader, ResponseReader, Signal
 from sidecar.http.writer import CONTINUE, LAST_CHUNK, chunk, request_head, response_head
 
@@ -12,7 +12,7 @@
     "CONTINUE",
     "LAST_CHUNK",
     "Headers",
-    "Malformed",
+    "MalformedMessage",
     "RequestHead",
     "RequestReader",
     "ResponseHead",
--- a/sidecar/http/chunked.py
+++ b/sidecar/http/chunked.py
@@ -1,6 +1,6 @@
-"""A body in chunks, decoded by llhttp, with bounds on what is no body.
+"""Decodes the chunked transfer coding by llhttp, with a limit on framing (RFC 9112, section 7.1).
 
-The decoder is given a head of its own before the body, so that nothing in the real one (an `Upgrade`, a
+The parser is given a head of its own before the body, so that nothing in the real one (an `Upgrade`, a
 `Connection: close`) changes how llhttp reads what follows.
 """
 
@@ -10,56 +10,56 @@
 
 from httptools import HttpParserError, HttpRequestParser
 
-from sidecar.http.grammar import MOST_HEAD, Malformed
+from sidecar.http.grammar import MAX_HEAD_BYTES, MalformedMessage
 
-MOST_BESIDE = MOST_HEAD  # bytes of chunk extensions and trailers in one body
-_PER_CHUNK = 32  # bytes of framing that each chunk may have beyond that: its size, ends of lines, a word
-_OWN_HEAD = b"POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n"
-_ENDS = re.compile(rb"[^\r\n]\r\n\r\n")
+MAX_FRAMING_BYTES = MAX_HEAD_BYTES  # bytes of chunk extensions and trailers in one body
+_FRAMING_BYTES_PER_CHUNK = 32  # allowed beyond that: the size, line ends, a short extension
+_PARSER_HEAD = b"POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n"
+_LAST_LINE_AND_EMPTY_LINE = re.compile(rb"[^\r\n]\r\n\r\n")
 
 
 class ChunkedBody:
-    """One body.  After its end, `has_more` says whether other bytes came with it."""
+    """The decoder of one body.  After its end, `has_trailing_data` says whether other bytes came with it."""
 
     def __init__(self) -> None:
-        self.is_whole = False
-        self.has_more = False
+        self.is_complete = False
+        self.has_trailing_data = False
         self._pieces: list[bytes] = []
-        self._last = b""  # the last bytes read
-        self._beside = 0  # what was read and is no body
+        self._last_bytes = b""
+        self._framing_bytes = 0  # read so far, of chunk headers and trailers
         self._chunks = 0
         self._parser = HttpRequestParser(self)
-        self._parser.feed_data(_OWN_HEAD)
+        self._parser.feed_data(_PARSER_HEAD)
 
     def feed(self, data: bytes) -> bytes:
-        """Give what of the body is in here; raise Malformed if its framing is broken."""
+        """Return the part of the body that is in these bytes; raise MalformedMessage on broken framing."""
         try:
             self._parser.feed_data(data)
-        except HttpParserError as fault:
-            if not self.is_whole:
-                raise Malformed(f"chunks: {fault}") from None
-            self.has_more = True
+        except HttpParserError as error:
+            if not self.is_complete:
+                raise MalformedMessage(f"chunks: {error}") from None
+            self.has_trailing_data = True
         pieces, self._pieces = self._pieces, []
         body = pieces[0] if len(pieces) == 1 else b"".join(pieces)
-        self._beside += len(data) - len(body)
-        if self._beside > MOST_BESIDE + _PER_CHUNK * self._chunks:
-            raise Malformed("chunks: too much beside the body")
-        self._last = (self._last + data[-5:])[-5:]
-        if self.is_whole and not _ENDS.fullmatch(self._last):
-            self.has_more = True  # line ends, which llhttp skips before a message
+        self._framing_bytes += len(data) - len(body)
+        if self._framing_bytes > MAX_FRAMING_BYTES + _FRAMING_BYTES_PER_CHUNK * self._chunks:
+            raise MalformedMessage("chunks: too much beside the body")
+        self._last_bytes = (self._last_bytes + data[-5:])[-5:]
+        if self.is_complete and not _LAST_LINE_AND_EMPTY_LINE.fullmatch(self._last_bytes):
+            self.has_trailing_data = True  # line ends, which llhttp skips before a message
         return body
 
-    # What llhttp calls
+    # Called by llhttp
 
     def on_message_begin(self) -> None:
-        self.has_more = self.is_whole
+        self.has_trailing_data = self.is_complete
 
     def on_chunk_header(self) -> None:
         self._chunks += 1
 
     def on_body(self, body: bytes) -> None:
-        if not self.is_whole:
+        if not self.is_complete:
             self._pieces.append(body)
 
     def on_message_complete(self) -> None:
-        self.is_whole = True
+        self.is_complete = True
--- a/sidecar/http/reader.py
+++ b/sidecar/http/reader.py
@@ -1,7 +1,7 @@
-"""Messages out of bytes: one head, its body in pieces, its end.
+"""Turns bytes into the events of a message: its head, pieces of its body, its end.
 
-`receive` takes bytes in whatever pieces they come; `next_event` gives what they amount to, until it says that
-more is needed.  Every byte is looked at a bounded number of times, so time is linear in what comes.
+`receive` takes bytes in whatever pieces they arrive; `next_event` returns events until it needs more.  Every
+byte is examined a bounded number of times, so the time is linear in the size of the input.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from sidecar.http.chunked import ChunkedBody
 from sidecar.http.grammar import (
-    Malformed,
+    MalformedMessage,
     RequestHead,
     ResponseHead,
     check_beginning,
@@ -20,99 +20,103 @@
     read_response_head,
 )
 
-_MOST_INTERIM = 16  # answers 1xx before the final one
+_MAX_INTERIM_RESPONSES = 16  # 1xx before the final response
 
 Head = TypeVar("Head", RequestHead, ResponseHead)
 
 
 @unique
 class Signal(Enum):
-    """What is neither a head nor a piece of a body."""
+    """An event that is neither a head nor a piece of a body."""
 
     NEED_DATA = "more bytes are needed"
-    END = "the message is whole"
-    PAUSED = "the message was whole; `start_next` reads another"
+    END = "the message is complete"
+    PAUSED = "the message was complete before; `start_next` reads another"
 
 
-class _Reader(Generic[Head]):
-    """The states of one message: head, body by its length, in chunks or to the peer's end, done."""
+class _MessageReader(Generic[Head]):
+    """A state machine over one message at a time: its head, its body in one of three framings, its end."""
 
     def __init__(self) -> None:
-        self._pending = b""  # received and not read
-        self._part = bytearray()  # of a head
-        self._is_ended = False  # the peer sends no more
+        self._unread = b""  # received and not examined yet
+        self._partial_head = bytearray()
+        self._is_peer_finished = False  # it has closed its sending side
         self._chunked: ChunkedBody | None = None
-        self._left = 0  # of a body of known length
+        self._bytes_left = 0  # of a body of known length
         self._keeps_alive = False
-        self.is_in_body = False  # a head was read, and its body not to the end
-        self.is_whole = False
+        self.is_in_body = False  # the head was read, and the body not completely
+        self.is_complete = False
         self._step: Callable[[], Head | bytes | Signal] = self._read_head
 
     def receive(self, data: bytes) -> None:
-        self._pending = self._pending + data if self._pending else data
+        """Add bytes that were received."""
+        self._unread = self._unread + data if self._unread else data
 
     def receive_end(self) -> None:
-        """The peer sends no more: a body that its end frames is whole."""
-        self._is_ended = True
+        """Note that the peer sends no more, which completes a body without other framing."""
+        self._is_peer_finished = True
 
     def next_event(self) -> Head | bytes | Signal:
-        """Give a head, a piece of its body or a signal; raise Malformed, after which nothing can be read."""
+        """Return a head, a piece of its body or a signal.
+
+        Raise MalformedMessage, after which the reader can't be used any more.
+        """
         return self._step()
 
     def start_next(self) -> None:
-        """Read a further message, once one is whole."""
-        self.is_whole = False
+        """Go on with the next message, once one is complete."""
+        self.is_complete = False
         self._step = self._read_head
 
     @property
-    def is_between(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nothing of a message was received."""
-        return not (self.is_in_body or self.is_whole or self._part or self._pending)
+        return not (self.is_in_body or self.is_complete or self._partial_head or self._unread)
 
     @property
-    def has_more(self) -> bool:
-        """Whether bytes came behind what was read."""
-        return bool(self._pending) or (self._chunked is not None and self._chunked.has_more)
+    def has_trailing_data(self) -> bool:
+        """Whether bytes were received beyond what was read."""
+        return bool(self._unread) or (self._chunked is not None and self._chunked.has_trailing_data)
 
     @property
     def is_reusable(self) -> bool:
         """Whether a further message may follow on this connection."""
-        return self._keeps_alive and self.is_whole
+        return self._keeps_alive and self.is_complete
 
-    # The states
+    # The states: each returns the next event and sets the state that follows
 
-    def _understood(self, head: bytes) -> Head | None:
-        """Read a head and go on to its body; None if another head follows."""
+    def _head_received(self, head: bytes) -> Head | None:
+        """Parse a head and go on to its body; return None if another head follows."""
         raise NotImplementedError
 
     def _read_head(self) -> Head | bytes | Signal:
-        while self._pending:
-            head = self._whole_head()
+        while self._unread:
+            head = self._take_head()
             if head is None:
                 break
-            understood = self._understood(head)
-            if understood is not None:
-                return understood
+            event = self._head_received(head)
+            if event is not None:
+                return event
         return Signal.NEED_DATA
 
-    def _whole_head(self) -> bytes | None:
-        data, self._pending = self._pending, b""
-        if not self._part:
+    def _take_head(self) -> bytes | None:
+        data, self._unread = self._unread, b""
+        if not self._partial_head:
             end = data.find(b"\r\n\r\n")
             if end >= 0:
-                self._pending = data[end + 4 :]
+                self._unread = data[end + 4 :]
                 return data[: end + 4]
-            self._part += data
+            self._partial_head += data
             check_beginning(data, 0)
             return None
-        start = len(self._part)
-        self._part += data
-        end = self._part.find(b"\r\n\r\n", max(start - 3, 0))
+        start = len(self._partial_head)
+        self._partial_head += data
+        end = self._partial_head.find(b"\r\n\r\n", max(start - 3, 0))
         if end < 0:
-            check_beginning(self._part, start)
+            check_beginning(self._partial_head, start)
             return None
-        head, self._pending = bytes(self._part[: end + 4]), bytes(self._part[end + 4 :])
-        self._part = bytearray()
+        head, self._unread = bytes(self._partial_head[: end + 4]), bytes(self._partial_head[end + 4 :])
+        self._partial_head = bytearray()
         return head
 
     def _expect_body(self, length: int | None, is_chunked: bool, keeps_alive: bool) -> None:
@@ -124,58 +128,58 @@
         elif length is None:
             self._step = self._read_to_end
         else:
-            self._left = length
+            self._bytes_left = length
             self._step = self._read_length if length else self._end
 
     def _read_length(self) -> Head | bytes | Signal:
-        piece = self._pending
+        piece = self._unread
         if not piece:
             return Signal.NEED_DATA
-        if len(piece) > self._left:
-            piece, self._pending = piece[: self._left], piece[self._left :]
+        if len(piece) > self._bytes_left:
+            piece, self._unread = piece[: self._bytes_left], piece[self._bytes_left :]
         else:
-            self._pending = b""
-        self._left -= len(piece)
-        if not self._left:
+            self._unread = b""
+        self._bytes_left -= len(piece)
+        if not self._bytes_left:
             self._step = self._end
         return piece
 
     def _read_chunks(self) -> Head | bytes | Signal:
         assert self._chunked is not None
-        if not self._pending:
+        if not self._unread:
             return Signal.NEED_DATA
-        data, self._pending = self._pending, b""
+        data, self._unread = self._unread, b""
         piece = self._chunked.feed(data)
-        if self._chunked.is_whole:
+        if self._chunked.is_complete:
             self._step = self._end
             return piece or self._end()
         return piece or Signal.NEED_DATA
 
     def _read_to_end(self) -> Head | bytes | Signal:
-        piece, self._pending = self._pending, b""
-        return piece or (self._end() if self._is_ended else Signal.NEED_DATA)
+        piece, self._unread = self._unread, b""
+        return piece or (self._end() if self._is_peer_finished else Signal.NEED_DATA)
 
     def _end(self) -> Head | bytes | Signal:
-        self._step = self._paused
+        self._step = self._pause
         self.is_in_body = False
-        self.is_whole = True
+        self.is_complete = True
         return Signal.END
 
-    def _paused(self) -> Head | bytes | Signal:
+    def _pause(self) -> Head | bytes | Signal:
         return Signal.PAUSED
 
 
-class RequestReader(_Reader[RequestHead]):
-    """Requests, as a server reads them."""
+class RequestReader(_MessageReader[RequestHead]):
+    """Reads requests, as a server."""
 
-    def _understood(self, head: bytes) -> RequestHead:
+    def _head_received(self, head: bytes) -> RequestHead:
         read = read_request_head(head)
         self._expect_body(read.length, read.length is None, read.keeps_alive)
         return read
 
 
-class ResponseReader(_Reader[ResponseHead]):
-    """Final answers to requests other than HEAD and CONNECT; those with 1xx are passed over."""
+class ResponseReader(_MessageReader[ResponseHead]):
+    """Reads final responses to requests other than HEAD and CONNECT; interim ones (1xx) are skipped."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -185,12 +189,12 @@
         super().start_next()
         self._interim = 0
 
-    def _understood(self, head: bytes) -> ResponseHead | None:
+    def _head_received(self, head: bytes) -> ResponseHead | None:
         read = read_response_head(head)
         if read.status < 200:
             self._interim += 1
-            if self._interim > _MOST_INTERIM:
-                raise Malformed("too many answers before the final one")
+            if self._interim > _MAX_INTERIM_RESPONSES:
+                raise MalformedMessage("too many answers before the final one")
             return None
         self._expect_body(read.length, read.is_chunked, read.keeps_alive)
         return read
--- a/sidecar/upstream/http_exchange.py
+++ b/sidecar/upstream/http_exchange.py
@@ -18,7 +18,7 @@
 from sidecar.http import (
     LAST_CHUNK,
     Headers,
-    Malformed,
+    MalformedMessage,
     ResponseHead,
     ResponseReader,
     Signal,
@@ -264,7 +264,7 @@
                     return
                 else:
                     return
-        except Malformed:
+        except MalformedMessage:
             self._fail(ExchangeFailure.MALFORMED_RESPONSE)
 
     def _head_received(self, head: ResponseHead) -> None:
@@ -324,7 +324,7 @@
         # A response that is early, while the request is still being sent, ends the connection.
         is_early = self._is_writing_paused or self._upload is not None
         self._end_streaming()
-        if self._reader.is_reusable and not is_early and not self._reader.has_more:
+        if self._reader.is_reusable and not is_early and not self._reader.has_trailing_data:
             self._reader.start_next()
             self._on_free(self)
         else:
--- a/tests/oracle.py
+++ b/tests/oracle.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from sidecar.http import Malformed, RequestHead, RequestReader, ResponseHead, ResponseReader, Signal
+from sidecar.http import MalformedMessage, RequestHead, RequestReader, ResponseHead, ResponseReader, Signal
 
 _ENDED = (h11.DONE, h11._state.MIGHT_SWITCH_PROTOCOL)
 
@@ -26,7 +26,7 @@
     first: tuple[bytes, ...] = ()  # method and target, or the status
     headers: tuple[tuple[bytes, bytes], ...] = ()
     body: bytes = b""
-    is_whole: bool = False
+    is_complete: bool = False
     is_reusable: bool = False  # nothing more came, and a further message may
 
 
@@ -44,7 +44,7 @@
     first: tuple[bytes, ...] = ()
     headers: tuple[tuple[bytes, bytes], ...] = ()
     body = b""
-    is_whole = False
+    is_complete = False
     try:
         for part in parts:
             reader.receive(part)
@@ -56,10 +56,12 @@
                 elif isinstance(event, bytes):
                     body += event
                 else:
-                    is_whole = True
-    except Malformed:
+                    is_complete = True
+    except MalformedMessage:
         return REFUSED
-    return Verdict(False, first, headers, body, is_whole, reader.is_reusable and not reader.has_more)
+    return Verdict(
+        False, first, headers, body, is_complete, reader.is_reusable and not reader.has_trailing_data
+    )
 
 
 def theirs(raw: bytes, *, is_request: bool) -> Verdict:
@@ -71,7 +73,7 @@
     first: tuple[bytes, ...] = ()
     headers: tuple[tuple[bytes, bytes], ...] = ()
     body = b""
-    is_whole = False
+    is_complete = False
     try:
         reader.receive_data(raw)
         while (event := reader.next_event()) is not h11.NEED_DATA and event is not h11.PAUSED:
@@ -82,12 +84,12 @@
             elif isinstance(event, h11.Data):
                 body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                is_whole = True
+                is_complete = True
                 break
     except h11.RemoteProtocolError:
         return REFUSED
     is_reusable = reader.their_state in _ENDED and not reader.trailing_data[0]
-    return Verdict(False, first, headers, body, is_whole, is_reusable)
+    return Verdict(False, first, headers, body, is_complete, is_reusable)
 
 
 def cuts(raw: bytes) -> Iterable[list[bytes]]:
@@ -175,11 +177,11 @@
     if mine == other:
         return None
     if mine.is_refused and not other.is_refused:
-        if not other.is_whole and theirs(raw + b"\r\n", is_request=is_request).is_refused:
+        if not other.is_complete and theirs(raw + b"\r\n", is_request=is_request).is_refused:
             return None  # h11 waits for the line's end before it says the same
         return None if any(each.covers(raw) for each in STRICTER.values()) else f"h11 takes it as {other}"
     if other.is_refused and not mine.is_refused:
-        if not mine.is_whole and not mine.first:
+        if not mine.is_complete and not mine.first:
             return None  # it waits for the rest of a head; the client's time to send it is bounded
         return (
             None if any(each.covers(raw) for each in LOOSER.values()) else f"h11 refuses it, taken as {mine}"
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sidecar.http import (
-    Malformed,
+    MalformedMessage,
     RequestHead,
     RequestReader,
     ResponseHead,
@@ -15,15 +15,15 @@
     request_head,
     response_head,
 )
-from sidecar.http.chunked import MOST_BESIDE
-from sidecar.http.grammar import HEAD_RULES, MOST_FIELDS, MOST_HEAD
+from sidecar.http.chunked import MAX_FRAMING_BYTES
+from sidecar.http.grammar import HEAD_RULES, MAX_FIELDS, MAX_HEAD_BYTES
 
 CHUNKED = b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def refusal(raw: bytes) -> tuple[str, int]:
     reader = RequestReader()
-    with pytest.raises(Malformed) as caught:
+    with pytest.raises(MalformedMessage) as caught:
         reader.receive(raw)
         while reader.next_event() not in (Signal.NEED_DATA, Signal.PAUSED):
             pass
@@ -101,10 +101,10 @@
 
 
 def test_heads_are_bounded_in_length_and_lines_whole_or_in_pieces() -> None:
-    long = b"GET / HTTP/1.1\r\nHost: x\r\nA: " + b"a" * MOST_HEAD
+    long = b"GET / HTTP/1.1\r\nHost: x\r\nA: " + b"a" * MAX_HEAD_BYTES
     assert refusal(long)[1] == 431
     assert refusal(long + b"\r\n\r\n")[1] == 431
-    many = b"GET / HTTP/1.1\r\nHost: x\r\n" + b"a:\r\n" * MOST_FIELDS + b"\r\n"
+    many = b"GET / HTTP/1.1\r\nHost: x\r\n" + b"a:\r\n" * MAX_FIELDS + b"\r\n"
     assert refusal(many)[1] == 431
 
 
@@ -118,8 +118,8 @@
     head = reader.next_event()
     assert isinstance(head, RequestHead) and head.length is None
     more = b"a" * 100 if endless.startswith(b"5") else b"A: b\r\n" * 16
-    with pytest.raises(Malformed):
-        for _ in range(MOST_BESIDE // len(more) + 2):
+    with pytest.raises(MalformedMessage):
+        for _ in range(MAX_FRAMING_BYTES // len(more) + 2):
             assert reader.next_event() is Signal.NEED_DATA
             reader.receive(more)
 
@@ -130,7 +130,7 @@
     assert isinstance(reader.next_event(), RequestHead)
     assert reader.next_event() == b"x" * 50_000
     assert reader.next_event() is Signal.END
-    assert reader.is_reusable and not reader.has_more
+    assert reader.is_reusable and not reader.has_trailing_data
 
 
 @pytest.mark.parametrize("tail", [b"\r", b"\n", b"\r\n", b"G", b"\r\n\r\n", b"GET / HTTP/1.1\r\n\r\n", b"\0"])
@@ -146,7 +146,7 @@
         while (event := reader.next_event()) not in (Signal.NEED_DATA, Signal.PAUSED):
             events.append(event)
     assert events[1:] == [b"x", Signal.END]
-    assert reader.has_more
+    assert reader.has_trailing_data
 
 
 def test_an_upgrade_is_a_proposal_that_changes_nothing() -> None:
@@ -155,7 +155,7 @@
     reader.receive(FRAMED % fields + b"1\r\nx\r\n0\r\n\r\n")
     assert isinstance(reader.next_event(), RequestHead)
     assert [reader.next_event(), reader.next_event()] == [b"x", Signal.END]
-    assert reader.is_reusable and not reader.has_more
+    assert reader.is_reusable and not reader.has_trailing_data
 
 
 @pytest.mark.parametrize(
@@ -197,7 +197,7 @@
 def test_garbled_answers_are_refused(raw: bytes) -> None:
     reader = ResponseReader()
     reader.receive(raw)
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessage):
         reader.next_event()
 
 
