--- a/bench/decide.py
+++ b/bench/decide.py
@@ -159,7 +159,7 @@
     held = parse_endpoint_list(given)
     tracker = EndpointListTracker(held)
     pool = Upstream(Clock(), Limits(), 64, lambda: None)
-    pool.listed(held)
+    pool.update_endpoints(held)
     balancer = Balancer(settings_from_wire({**SETTINGS, "zone": "z0"}), 1)
     balancer.handle(0, held.event(EndpointListKind.CACHED))
     found: list[EndpointList] = []
@@ -169,7 +169,7 @@
         "json": lambda: json.loads(body),
         "parse": lambda: found.append(parse_endpoint_list(given)),
         "admit": lambda: tracker.accept(found[0], begun, held.version),
-        "pool": lambda: pool.listed(found[0]),
+        "pool": lambda: pool.update_endpoints(found[0]),
         "event": lambda: event.append(found[0].event()),
         "decisions": lambda: balancer.handle(1, event[0]),
     }
--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -16,7 +16,7 @@
 
 from sidecar.configuration import Configuration, ConfigurationError, load
 from sidecar.configuration_reload import ConfigurationReloader
-from sidecar.downstream.listener import inherited
+from sidecar.downstream.listener import listener_from_descriptor
 from sidecar.log_events import (
     AdminInterfaceListening,
     ConfigurationInvalid,
@@ -39,7 +39,7 @@
     if configuration.listen_descriptor is None:
         return None
     try:
-        return inherited(configuration.listen_descriptor)
+        return listener_from_descriptor(configuration.listen_descriptor)
     except ValueError as error:
         raise ConfigurationError(f"BALANCER_SOCKET_FD: {error}") from None
 
@@ -70,7 +70,7 @@
 def _log_addresses(configuration: Configuration, sidecar: Sidecar, log: EventLog) -> None:
     if sidecar.admin_interface is not None and configuration.admin_address is not None:
         log(AdminInterfaceListening(configuration.admin_address[0], sidecar.admin_interface.port))
-    log(Listening(configuration.name, configuration.listen_address[0], sidecar.frontend.port))
+    log(Listening(configuration.name, configuration.listen_address[0], sidecar.downstream.port))
 
 
 def main() -> int:
--- a/sidecar/administration.py
+++ b/sidecar/administration.py
@@ -72,7 +72,7 @@
     def __init__(
         self,
         balancer: Balancer,
-        frontend: Downstream,
+        downstream: Downstream,
         requests: OpenRequests,
         metrics: Metrics,
         exclusions: ServerExclusions,
@@ -81,7 +81,7 @@
         log: EventLog,
     ) -> None:
         self._balancer = balancer
-        self._frontend = frontend
+        self._downstream = downstream
         self._requests = requests
         self._metrics = metrics
         self._exclusions = exclusions
@@ -91,7 +91,7 @@
 
     def is_ready(self) -> bool:
         """Return whether this process accepts clients."""
-        return self._frontend.takes_clients
+        return self._downstream.is_accepting
 
     def metrics(self) -> dict[str, object]:
         """Return all metrics under their names."""
@@ -111,8 +111,8 @@
         """Send clients away, as at an end, and keep running; False during the graceful shutdown."""
         if self._shutdown.is_shutting_down:
             return False
-        self._frontend.is_evacuated = True
-        self._frontend.drain()
+        self._downstream.fails_health_checks = True
+        self._downstream.drain()
         self._log(ClientsDrained())
         return True
 
@@ -120,6 +120,6 @@
         """Accept clients again; False during the graceful shutdown."""
         if self._shutdown.is_shutting_down:
             return False
-        self._frontend.rejoin()
+        self._downstream.resume()
         self._log(ClientsResumed())
         return True
--- a/sidecar/attempts.py
+++ b/sidecar/attempts.py
@@ -49,7 +49,7 @@
             return self._response_started(number, attempt, source, head, length)
 
         def is_wanted() -> bool:
-            return request.client is not None and not request.client.has_left()
+            return request.client is not None and not request.client.has_disconnected()
 
         call = Attempt(
             action.server,
@@ -94,7 +94,7 @@
         if request is None or request.client is None or request.streaming_attempt is not None:
             return None
         client = request.client
-        if not client.begin(head.content_headers(), length, head.body, source):
+        if not client.start_streaming(head.content_headers(), length, head.body, source):
             return None
         request.streaming_attempt = attempt
         call = request.calls[attempt]
--- a/sidecar/downstream/client_transport.py
+++ b/sidecar/downstream/client_transport.py
@@ -94,7 +94,7 @@
         if self._transport is not None:
             self._transport.pause_reading()
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed its connection, behind whatever it sent.
 
         Guards against collapse under overload: when requests are read so late that their clients have given
--- a/sidecar/downstream/connection.py
+++ b/sidecar/downstream/connection.py
@@ -60,7 +60,7 @@
 
     # Called by the sidecar
 
-    def answer(self, status: int, headers: Headers, body: bytes) -> None:
+    def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Write the response to the request that awaits it."""
         self._pending_request = None
         if self._upload is not None:
@@ -80,7 +80,9 @@
         self._transport.write(head + body)
         self._response_written(is_last)
 
-    def begin(self, headers: Headers, length: int | None, first: bytes, source: ResponseSource) -> bool:
+    def start_streaming(
+        self, headers: Headers, length: int | None, first: bytes, source: ResponseSource
+    ) -> bool:
         """Write the beginning of a streamed response; return whether the client is still there."""
         if self._transport is None or self._transport.is_closing():
             return False
@@ -111,7 +113,7 @@
         self._transport.write(chunk(data) if self._is_response_chunked else data)
         return not self._is_writing_paused
 
-    def finish(self) -> None:
+    def finish_streaming(self) -> None:
         """End a streamed response; one that is shorter than announced aborts the connection."""
         self._pending_request = self._source = None
         if self._transport is None or self._transport.is_closing():
@@ -144,7 +146,7 @@
         request, self._pending_request = self._pending_request, None
         if request is not None:
             self._owner.on_disconnect(request)  # its end is missing, or wrong
-        self.answer(status, [], reason)
+        self.respond(status, [], reason)
 
     # State, for the owner
 
@@ -176,7 +178,7 @@
             return False
         if self.receiving.paused_since is not None:
             # While nothing is read, no disconnect is seen either; an attempt should have ended by then.
-            return self.has_left() or now - self.receiving.paused_since > 2 * STALL_TIMEOUT_S
+            return self.has_disconnected() or now - self.receiving.paused_since > 2 * STALL_TIMEOUT_S
         return self.receiving.lag_s(now) > _BODY_TIMEOUT_S
 
     # Called by the event loop
@@ -196,7 +198,7 @@
             self._is_reading_ended = True
             return
         if self._head is None:
-            if self.has_left():
+            if self.has_disconnected():
                 self.abort()
                 return
             if self._owner.mark_active(self):
@@ -301,7 +303,7 @@
         if self._head.target == _HEALTH_TARGET:
             self._answer_health_check()
             return
-        if self._body and self.has_left():
+        if self._body and self.has_disconnected():
             self.abort()
             return
         try:
@@ -321,10 +323,10 @@
         self._reject(400, b"more came than one request\n")
 
     def _answer_health_check(self) -> None:
-        if self._owner.is_evacuated:
-            self.answer(503, [], b"evacuated\n")
+        if self._owner.fails_health_checks:
+            self.respond(503, [], b"evacuated\n")
         else:
-            self.answer(200, [], b"ready\n")
+            self.respond(200, [], b"ready\n")
 
     def _response_written(self, is_last: bool) -> None:
         assert self._transport is not None
--- a/sidecar/downstream/downstream.py
+++ b/sidecar/downstream/downstream.py
@@ -49,7 +49,7 @@
         self.on_complete = on_complete
         self.on_disconnect = on_disconnect
         self.is_draining = False  # every further response closes its connection
-        self.is_evacuated = False  # and health checks tell clients to go elsewhere
+        self.fails_health_checks = False  # and health checks tell clients to go elsewhere
         self.last_opened = 0.0
         self._classes = {service_class.name: service_class for service_class in settings.classes}
         self._tenants = frozenset(tenant.name for tenant in settings.tenants)
@@ -77,9 +77,9 @@
         self.is_draining = True
         self.close_idle()
 
-    def rejoin(self) -> None:
+    def resume(self) -> None:
         """Take clients again after a drain."""
-        self.is_draining = self.is_evacuated = False
+        self.is_draining = self.fails_health_checks = False
 
     def close_idle(self) -> None:
         """Close what is idle, and what was opened a while ago and has brought no request.
@@ -99,12 +99,12 @@
         return self._listener.port
 
     @property
-    def takes_clients(self) -> bool:
+    def is_accepting(self) -> bool:
         """Whether new connections are accepted and kept open after their response."""
         return self._listener is not None and self._listener.is_open and not self.is_draining
 
     @property
-    def is_passing_on(self) -> bool:
+    def is_streaming_response(self) -> bool:
         """Whether a client is getting a streamed response."""
         return any(connection.is_streaming_response for connection in self._connections)
 
@@ -114,7 +114,7 @@
         return len(self._connections)
 
     @property
-    def is_deserted(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether there is no connection, nor one that is just being accepted."""
         return not self._connections and (self._listener is None or not self._listener.being_accepted)
 
--- a/sidecar/downstream/listener.py
+++ b/sidecar/downstream/listener.py
@@ -18,7 +18,7 @@
 _NO_ROOM_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-def inherited(descriptor: int) -> socket.socket:
+def listener_from_descriptor(descriptor: int) -> socket.socket:
     """Return the listening socket behind an inherited descriptor; raise ValueError if there is none."""
     try:
         listening = socket.socket(fileno=descriptor)
@@ -31,7 +31,7 @@
     return listening
 
 
-def bound(address: Address) -> socket.socket:
+def bind_listener(address: Address) -> socket.socket:
     """Return a listening socket bound to the address; raise OSError if there can be none."""
     listening = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     try:
--- a/sidecar/graceful_shutdown.py
+++ b/sidecar/graceful_shutdown.py
@@ -28,7 +28,7 @@
         self,
         settings: Settings,
         clock: Clock,
-        frontend: Downstream,
+        downstream: Downstream,
         requests: OpenRequests,
         state: ShutdownState,
         *,
@@ -37,7 +37,7 @@
         """Not `owns_listener`: the platform holds the listening socket, and a successor accepts from it."""
         longest_s = max(service_class.deadline_us for service_class in settings.classes) / 1e6
         self._clock = clock
-        self._frontend = frontend
+        self._downstream = downstream
         self._requests = requests
         self._state = state
         self._owns_listener = owns_listener
@@ -48,14 +48,14 @@
         """Ask clients to go elsewhere, and limit the time of their requests."""
         self._began_at_s = asyncio.get_running_loop().time()
         self._state.begin(respond_by=self._clock.now() + int(self._time_s * 1e6))
-        self._frontend.drain()
+        self._downstream.drain()
 
     async def complete_requests(self) -> None:
         """Answer all requests, also those that still come, and wait for clients to close."""
         if self._owns_listener:
             await self._accept_late_connections()
         # In a socket that the platform holds, connections stay queued and the successor accepts them.
-        self._frontend.stop_listening(accept_the_rest=self._owns_listener)
+        self._downstream.stop_listening(accept_the_rest=self._owns_listener)
         await self._wait_for_responses()
         self._answer_overdue_requests()
         await self._wait_for_streaming()
@@ -66,14 +66,14 @@
         loop = asyncio.get_running_loop()
         await asyncio.sleep(_ACCEPT_FOR_S)
         latest_end_s = self._began_at_s + _KILL_DELAY_S
-        while loop.time() < min(self._frontend.last_opened + _QUIET_S, latest_end_s):
+        while loop.time() < min(self._downstream.last_opened + _QUIET_S, latest_end_s):
             await asyncio.sleep(_QUIET_S / 2)
 
     async def _wait_for_responses(self) -> None:
         loop = asyncio.get_running_loop()
         ends_at_s = self._began_at_s + self._time_s
-        while (self._requests.unanswered or not self._frontend.is_deserted) and loop.time() < ends_at_s:
-            self._frontend.close_idle()
+        while (self._requests.unanswered or not self._downstream.is_empty) and loop.time() < ends_at_s:
+            self._downstream.close_idle()
             await asyncio.sleep(_POLL_INTERVAL_S)
 
     def _answer_overdue_requests(self) -> None:
@@ -86,12 +86,12 @@
         """Let responses that are passed through continue: whoever cuts one off loses it."""
         loop = asyncio.get_running_loop()
         ends_at_s = self._began_at_s + _MAX_STREAMING_S
-        while self._frontend.is_passing_on and loop.time() < ends_at_s:
+        while self._downstream.is_streaming_response and loop.time() < ends_at_s:
             await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def _wait_for_clients_to_close(self) -> None:
         """Let clients read the last responses: the end of the process resets what is open."""
         loop = asyncio.get_running_loop()
         ends_at_s = loop.time() + _CLOSE_WAIT_S
-        while not self._frontend.is_deserted and loop.time() < ends_at_s:
+        while not self._downstream.is_empty and loop.time() < ends_at_s:
             await asyncio.sleep(_CLOSE_POLL_INTERVAL_S)
--- a/sidecar/open_requests.py
+++ b/sidecar/open_requests.py
@@ -83,7 +83,7 @@
         client = self.settle(number)
         if client is not None:
             self._metrics.response_sent(self._requests[number].incoming.service_class, status)
-            client.answer(status, headers or [], body)
+            client.respond(status, headers or [], body)
         self.remove_if_over(number)
 
     def finish_streaming(self, number: int, *, is_complete: bool) -> None:
@@ -94,7 +94,7 @@
         status = 200 if is_complete else 502
         self._metrics.response_sent(self._requests[number].incoming.service_class, status)
         if is_complete:
-            client.finish()
+            client.finish_streaming()
         else:
             client.abort()
 
--- a/sidecar/request_intake.py
+++ b/sidecar/request_intake.py
@@ -65,7 +65,7 @@
         remaining_us = max(request.incoming.remaining_us - waited_us, 1)
         remaining_us = self._shutdown.limit(remaining_us, now)
         for call in request.calls:
-            self._upstream.hurry(call, now + remaining_us)
+            self._upstream.shorten_deadline(call, now + remaining_us)
         self._dispatch(RequestBodyCompleted(number, remaining_us))
 
     def client_disconnected(self, number: int) -> None:
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -18,7 +18,7 @@
 from sidecar.discovery.discovery import Discovery
 from sidecar.discovery.endpoint_list import EndpointList
 from sidecar.downstream.downstream import Downstream
-from sidecar.downstream.listener import bound
+from sidecar.downstream.listener import bind_listener
 from sidecar.event_dispatcher import EventDispatcher
 from sidecar.graceful_shutdown import GracefulShutdown
 from sidecar.hot_restart import ConnectionLimits, HotRestart, connection_limits
@@ -59,7 +59,7 @@
         self._discovery = self._create_discovery()
         self._executor = self._create_executor()
         self._dispatcher.execute = self._executor.execute
-        self.frontend = self._create_frontend()
+        self.downstream = self._create_downstream()
         self._exclusions = ServerExclusions(
             self._balancer, self._upstream, self._persisted_exclusions, self._dispatcher.dispatch
         )
@@ -75,13 +75,13 @@
         await self._cluster.listen(is_port_shared=self._listener is not None)
         if self.admin_interface is not None and configuration.admin_address is not None:
             await self.admin_interface.listen(configuration.admin_address)
-        self._upstream.listed(configuration.known_endpoints)
+        self._upstream.update_endpoints(configuration.known_endpoints)
         self._dispatcher.dispatch(configuration.known_endpoints.event(EndpointListKind.CACHED))
         self._exclusions.restore(watch=self._listener is not None)
         self._hot_restart.watch(self._resize_upstream)
         self._discovery.start()
         await self._discovery.wait_for_first_list(_FIRST_LIST_TIMEOUT_S)
-        self.frontend.listen(self._listener or bound(configuration.listen_address))
+        self.downstream.listen(self._listener or bind_listener(configuration.listen_address))
 
     def reconfigure(self, configuration: Configuration) -> list[str]:
         """Apply what may change at run time: addresses of discovery and of peers, membership and versions.
@@ -120,7 +120,7 @@
         shutdown = GracefulShutdown(
             self._configuration.settings,
             self._clock,
-            self.frontend,
+            self.downstream,
             self._requests,
             self._shutdown_state,
             owns_listener=self._listener is None,
@@ -139,10 +139,10 @@
         self._discovery.close()
         self._cluster.close()
         self._upstream.close()
-        self.frontend.stop_listening()
+        self.downstream.stop_listening()
 
     def _endpoint_list_received(self, endpoint_list: EndpointList) -> None:
-        self._upstream.listed(endpoint_list)
+        self._upstream.update_endpoints(endpoint_list)
         self._dispatcher.dispatch(endpoint_list.event())
 
     def _endpoint_list_failed(self) -> None:
@@ -217,7 +217,7 @@
             sends_retry_after=settings.limits.retry_after,
         )
 
-    def _create_frontend(self) -> Downstream:
+    def _create_downstream(self) -> Downstream:
         intake = RequestIntake(
             self._configuration.settings,
             self._clock,
@@ -241,7 +241,7 @@
     def _create_administration(self) -> Administration:
         return Administration(
             self._balancer,
-            self.frontend,
+            self.downstream,
             self._requests,
             self._metrics,
             self._exclusions,
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -41,7 +41,7 @@
 
     # Endpoints
 
-    def listed(self, endpoint_list: EndpointList) -> None:
+    def update_endpoints(self, endpoint_list: EndpointList) -> None:
         """Take over an endpoint list or its changes, before any action that follows from it."""
         self._pool.update_endpoints(endpoint_list)
 
@@ -154,7 +154,7 @@
         if attempt.connection is None:
             self.cancel(attempt)
 
-    def hurry(self, attempt: Attempt, deadline: int) -> None:
+    def shorten_deadline(self, attempt: Attempt, deadline: int) -> None:
         """Bring the deadline forward, unless the response has begun."""
         is_answered = attempt.connection is not None and attempt.connection.is_streaming_response
         if not attempt.is_ended and not is_answered and deadline < attempt.deadline:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -292,7 +292,7 @@
     clients: list[Client] = field(default_factory=list)
 
     async def client(self) -> Client:
-        client = Client(*await asyncio.open_connection(HOST, self.sidecar.frontend.port))
+        client = Client(*await asyncio.open_connection(HOST, self.sidecar.downstream.port))
         self.clients.append(client)
         return client
 
--- a/tests/test_admin_interface.py
+++ b/tests/test_admin_interface.py
@@ -15,7 +15,7 @@
     async def work() -> None:
         async with stage(OK, console=True) as scene:
             assert (await scene.call("GET", "/api/ready"))[0] == 200
-            scene.sidecar.frontend.stop_listening()
+            scene.sidecar.downstream.stop_listening()
             assert (await scene.call("GET", "/api/ready"))[0] == 503
 
     play(work)
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -140,9 +140,9 @@
             await list_only(scene, address)
             client = await scene.client()
             client.send(upload_of(body, "length"))
-            sides = scene.sidecar.frontend._connections
+            sides = scene.sidecar.downstream._connections
             await until(lambda: any(side.receiving.paused_since is not None for side in sides))
-            scene.sidecar.frontend.close_overdue(asyncio.get_running_loop().time() + 15.0)
+            scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 15.0)
             taker.may_read.set()  # the time that it was held back is not the client's
             assert (await client.answer()).status == 200
             assert taker.bodies == [body]
@@ -164,7 +164,7 @@
             client.send(head + b"%x\r\n%s\r\n" % (100_000, bytes(100_000)))
             await until(lambda: taker.begun == 1)
             if end == "silence":
-                scene.sidecar.frontend.close_overdue(asyncio.get_running_loop().time() + 5.0)
+                scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 5.0)
                 assert (await client.answer()).status == 408
             elif end == "leaving":
                 client.close()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -44,7 +44,7 @@
 
 def states(scene: Stage) -> list[ConnectionState]:
     """The states of all client connections."""
-    return [connection.state for connection in scene.sidecar.frontend._connections]
+    return [connection.state for connection in scene.sidecar.downstream._connections]
 
 
 async def a_round_trip(scene: Stage) -> None:
@@ -62,11 +62,11 @@
     async def work() -> None:
         async def answer(heard: Heard) -> bytes:
             if why == "drained":
-                scene.sidecar.frontend.drain()
+                scene.sidecar.downstream.drain()
             return OK
 
         async with stage(answer) as scene:
-            raw = Raw(scene.sidecar.frontend.port)
+            raw = Raw(scene.sidecar.downstream.port)
             asked = request("lodge")
             if why == "asked for":
                 asked = request("lodge", Connection="close")
@@ -81,7 +81,7 @@
             assert whole.startswith(
                 b"HTTP/1.1 4" if why in ("refused", "more beside it") else b"HTTP/1.1 200"
             )
-            (connection,) = scene.sidecar.frontend._connections
+            (connection,) = scene.sidecar.downstream._connections
             assert connection.state is ConnectionState.LINGERING
             before = len(scene.heard)
             for _ in range(3):
@@ -89,7 +89,7 @@
                 await a_round_trip(scene)
             assert not raw.is_reset() and len(scene.heard) == before
             raw.close()
-            await until(lambda: scene.sidecar.frontend.is_deserted)
+            await until(lambda: scene.sidecar.downstream.is_empty)
 
     play(work)
 
@@ -99,22 +99,22 @@
     # Guards rule 1: what is read after the shutdown and sent on is lost; the client sends it again elsewhere.
     async def work() -> None:
         async with stage(OK) as scene:
-            raw = Raw(scene.sidecar.frontend.port)
+            raw = Raw(scene.sidecar.downstream.port)
             raw.send(request("lodge"))
-            await until(lambda: len(scene.sidecar.frontend._idle_since) == 1)
+            await until(lambda: len(scene.sidecar.downstream._idle_since) == 1)
             if why == "drain":
-                scene.sidecar.frontend.drain()
+                scene.sidecar.downstream.drain()
             elif why == "evacuation":
                 scene.sidecar.administration.drain_clients()
             else:
-                scene.sidecar.frontend.close_overdue(asyncio.get_running_loop().time() + 3_600)
+                scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 3_600)
             raw.send(request("lodge"))  # in that very moment: nothing has run since
             assert (await raw.read_all()).count(b"HTTP/1.1 200") == 1
             raw.send(request("lodge"))
             await a_round_trip(scene)
             assert not raw.is_reset() and len(scene.heard) == 1
             raw.close()
-            await until(lambda: scene.sidecar.frontend.is_deserted)
+            await until(lambda: scene.sidecar.downstream.is_empty)
 
     play(work)
 
@@ -122,7 +122,7 @@
 def test_a_client_that_never_hangs_up_is_let_go_in_time() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
-            raw = Raw(scene.sidecar.frontend.port)
+            raw = Raw(scene.sidecar.downstream.port)
             raw.send(request("lodge", Connection="close"))
             assert (await raw.read_all()).startswith(b"HTTP/1.1 200")
             now = asyncio.get_running_loop().time()
@@ -130,8 +130,8 @@
             def is_let_go() -> bool:
                 nonlocal now
                 now += 2.5
-                scene.sidecar.frontend.close_overdue(now)
-                return scene.sidecar.frontend.is_deserted
+                scene.sidecar.downstream.close_overdue(now)
+                return scene.sidecar.downstream.is_empty
 
             await until(is_let_go)
             raw.close()
@@ -145,16 +145,16 @@
         body = b"x" * 65_000
 
         async with stage(b"HTTP/1.1 200 OK\r\nContent-Length: 65000\r\n\r\n" + body) as scene:
-            raw = Raw(scene.sidecar.frontend.port)
+            raw = Raw(scene.sidecar.downstream.port)
             raw.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
             raw.send(request("lodge", Connection="close"))
             await until(
                 lambda: (
-                    [each.state for each in scene.sidecar.frontend._connections]
+                    [each.state for each in scene.sidecar.downstream._connections]
                     == [ConnectionState.LINGERING]
                 )
             )
-            (connection,) = scene.sidecar.frontend._connections
+            (connection,) = scene.sidecar.downstream._connections
             now, got, steps = asyncio.get_running_loop().time(), b"", 0
             while before := connection._untaken_bytes():
                 while connection._untaken_bytes() >= before:
@@ -162,7 +162,7 @@
                 if not connection._untaken_bytes():
                     break  # all is with its machine: nothing can cut it any more
                 now += 2.5  # it has taken some, so it may go on
-                scene.sidecar.frontend.close_overdue(now)
+                scene.sidecar.downstream.close_overdue(now)
                 assert connection.state is ConnectionState.LINGERING
                 steps += 1
             assert steps > 0
@@ -178,25 +178,25 @@
         body = b"x" * 65_000
         limits = {"limits": {"sockets": 72}}
         async with stage(b"HTTP/1.1 200 OK\r\nContent-Length: 65000\r\n\r\n" + body, given=limits) as scene:
-            most = scene.sidecar.frontend._max_connections
+            most = scene.sidecar.downstream._max_connections
             slow = socket.socket()
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            slow.connect((HOST, scene.sidecar.frontend.port))
+            slow.connect((HOST, scene.sidecar.downstream.port))
             slow.setblocking(False)
             slow.send(request("lodge", Connection="close"))
             await until(
                 lambda: (
-                    [each.state for each in scene.sidecar.frontend._connections]
+                    [each.state for each in scene.sidecar.downstream._connections]
                     == [ConnectionState.LINGERING]
                 )
             )
-            (connection,) = scene.sidecar.frontend._connections
+            (connection,) = scene.sidecar.downstream._connections
             assert connection.has_untaken_bytes
-            silent = [Raw(scene.sidecar.frontend.port) for _ in range(most - 1)]
-            await until(lambda: scene.sidecar.frontend.open_connections == most)
-            scene.sidecar.frontend._awaited_since[connection] -= 10.0  # it waits for longest
-            for each in scene.sidecar.frontend._awaited_since:
-                scene.sidecar.frontend._awaited_since[each] -= 1.0
+            silent = [Raw(scene.sidecar.downstream.port) for _ in range(most - 1)]
+            await until(lambda: scene.sidecar.downstream.open_connections == most)
+            scene.sidecar.downstream._awaited_since[connection] -= 10.0  # it waits for longest
+            for each in scene.sidecar.downstream._awaited_since:
+                scene.sidecar.downstream._awaited_since[each] -= 1.0
             newcomer = await scene.client()
             newcomer.send(request("lodge"))
             await until(lambda: len(scene.heard) == 2)
@@ -212,17 +212,17 @@
     # Guards rule 1 at SIGTERM: the end of a listening socket resets all that waits in its queue.
     async def work() -> None:
         async with stage(OK) as scene:
-            raws = [Raw(scene.sidecar.frontend.port) for _ in range(20)]
+            raws = [Raw(scene.sidecar.downstream.port) for _ in range(20)]
             for raw in raws:
                 raw.send(request("lodge"))
-            scene.sidecar.frontend.drain()
-            scene.sidecar.frontend.stop_listening(accept_the_rest=True)
-            assert not scene.sidecar.frontend.is_deserted
+            scene.sidecar.downstream.drain()
+            scene.sidecar.downstream.stop_listening(accept_the_rest=True)
+            assert not scene.sidecar.downstream.is_empty
             for raw in raws:
                 assert (await raw.read_all()).startswith(b"HTTP/1.1 200")
                 raw.close()
             assert len(scene.heard) == 20
-            await until(lambda: scene.sidecar.frontend.is_deserted)
+            await until(lambda: scene.sidecar.downstream.is_empty)
 
     play(work)
 
@@ -242,7 +242,7 @@
             owed.send(request("lodge"))
             await until(lambda: len(scene.heard) == 2)
             silent = await scene.client()
-            await until(lambda: scene.sidecar.frontend.open_connections == 3)
+            await until(lambda: scene.sidecar.downstream.open_connections == 3)
             draining = asyncio.get_running_loop().create_task(scene.sidecar.shut_down())
             for each in (resting, silent):
                 assert await soon(each.reader.read()) == b""
@@ -265,15 +265,15 @@
             whole = request("lodge", body=b"x" * 30_000)
             client.send(whole[:-20_000])
             await until(
-                lambda: [each.is_sending_body for each in scene.sidecar.frontend._connections] == [True]
+                lambda: [each.is_sending_body for each in scene.sidecar.downstream._connections] == [True]
             )
-            scene.sidecar.frontend.drain()
+            scene.sidecar.downstream.drain()
             if ends:
                 client.send(whole[-20_000:])
                 assert (await client.answer()).status == 200
                 assert [len(each.body) for each in scene.heard] == [30_000]
             else:
-                scene.sidecar.frontend.close_overdue(asyncio.get_running_loop().time() + 10.0)
+                scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 10.0)
                 assert (await client.answer()).status == 408
                 assert scene.heard == []
             assert await soon(client.reader.read()) == b""
@@ -308,7 +308,7 @@
             for _ in range(20):
                 client = await scene.client()
                 client.send(request("lodge"))
-                await until(lambda: scene.sidecar.frontend.is_deserted and scene.sidecar.open_requests == 0)
+                await until(lambda: scene.sidecar.downstream.is_empty and scene.sidecar.open_requests == 0)
             assert len(scene.heard) == 20 and scene.sidecar.unanswered_requests == 0
             assert not [each for each in scene.log if "internal" in each]
         assert not [each for each in faults if "sidecar" in repr(each)]
@@ -320,7 +320,7 @@
     async def work() -> None:
         async with stage(OK, given={"limits": {"sockets": 180}}) as scene:
             for _ in range(5):
-                floods = [Raw(scene.sidecar.frontend.port) for _ in range(30)]
+                floods = [Raw(scene.sidecar.downstream.port) for _ in range(30)]
                 for number, raw in enumerate(floods):
                     raw.send((request("lodge") * 40)[: 3_000 + number])
                 legal = await scene.client()
@@ -328,7 +328,7 @@
                 for raw in floods:
                     raw.close()
                 legal.close()
-            await until(lambda: scene.sidecar.frontend.is_deserted and scene.sidecar.open_requests == 0)
+            await until(lambda: scene.sidecar.downstream.is_empty and scene.sidecar.open_requests == 0)
 
     play(work)
 
@@ -459,11 +459,11 @@
 def test_a_server_error_and_a_drain_in_one_moment_are_one_answer() -> None:
     async def work() -> None:
         async def fail(heard: Heard) -> bytes:
-            scene.sidecar.frontend.drain()
+            scene.sidecar.downstream.drain()
             return ERROR
 
         async with stage(fail) as scene:
-            raw = Raw(scene.sidecar.frontend.port)
+            raw = Raw(scene.sidecar.downstream.port)
             raw.send(request("lodge"))
             assert (await raw.read_all()).count(b"HTTP/1.1 ") == 1
             raw.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -102,7 +102,7 @@
         if idle and self.chance.random() < 0.5:
             asker = self.chance.choice(idle)
         else:
-            asker = Asker(*await asyncio.open_connection(HOST, self.scene.sidecar.frontend.port))
+            asker = Asker(*await asyncio.open_connection(HOST, self.scene.sidecar.downstream.port))
             asker.reading = asyncio.get_running_loop().create_task(asker.read())
             self.askers.append(asker)
         asker.send(self.worded())
@@ -116,7 +116,7 @@
         return request(kind, timeout=timeout, body=body, **further)
 
     async def ask_half(self) -> None:
-        asker = Asker(*await asyncio.open_connection(HOST, self.scene.sidecar.frontend.port))
+        asker = Asker(*await asyncio.open_connection(HOST, self.scene.sidecar.downstream.port))
         asker.reading = asyncio.get_running_loop().create_task(asker.read())
         self.askers.append(asker)
         whole = self.worded()
@@ -187,8 +187,8 @@
 
     async def hurry(self) -> None:
         """Those whose time is up by now go."""
-        frontend = self.scene.sidecar.frontend
-        frontend.close_overdue(asyncio.get_running_loop().time() + self.chance.choice([0.0, 1.0]))
+        downstream = self.scene.sidecar.downstream
+        downstream.close_overdue(asyncio.get_running_loop().time() + self.chance.choice([0.0, 1.0]))
 
     async def pause(self) -> None:
         if self.chance.random() < 0.2:
@@ -254,7 +254,7 @@
             for _ in range(STEPS):
                 await here.step()
                 assert scene.sidecar.unanswered_requests >= 0
-                assert scene.sidecar.frontend.open_connections <= 340
+                assert scene.sidecar.downstream.open_connections <= 340
             owed = {id(each): each.sent for each in here.askers if each.is_legal}
             draining = loop.create_task(scene.sidecar.shut_down())
             while not draining.done():
@@ -266,7 +266,7 @@
                 asker.writer.close()
                 assert asker.reading is not None
                 await asker.reading
-            await until(lambda: scene.sidecar.frontend.is_deserted)
+            await until(lambda: scene.sidecar.downstream.is_empty)
             await until(lambda: scene.sidecar.open_requests == 0)
             for asker in here.askers:
                 assert asker.answers <= asker.sent + (not asker.is_legal) + bool(asker.rest), asker.got
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -11,7 +11,7 @@
 
 import sidecar.sidecar
 from sidecar.address import Address
-from sidecar.downstream.listener import bound
+from sidecar.downstream.listener import bind_listener
 from sidecar.sidecar import Sidecar
 
 
@@ -29,21 +29,21 @@
 def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_nobody_out(sent: bytes) -> None:
     async def work() -> None:
         async with stage(OK, OK, given={"limits": {"sockets": 72}}) as scene:
-            frontend = scene.sidecar.frontend
+            downstream = scene.sidecar.downstream
             await until(lambda: len(scene.discovery.heard) == 2)  # the list, and a watch behind it
             port = int(scene.discovery.address.rpartition(":")[2])
             scene.discovery.stop()
             idle = []
-            for _ in range(3 * frontend._max_connections):
-                idle.append(socket.create_connection((HOST, frontend.port)))
+            for _ in range(3 * downstream._max_connections):
+                idle.append(socket.create_connection((HOST, downstream.port)))
                 idle[-1].sendall(sent)
                 await asyncio.sleep(0)
-            await until(lambda: frontend.open_connections == frontend._max_connections)
+            await until(lambda: downstream.open_connections == downstream._max_connections)
             assert (await scene.ask("lodge")).status == 200  # a server is dialled, a newcomer is served
             scene.discovery.servers = [line("s-1", scene.servers[1].address)]
             await scene.discovery.start(port)
             await until(lambda: scene.sidecar._balancer.members()[0] == 1)  # the list is heard again
-            assert frontend.open_connections <= frontend._max_connections
+            assert downstream.open_connections <= downstream._max_connections
             assert (await scene.ask("lodge")).status == 200
             for each in idle:
                 each.close()
@@ -59,7 +59,7 @@
     sidecar: Sidecar | None = None
 
     def accept(self) -> tuple[socket.socket, Address]:
-        if self.sidecar is not None and self.sidecar.frontend.open_connections >= self.room:
+        if self.sidecar is not None and self.sidecar.downstream.open_connections >= self.room:
             self.refused += 1
             raise OSError(errno.EMFILE, "Too many open files")
         return super().accept()
@@ -71,11 +71,11 @@
     crowded: list[Crowded] = []
 
     def crowd(address: Address) -> socket.socket:
-        own = bound(address)
+        own = bind_listener(address)
         crowded.append(Crowded(own.family, own.type, own.proto, own.detach()))
         return crowded[0]
 
-    monkeypatch.setattr(sidecar.sidecar, "bound", crowd)
+    monkeypatch.setattr(sidecar.sidecar, "bind_listener", crowd)
 
     async def work() -> None:
         async with stage(OK) as scene:
@@ -83,6 +83,6 @@
             for _ in range(3 * Crowded.room):
                 assert (await scene.ask("lodge")).status == 200  # and its connection rests
             assert crowded[0].refused > 0
-            assert scene.sidecar.frontend.open_connections <= Crowded.room
+            assert scene.sidecar.downstream.open_connections <= Crowded.room
 
     play(work)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -72,7 +72,7 @@
     async def work() -> None:
         async with stage(OK, console=True) as scene:
             young = await scene.client()
-            await until(lambda: scene.sidecar.frontend.open_connections == 1)
+            await until(lambda: scene.sidecar.downstream.open_connections == 1)
             scene.sidecar.administration.drain_clients()
             assert (await young.ask()).status == 200
 
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -181,16 +181,16 @@
         async with stage(OK) as scene:
             client = await scene.client()
             assert (await client.ask(target="/api/1")).status == 200  # there is a connection to reuse now
-            frontend = scene.sidecar.frontend
-            with socket.create_connection((HOST, frontend.port)) as gone:
+            downstream = scene.sidecar.downstream
+            with socket.create_connection((HOST, downstream.port)) as gone:
                 gone.sendall(request("check", target="/api/gone"))  # it leaves before it is accepted
             later = await scene.client()
             assert (await later.ask(target="/api/2")).status == 200  # accepted after the other
-            assert frontend.open_connections == 2
-            with socket.create_connection((HOST, frontend.port)) as gone:
-                await until(lambda: frontend.open_connections == 3)
+            assert downstream.open_connections == 2
+            with socket.create_connection((HOST, downstream.port)) as gone:
+                await until(lambda: downstream.open_connections == 3)
                 gone.sendall(request("check", target="/api/gone"))  # and this one before it is read
-            await until(lambda: frontend.open_connections == 2)
+            await until(lambda: downstream.open_connections == 2)
             assert (await client.ask(target="/api/3")).status == 200
             assert [each.target for each in scene.heard] == ["/api/1", "/api/2", "/api/3"]
 
@@ -243,7 +243,7 @@
                 clients.append(client)
             assert await clients[0].reader.read() == b""
             assert (await clients[-1].ask()).status == 200
-            await until(lambda: scene.sidecar.frontend.open_connections <= 8)
+            await until(lambda: scene.sidecar.downstream.open_connections <= 8)
 
     play(work)
 
@@ -266,7 +266,7 @@
             surplus = [await scene.client() for _ in range(20)]
             for each in surplus:
                 assert await soon(each.reader.read()) == b""  # no answer that is owed makes room
-            assert scene.sidecar.frontend.open_connections == 60
+            assert scene.sidecar.downstream.open_connections == 60
             release.set()
             assert [(await each.answer()).status for each in clients] == [200] * 60
             assert (await scene.ask()).status == 200
@@ -279,10 +279,10 @@
     async def work() -> None:
         async with stage(OK, given={"limits": {"sockets": 180}}) as scene:
             before = len(os.listdir("/proc/self/fd"))
-            address = (HOST, scene.sidecar.frontend.port)
+            address = (HOST, scene.sidecar.downstream.port)
             rush = [socket.create_connection(address) for _ in range(300)]
             most = 0
-            while scene.sidecar.frontend.open_connections < 60 or most == 0:
+            while scene.sidecar.downstream.open_connections < 60 or most == 0:
                 most = max(most, len(os.listdir("/proc/self/fd")) - before - len(rush))
                 await asyncio.sleep(0)
             assert most <= 100
@@ -314,7 +314,7 @@
                 stalled = await scene.client()
                 stalled.send(request("lodge", body=b"x" * 10)[:-1])
             assert (await scene.ask()).status == 200
-            await until(lambda: scene.sidecar.frontend.open_connections <= 8)
+            await until(lambda: scene.sidecar.downstream.open_connections <= 8)
 
     play(work)
 
@@ -330,21 +330,21 @@
 def test_a_client_that_sends_no_whole_request_is_let_go_in_time(sent: bytes) -> None:
     async def work() -> None:
         async with stage(OK) as scene:
-            frontend, now = scene.sidecar.frontend, asyncio.get_running_loop().time
+            downstream, now = scene.sidecar.downstream, asyncio.get_running_loop().time
             kept = await scene.client()
             assert (await kept.ask()).status == 200
             slow = await scene.client()
-            await until(lambda: frontend.open_connections == 2)
+            await until(lambda: downstream.open_connections == 2)
             slow.send(sent)
             assert (await kept.ask()).status == 200  # what was sent before is read by now
-            frontend.close_overdue(frontend.last_opened + OVERDUE_S - 0.6)
-            assert frontend.open_connections == 2
-            frontend.close_overdue(now() + OVERDUE_S)
+            downstream.close_overdue(downstream.last_opened + OVERDUE_S - 0.6)
+            assert downstream.open_connections == 2
+            downstream.close_overdue(now() + OVERDUE_S)
             if sent:
                 assert (await slow.answer()).status == 408
             assert await soon(slow.reader.read()) == b""
-            frontend.close_overdue(now() + OVERDUE_S)  # it has answer and end; if it stays, it is cut
-            await until(lambda: frontend.open_connections == 1)
+            downstream.close_overdue(now() + OVERDUE_S)  # it has answer and end; if it stays, it is cut
+            await until(lambda: downstream.open_connections == 1)
             assert (await kept.ask()).status == 200
 
     play(work)
@@ -357,7 +357,7 @@
             assert (await client.ask()).status == 200
             client.send(request("check")[:-2])
             assert (await other.ask()).status == 200
-            scene.sidecar.frontend.close_overdue(asyncio.get_running_loop().time() + OVERDUE_S)
+            scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + OVERDUE_S)
             assert (await client.answer()).status == 408
 
     play(work)
@@ -367,22 +367,22 @@
     async def work() -> None:
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
         async with stage(large) as scene:
-            frontend, now = scene.sidecar.frontend, asyncio.get_running_loop().time
+            downstream, now = scene.sidecar.downstream, asyncio.get_running_loop().time
             with socket.socket() as deaf:
                 deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                deaf.connect((HOST, frontend.port))
+                deaf.connect((HOST, downstream.port))
 
                 def moved(sent: int) -> bool:
                     if sent > 1:
-                        frontend.close_overdue(now() + OVERDUE_S)
-                    return len(scene.heard) == sent or (sent > 1 and frontend.open_connections == 0)
+                        downstream.close_overdue(now() + OVERDUE_S)
+                    return len(scene.heard) == sent or (sent > 1 and downstream.open_connections == 0)
 
                 for number in range(1, 400):
                     deaf.sendall(request("check"))
                     await until(lambda sent=number: moved(sent))  # type: ignore[misc]
-                    if frontend.open_connections == 0:
+                    if downstream.open_connections == 0:
                         break
-                assert frontend.open_connections == 0
+                assert downstream.open_connections == 0
             await until(lambda: scene.sidecar.open_requests == 0)
 
     play(work)
@@ -395,7 +395,7 @@
             client = await scene.client()
             assert (await client.ask()).status == 200
             client.send(request("lodge"))  # it is in the sidecar's socket now, and the event loop has not run
-            scene.sidecar.frontend.close_idle()
+            scene.sidecar.downstream.close_idle()
             assert (await client.answer()).status == 200
 
     play(work)
--- a/tests/test_late_dials.py
+++ b/tests/test_late_dials.py
@@ -94,7 +94,7 @@
 
     def listed(self, **changes: Any) -> None:
         listed = line("s-0", self.slow.address, **changes)
-        self.upstream.listed(parse_endpoint_list({"version": 1, "full": True, "servers": [listed]}))
+        self.upstream.update_endpoints(parse_endpoint_list({"version": 1, "full": True, "servers": [listed]}))
 
     def call(self, **how: Any) -> Attempt:
         def message(left_us: int) -> OutgoingRequest:
@@ -284,7 +284,7 @@
             await until(lambda: len(scene.discovery.heard) >= 3)
             client = await scene.client()
             client.send(request("lodge", timeout="50", body=b"x" * 70_000, Content_Length="200000"))
-            connections = scene.sidecar.frontend._connections
+            connections = scene.sidecar.downstream._connections
             await until(lambda: [each.receiving.paused_since for each in connections] != [None])
             client.close()
             await until(lambda: at_the_sidecar(scene) == 0)
@@ -391,7 +391,7 @@
             warm.set()
             await until(lambda: at_the_sidecar(scene) == 0)
             assert [len(each.heard) for each in scene.servers] == [1, 1]  # a connection to each
-            leaving.append(socket.create_connection((HOST, scene.sidecar.frontend.port)))
+            leaving.append(socket.create_connection((HOST, scene.sidecar.downstream.port)))
             leaving[0].sendall(request("lodge", timeout="50"))
             await until(lambda: len(scene.heard) >= 3)
             await until(lambda: at_the_sidecar(scene) == 0)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -50,7 +50,7 @@
         assert not sidecar.administration.is_ready() and not starting.done()
         release.set()
         await soon(starting)
-        reader, writer = await asyncio.open_connection(HOST, sidecar.frontend.port)
+        reader, writer = await asyncio.open_connection(HOST, sidecar.downstream.port)
         writer.write(request("lodge"))
         assert (await soon(reader.readline())).startswith(b"HTTP/1.1 503")
         assert server.heard == []
@@ -78,7 +78,7 @@
             agent.stop()
         sidecar = pushed_sidecar(address, server.address, [])
         await soon(sidecar.start())
-        reader, writer = await asyncio.open_connection(HOST, sidecar.frontend.port)
+        reader, writer = await asyncio.open_connection(HOST, sidecar.downstream.port)
         writer.write(request("lodge"))
         assert (await soon(reader.readline())).startswith(b"HTTP/1.1 200")
         writer.close()
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -67,7 +67,7 @@
     try:
         async with asyncio.timeout(WITHIN_S):
             await sidecar.start()
-            reader, writer = await asyncio.open_connection(HOST, sidecar.frontend.port)
+            reader, writer = await asyncio.open_connection(HOST, sidecar.downstream.port)
             writer.write(request("lodge"))
             assert (await reader.readline()).startswith(b"HTTP/1.1 200")
             writer.close()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -15,7 +15,7 @@
 from test_program import GOOD, program
 
 from sidecar.configuration import parse
-from sidecar.downstream.listener import inherited
+from sidecar.downstream.listener import listener_from_descriptor
 from sidecar.persisted_exclusions import PersistedExclusions
 from sidecar.sidecar import Sidecar
 
@@ -92,7 +92,7 @@
             held.bind((HOST, 0))
             held.listen(64)
             config = parse(given, {"TMPDIR": str(tmp_path)})
-            sidecar = Sidecar(config, print, inherited(os.dup(held.fileno())))
+            sidecar = Sidecar(config, print, listener_from_descriptor(os.dup(held.fileno())))
             await sidecar.start()
             other = PersistedExclusions(tmp_path, print)
             other.record("s-0", True, frozenset())
--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -104,9 +104,11 @@
         async with stage(script) as scene:
             client = await scene.client()
             client.send(request("check", timeout="5"))
-            await until(lambda: any(side._is_writing_paused for side in scene.sidecar.frontend._connections))
-            (side,) = scene.sidecar.frontend._connections
-            limit = scene.sidecar.frontend.write_buffer_bytes + 2 * (1 << 16)
+            await until(
+                lambda: any(side._is_writing_paused for side in scene.sidecar.downstream._connections)
+            )
+            (side,) = scene.sidecar.downstream._connections
+            limit = scene.sidecar.downstream.write_buffer_bytes + 2 * (1 << 16)
             assert side._transport is not None and side._transport.get_write_buffer_size() <= limit
             assert sent < 32 << 20
             await soon(read_head(client.reader))
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -330,7 +330,7 @@
                 client.close()
             await until(lambda: scene.sidecar.open_requests == 0)
             scene.servers[0].script = scene.servers[1].script = scene.servers[2].script = OK
-            await until(lambda: scene.sidecar.frontend.open_connections == 0)
+            await until(lambda: scene.sidecar.downstream.open_connections == 0)
             assert not [each for each in scene.log if "internal" in each]
             client = await scene.client()
             client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -30,7 +30,7 @@
 from test_program import GOOD, ended, started
 
 from sidecar.configuration import parse
-from sidecar.downstream.listener import inherited
+from sidecar.downstream.listener import listener_from_descriptor
 from sidecar.log_events import ExclusionsFileIgnored, ExclusionsFileNotWritten, LogEvent, ProcessLockFailed
 from sidecar.persisted_exclusions import PersistedExclusions
 from sidecar.process_lock import ProcessLock
@@ -184,11 +184,11 @@
     with socket.socket() as held:
         held.bind((HOST, 0))
         held.listen(1)
-        taken = inherited(os.dup(held.fileno()))
+        taken = listener_from_descriptor(os.dup(held.fileno()))
         assert taken.getsockname() == held.getsockname()
         taken.close()
         with pytest.raises(ValueError, match="descriptor"):
-            inherited(10**9)
+            listener_from_descriptor(10**9)
 
 
 @pytest.mark.parametrize(
@@ -244,15 +244,15 @@
             held.listen(64)
             other = ProcessLock(tmp_path, print, "other")
             config = parse(given, {"TMPDIR": str(tmp_path)})
-            sidecar = Sidecar(config, print, inherited(os.dup(held.fileno())))
+            sidecar = Sidecar(config, print, listener_from_descriptor(os.dup(held.fileno())))
             await sidecar.start()
-            assert (sidecar.frontend._max_connections, sidecar._upstream._pool._max_connections) == (53, 29)
+            assert (sidecar.downstream._max_connections, sidecar._upstream._pool._max_connections) == (53, 29)
             other.close()
             await until(lambda: sidecar._hot_restart.is_alone)
-            assert (sidecar.frontend._max_connections, sidecar._upstream._pool._max_connections) == (53, 59)
+            assert (sidecar.downstream._max_connections, sidecar._upstream._pool._max_connections) == (53, 59)
             other = ProcessLock(tmp_path, print, "other")
             await until(lambda: not sidecar._hot_restart.is_alone)
-            assert (sidecar.frontend._max_connections, sidecar._upstream._pool._max_connections) == (53, 29)
+            assert (sidecar.downstream._max_connections, sidecar._upstream._pool._max_connections) == (53, 29)
             other.close()
             sidecar.close()
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -175,7 +175,7 @@
         server = await ScriptedServer(hold).start()
         upstream = Upstream(Clock(), Limits(connect_timeout_us=1_000_000), 4, lambda: None)
         listed = line("s-0", server.address)
-        upstream.listed(parse_endpoint_list({"version": 1, "full": True, "servers": [listed]}))
+        upstream.update_endpoints(parse_endpoint_list({"version": 1, "full": True, "servers": [listed]}))
         ends: list[Outcome] = []
 
         def message(left_us: int) -> OutgoingRequest:
