--- a/sidecar/attempts.py
+++ b/sidecar/attempts.py
@@ -40,54 +40,56 @@
         """Start a further attempt of an open request."""
         number = action.request
         request = self._requests[number]
-        attempt = len(request.calls)
+        attempt_number = len(request.attempts)
 
-        def done(outcome: Outcome, response: Response | None) -> None:
-            self._ended(number, attempt, outcome, response)
+        def on_ended(outcome: Outcome, response: Response | None) -> None:
+            self._ended(number, attempt_number, outcome, response)
 
-        def begun(source: UpstreamConnection, head: Response, length: int | None) -> ResponseSink | None:
-            return self._response_started(number, attempt, source, head, length)
+        def on_streaming_response(
+            source: UpstreamConnection, head: Response, length: int | None
+        ) -> ResponseSink | None:
+            return self._response_started(number, attempt_number, source, head, length)
 
         def is_wanted() -> bool:
             return request.client is not None and not request.client.has_disconnected()
 
-        call = Attempt(
+        attempt = Attempt(
             action.server,
             action.deadline,
             request.incoming.to_outgoing,
-            done,
-            begun,
+            on_ended,
+            on_streaming_response,
             action.send_by,
             is_wanted,
         )
-        call.sent_at = self._clock.now()
-        request.calls.append(call)
+        attempt.sent_at = self._clock.now()
+        request.attempts.append(attempt)
         request.attempts_in_flight += 1
-        self._upstream.start(call, is_late=attempt > 0)
+        self._upstream.start(attempt, is_late=attempt_number > 0)
 
     def cancel(self, action: CancelAttempt) -> None:
         """Stop waiting for an attempt; one that does not exist is ignored."""
         request = self._requests.get(action.request)
-        if request is not None and action.attempt < len(request.calls):
-            self._upstream.cancel(request.calls[action.attempt])
+        if request is not None and action.attempt < len(request.attempts):
+            self._upstream.cancel(request.attempts[action.attempt])
 
     def send_health_check(self, server: str) -> None:
         """Ask a server whether it is healthy, and for its load report where servers give one."""
         sent_at = self._clock.now()
         is_report_in_body = self._has_load_reports
 
-        def done(outcome: Outcome, response: Response | None) -> None:
+        def on_ended(outcome: Outcome, response: Response | None) -> None:
             report = parse_load_report(response, self._load_report_columns, in_body=is_report_in_body)
             self._dispatch(HealthCheckEnded(server, outcome, self._clock.now() - sent_at, report))
 
         path = b"/_load" if is_report_in_body else b"/ping"
-        message = OutgoingRequest(b"GET", path, [(b"host", server.encode())])
+        health_check = OutgoingRequest(b"GET", path, [(b"host", server.encode())])
         self._upstream.start(
-            Attempt(server, sent_at + _HEALTH_CHECK_TIMEOUT_US, lambda left_us: message, done)
+            Attempt(server, sent_at + _HEALTH_CHECK_TIMEOUT_US, lambda left_us: health_check, on_ended)
         )
 
     def _response_started(
-        self, number: int, attempt: int, source: UpstreamConnection, head: Response, length: int | None
+        self, number: int, attempt_number: int, source: UpstreamConnection, head: Response, length: int | None
     ) -> ResponseSink | None:
         """Pass a response through that is too long to be buffered; None if the client has one or is gone."""
         request = self._requests.get(number)
@@ -96,30 +98,30 @@
         client = request.client
         if not client.start_streaming(head.content_headers(), length, head.body, source):
             return None
-        request.streaming_attempt = attempt
-        call = request.calls[attempt]
-        elapsed_us = max(self._clock.now() - head.unread_us - call.sent_at, 0)
-        self._dispatch(ResponseStarted(number, attempt, call.server, elapsed_us))
+        request.streaming_attempt = attempt_number
+        attempt = request.attempts[attempt_number]
+        elapsed_us = max(self._clock.now() - head.unread_us - attempt.sent_at, 0)
+        self._dispatch(ResponseStarted(number, attempt_number, attempt.server, elapsed_us))
         return request.client
 
-    def _ended(self, number: int, attempt: int, outcome: Outcome, response: Response | None) -> None:
+    def _ended(self, number: int, attempt_number: int, outcome: Outcome, response: Response | None) -> None:
         request = self._requests[number]
         request.attempts_in_flight -= 1
         request.last_outcome = outcome
-        if request.streaming_attempt == attempt:
+        if request.streaming_attempt == attempt_number:
             self._requests.finish_streaming(number, is_complete=outcome is Outcome.DELIVERED)
         elif outcome is Outcome.DELIVERED and response is not None and request.streaming_attempt is None:
             self._requests.respond(number, 200, response.content_headers(), response.body)
-        call, upload = request.calls[attempt], request.incoming.upload
+        attempt, upload = request.attempts[attempt_number], request.incoming.upload
         # Time in the socket's buffer is this process's delay, not the server's.
         unread_us = response.unread_us if response is not None else 0
         self._dispatch(
             AttemptEnded(
                 request=number,
-                attempt=attempt,
-                server=call.server,
+                attempt=attempt_number,
+                server=attempt.server,
                 outcome=outcome,
-                elapsed_us=max(self._clock.now() - unread_us - call.sent_at, 0),
+                elapsed_us=max(self._clock.now() - unread_us - attempt.sent_at, 0),
                 is_request_answered=False,  # set when the event is handled
                 load_report=parse_load_report(response, self._load_report_columns),
                 is_body_consumed=upload is not None and upload.is_consumed,
--- a/sidecar/open_requests.py
+++ b/sidecar/open_requests.py
@@ -18,12 +18,12 @@
 class OpenRequest:
     """A request, its client while a response is owed to it, and its attempts by number."""
 
-    __slots__ = ("attempts_in_flight", "calls", "client", "incoming", "last_outcome", "streaming_attempt")
+    __slots__ = ("attempts", "attempts_in_flight", "client", "incoming", "last_outcome", "streaming_attempt")
 
     def __init__(self, client: DownstreamConnection, incoming: IncomingRequest) -> None:
         self.client: DownstreamConnection | None = client  # None: it has its response, or disconnected
         self.incoming = incoming
-        self.calls: list[Attempt] = []
+        self.attempts: list[Attempt] = []
         self.attempts_in_flight = 0
         self.streaming_attempt: int | None = None  # whose response is passed through to the client
         self.last_outcome: Outcome | None = None
@@ -38,7 +38,7 @@
     """The table of open requests by number."""
 
     def __init__(self, metrics: Metrics, withdraw: Callable[[Attempt], None]) -> None:
-        """`withdraw` stops a call from being started, when its request is settled before that."""
+        """`withdraw` stops an attempt from being started, when its request is settled before that."""
         self._metrics = metrics
         self._withdraw = withdraw
         self._requests: dict[int, OpenRequest] = {}
@@ -105,8 +105,8 @@
             return None
         client, request.client = request.client, None
         self.unanswered -= 1
-        for call in request.calls:
-            self._withdraw(call)
+        for attempt in request.attempts:
+            self._withdraw(attempt)
         return client
 
     def remove_if_over(self, number: int) -> None:
--- a/sidecar/request_intake.py
+++ b/sidecar/request_intake.py
@@ -64,15 +64,15 @@
         request, now = self._requests[number], self._clock.now()
         remaining_us = max(request.incoming.remaining_us - waited_us, 1)
         remaining_us = self._shutdown.limit(remaining_us, now)
-        for call in request.calls:
-            self._upstream.shorten_deadline(call, now + remaining_us)
+        for attempt in request.attempts:
+            self._upstream.shorten_deadline(attempt, now + remaining_us)
         self._dispatch(RequestBodyCompleted(number, remaining_us))
 
     def client_disconnected(self, number: int) -> None:
         """Stop what was done for a client that is gone."""
         request = self._requests.get(number)
         if request is not None and request.streaming_attempt is not None:
-            self._upstream.cancel(request.calls[request.streaming_attempt])  # nobody reads the rest
+            self._upstream.cancel(request.attempts[request.streaming_attempt])  # nobody reads the rest
         self._requests.settle(number)
         self._dispatch(ClientDisconnected(number))
         self._requests.remove_if_over(number)
