--- a/tests/test_evacuation.py
+++ b/tests/test_client_draining.py
@@ -14,7 +14,7 @@
     return (await client.answer()).status
 
 
-def test_clients_are_sent_away_without_losing_a_request_and_taken_again() -> None:
+def test_draining_loses_no_request_and_resuming_accepts_clients() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -49,7 +49,7 @@
     play(work)
 
 
-def test_rejoining_during_the_drain_and_sigterm_during_an_evacuation() -> None:
+def test_resume_during_draining_and_shutdown_during_draining() -> None:
     async def work() -> None:
         async with stage(OK, console=True) as scene:
             assert (await scene.call("POST", "/api/rejoin"))[0] == 200  # it was not away
@@ -67,7 +67,7 @@
     play(work)
 
 
-def test_a_connection_just_opened_is_not_closed_before_it_brought_its_request() -> None:
+def test_draining_keeps_a_new_connection_until_its_first_request() -> None:
     # Guards against requests that cross the close: their sender has opened a connection, and writes next.
     async def work() -> None:
         async with stage(OK, console=True) as scene:
--- a/tests/test_reload.py
+++ b/tests/test_configuration_reload.py
@@ -20,7 +20,7 @@
 from sidecar.sidecar import Sidecar
 
 
-def test_a_reload_that_carries_other_settings_takes_none_of_them_and_says_so(tmp_path: Path) -> None:
+def test_reload_with_fixed_keys_changes_none_of_them_and_logs_them(tmp_path: Path) -> None:
     # Guards against a request that picks up another customer's settings, in part or in whole.
     async def work() -> None:
         path = tmp_path / "config.json"
@@ -49,7 +49,7 @@
     play(work)
 
 
-def test_a_reload_gives_membership_no_other_tier_or_number() -> None:
+def test_reload_changes_neither_cluster_nor_number_of_membership() -> None:
     async def work() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
             free.bind((HOST, 0))
@@ -74,7 +74,7 @@
     play(work)
 
 
-def test_an_exclusion_said_to_the_other_process_holds_from_its_yes_on(
+def test_exclusion_confirmed_by_the_other_process_applies_at_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against new work to an excluded server in the tenth of a second between two looks at the file.
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("body", [b"x" * 60_000, b'{"member":"unheard-of"}' + b" " * 3_000])
-def test_an_operator_who_sends_more_than_is_read_still_gets_the_answer(body: bytes) -> None:
+def test_admin_client_that_sends_too_much_still_gets_the_response(body: bytes) -> None:
     async def work() -> None:
         async with stage(OK, console=True) as scene:
             caller = await scene.operator()
@@ -130,68 +130,3 @@
             assert await soon(caller.reader.read()) == b""
 
     play(work)
-
-
-# Settings of any deployment
-
-ODD = {"zone": "a", "quantumUs": 5_000, "discovery": "on_request"}
-
-
-def lane(name: str, repeat: str, **further: object) -> dict[str, object]:
-    return {"name": name, "giveUpUs": 2_000_000, "promiseUs": 500_000, "repeat": repeat, **further}
-
-
-def test_classes_whose_names_share_a_prefix_are_each_taken_for_themselves() -> None:
-    async def work() -> None:
-        names = ("gate", "gate-view", "gate-keeper", "gat", "GATE")
-        repeats = ("non_idempotent", "read_like", "idempotency_key", "read_like", "read_like")
-        lanes = [lane(name, repeat) for name, repeat in zip(names, repeats, strict=True)]
-
-        async with stage(OK, OK, OK, lanes=lanes) as scene:
-            for name, repeat in zip(names, repeats, strict=True):
-                kind = {"read_like": "check", "idempotency_key": "amend", "non_idempotent": "lodge"}[repeat]
-                assert (await scene.ask(kind, Request_Class=name)).status == 200
-                for wrong in {"check", "amend", "lodge"} - {kind}:
-                    assert (await scene.ask(wrong, Request_Class=name)).status == 400
-            for unknown in ("ga", "gate-", "gate-views", "Gate", "gate view"):
-                assert (await scene.ask("check", Request_Class=unknown)).status == 400
-            assert len(scene.heard) == len(names)
-
-    play(work)
-
-
-@pytest.mark.parametrize("realms", [[], [{"name": "acme", "portion": 1.0, "quotaRps": 0.0}]])
-def test_tenants_that_are_none_or_unheard_of_are_served_alike(realms: list[dict[str, object]]) -> None:
-    async def work() -> None:
-        async with stage(OK, realms=realms, lanes=[lane("check", "read_like")]) as scene:
-            for tenant in ("acme", "acme-2", "", "nobody"):
-                assert (await scene.ask("check", Tenant=tenant)).status == 200
-
-    play(work)
-
-
-@pytest.mark.parametrize(
-    "bounds",
-    [
-        {"sendCap": 1, "secondCopies": False, "mayCancel": False},
-        {"sendCap": 0},
-        {"dialTimeoutUs": 0},
-        {"idleCloseUs": 0},
-        {"maxOpen": 0},
-        {"sendCap": 2**40, "dialTimeoutUs": 2**52, "idleCloseUs": 2**52, "maxRetryAfterUs": 2**52},
-    ],
-    ids=str,
-)
-def test_limits_at_their_extremes_leave_each_request_one_answer(bounds: dict[str, object]) -> None:
-    async def work() -> None:
-        internal: list[dict[str, object]] = []
-        asyncio.get_running_loop().set_exception_handler(lambda _, what: internal.append(what))
-        async with stage(OK, OK, bounds=bounds) as scene:
-            for kind in ("check", "amend", "lodge") * 3:
-                answer = await scene.ask(kind, timeout="1.0")
-                assert answer.status in (200, 502, 503, 504)
-            await until(lambda: scene.sidecar.open_requests == 0)
-            assert not [each for each in scene.log if "internal" in each]
-        assert not [each for each in internal if "sidecar" in repr(each)]
-
-    play(work)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -27,8 +27,8 @@
 from sidecar.upstream.client import parse_address
 
 
-class Ears:
-    """What discovery told."""
+class RecordedDiscovery:
+    """Discovery, and the lists and failures that it reports."""
 
     def __init__(self, server: ScriptedServer, version: int = 41, pushed: bool = False) -> None:
         self.events: asyncio.Queue[EndpointList | None] = asyncio.Queue()
@@ -45,56 +45,56 @@
         return await soon(self.events.get())
 
 
-def test_a_watch_is_answered_at_once_then_waits_for_news() -> None:
+def test_first_poll_of_a_watch_does_not_wait_and_later_ones_do() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
         server.servers = [line("s-1", "127.0.0.2:80")]
         await server.start()
-        ears = Ears(server)
-        ears.discovery.watch(True)
-        first = await ears.next()
+        recorded = RecordedDiscovery(server)
+        recorded.discovery.watch(True)
+        first = await recorded.next()
         assert first is not None and first.is_complete and first.version == 1
         await until(lambda: len(server.heard) == 2)
         assert server.heard[0].target == "/catalog/members?after=41&wait_ms=0"
         target, _, wait_ms = server.heard[1].target.rpartition("=")
         assert target == "/catalog/members?after=1&wait_ms" and 15_000 <= int(wait_ms) <= 20_000
         server.tell(line("s-1", "127.0.0.2:80", state="leaving"))
-        news = await ears.next()
+        news = await recorded.next()
         assert news is not None and not news.is_complete and news.version == 2
         await until(lambda: len(server.heard) == 3)
-        ears.discovery.watch(False)
+        recorded.discovery.watch(False)
         await until(lambda: len(server.closed) == 0 or server.closed == [0])
-        ears.discovery.close()
+        recorded.discovery.close()
         server.stop()
 
     play(work)
 
 
 @pytest.mark.parametrize("answered", [True, False])
-def test_a_watch_moves_with_discovery_and_loses_no_change(answered: bool) -> None:
+def test_watch_moves_with_discovery_and_loses_no_change(answered: bool) -> None:
     async def work() -> None:
         old, new = ScriptedDiscovery(), ScriptedDiscovery()
         for each in (old, new):
             await each.start()
         if not answered:
             old.script = None  # slow as it is, the call is owed one answer
-        ears = Ears(old)
-        ears.discovery.watch(True)
+        recorded = RecordedDiscovery(old)
+        recorded.discovery.watch(True)
         if answered:
-            assert await ears.next() is not None
+            assert await recorded.next() is not None
         await until(lambda: len(old.heard) == (2 if answered else 1))
         new.version = 9
         new.servers = [line("s-1", "127.0.0.2:80")]
-        ears.discovery.move(parse_address(new.address))
-        told = await ears.next()
+        recorded.discovery.move(parse_address(new.address))
+        told = await recorded.next()
         assert told is not None and told.version == 9
         await until(lambda: len(new.heard) == 2)
         new.tell(line("s-1", "127.0.0.2:80", state="leaving"))
-        told = await ears.next()
+        told = await recorded.next()
         assert told is not None and told.version == 10
-        ears.discovery.poll()
-        assert await ears.next() is not None and len(old.heard) <= 2
-        ears.discovery.close()
+        recorded.discovery.poll()
+        assert await recorded.next() is not None and len(old.heard) <= 2
+        recorded.discovery.close()
         old.stop()
         new.stop()
 
@@ -120,7 +120,7 @@
     ids=str,
 )
 @pytest.mark.parametrize("how", ["watch", "poll"])
-def test_a_call_that_fails_is_one_failure_and_the_next_is_heard(answer: bytes | None, how: str) -> None:
+def test_failed_poll_is_reported_once_and_the_next_succeeds(answer: bytes | None, how: str) -> None:
     async def work() -> None:
         async def once(heard: Heard) -> bytes:
             server.script = reply(json.dumps(GOOD).encode())
@@ -130,40 +130,40 @@
             return answer
 
         server = await ScriptedServer(once).start()
-        ears = Ears(server)
+        recorded = RecordedDiscovery(server)
 
         def call() -> None:
             if how == "watch":
-                ears.discovery.watch(True)
+                recorded.discovery.watch(True)
             else:
-                ears.discovery.poll()
+                recorded.discovery.poll()
 
         call()
-        assert await ears.next() is None
-        assert ears.events.empty()
+        assert await recorded.next() is None
+        assert recorded.events.empty()
         call()
-        heard = await ears.next()
+        heard = await recorded.next()
         assert heard is not None and heard.version == 7
-        ears.discovery.close()
+        recorded.discovery.close()
         server.stop()
 
     play(work)
 
 
-def test_discovery_that_is_down_fails_a_call() -> None:
+def test_polls_fail_while_discovery_is_down() -> None:
     async def work() -> None:
         server = await ScriptedServer(None).start()
-        ears = Ears(server)
+        recorded = RecordedDiscovery(server)
         server.stop()
-        ears.discovery.watch(True)
-        assert await ears.next() is None
-        ears.discovery.poll()
-        assert await ears.next() is None
+        recorded.discovery.watch(True)
+        assert await recorded.next() is None
+        recorded.discovery.poll()
+        assert await recorded.next() is None
 
     play(work)
 
 
-def test_a_watch_asked_for_again_before_its_answer_keeps_its_place() -> None:
+def test_watch_enabled_again_before_its_response_keeps_its_place() -> None:
     # Guards against calls that are begun over and over while discovery is slow, and never answered.
     async def work() -> None:
         release = asyncio.Event()
@@ -173,38 +173,38 @@
             return reply(json.dumps(GOOD).encode())
 
         server = await ScriptedServer(slow).start()
-        ears = Ears(server)
+        recorded = RecordedDiscovery(server)
         for _ in range(3):
-            ears.discovery.watch(True)
+            recorded.discovery.watch(True)
         await until(lambda: len(server.heard) == 1)
-        ears.discovery.watch(True)
+        recorded.discovery.watch(True)
         release.set()
-        assert await ears.next() is not None
+        assert await recorded.next() is not None
         assert server.connections == 1
-        ears.discovery.close()
+        recorded.discovery.close()
         server.stop()
 
     play(work)
 
 
-def test_pushed_lists_are_heard_unasked_also_after_the_agent_was_away() -> None:
+def test_pushed_lists_are_received_also_after_the_agent_restarted() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
         await server.start()
         port = int(server.address.rpartition(":")[2])
-        ears = Ears(server, pushed=True)
-        ears.discovery.start()
-        assert await ears.next() is not None
+        recorded = RecordedDiscovery(server, pushed=True)
+        recorded.discovery.start()
+        assert await recorded.next() is not None
         server.stop()
         again = ScriptedDiscovery()
         again.version = 9
         again.servers = [line("s-1", f"{HOST}:80")]
         await again.start(port)
         again.tell(line("s-2", f"{HOST}:80"))
-        heard = await ears.next()
+        heard = await recorded.next()
         assert heard is not None and heard.version == 10
-        assert ears.events.empty()
-        ears.discovery.close()
+        assert recorded.events.empty()
+        recorded.discovery.close()
         again.stop()
 
     play(work)
@@ -221,7 +221,7 @@
         return self._answers(len(self.heard) - 1, heard)
 
 
-def whole(version: int, **states: str) -> bytes:
+def complete_list(version: int, **states: str) -> bytes:
     servers = [line(name, "127.0.0.2:80", state=state) for name, state in states.items()]
     return reply(json.dumps({"version": version, "full": True, "servers": servers}).encode())
 
@@ -237,113 +237,123 @@
 
 @pytest.mark.parametrize("silent", [1, 2])
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_silent_watch_is_opened_anew_before_it_has_failed(
-    short_waits: None, pushed: bool, silent: int
-) -> None:
+def test_silent_watch_is_hedged_before_it_has_failed(short_waits: None, pushed: bool, silent: int) -> None:
     # Guards rule 3: what a silent watch misses counts as told 2 s after its wait, heard or not, and it took
     # until then to give the watch up.  The second connection may be as silent.
     async def work() -> None:
         def answers(number: int, heard: Heard) -> bytes | None:
             if number == 0:
-                return whole(1, s="active")
-            return None if number <= silent or not heard.target.endswith("=0") else whole(2, s="leaving")
+                return complete_list(1, s="active")
+            return (
+                None if number <= silent or not heard.target.endswith("=0") else complete_list(2, s="leaving")
+            )
 
         server = await Scripted(answers).start()
-        ears = Ears(server, 0, pushed)
-        ears.discovery.start() if pushed else ears.discovery.watch(True)
-        assert (first := await ears.next()) is not None and first.version == 1
-        assert (news := await ears.next()) is not None and news.version == 2
+        recorded = RecordedDiscovery(server, 0, pushed)
+        recorded.discovery.start() if pushed else recorded.discovery.watch(True)
+        assert (first := await recorded.next()) is not None and first.version == 1
+        assert (news := await recorded.next()) is not None and news.version == 2
         watch, beside = server.heard[1], server.heard[1 + silent]
         assert not watch.target.endswith("wait_ms=0") and beside.target.endswith("after=1&wait_ms=0")
         assert watch.connection != beside.connection
         await until(lambda: watch.connection in server.closed)  # nobody waits for it any more
-        ears.discovery.close()
+        recorded.discovery.close()
         server.stop()
 
     play(work)
 
 
-def test_a_first_call_that_is_never_answered_is_made_again(short_waits: None) -> None:
+def test_first_poll_without_a_response_is_hedged(short_waits: None) -> None:
     async def work() -> None:
-        server = await Scripted(lambda number, _: None if number == 0 else whole(3, s="active")).start()
-        ears = Ears(server)
-        ears.discovery.watch(True)
-        assert (first := await ears.next()) is not None and first.version == 3
-        ears.discovery.close()
+        server = await Scripted(
+            lambda number, _: None if number == 0 else complete_list(3, s="active")
+        ).start()
+        recorded = RecordedDiscovery(server)
+        recorded.discovery.watch(True)
+        assert (first := await recorded.next()) is not None and first.version == 3
+        recorded.discovery.close()
         server.stop()
 
     play(work)
 
 
-def test_a_watch_and_a_fetch_that_fail_at_once_are_a_failure_each_and_the_next_call_is_heard() -> None:
+def test_watch_and_poll_that_fail_together_are_reported_once_each() -> None:
     async def work() -> None:
         busy = reply(b"", "503 Busy")
-        server = await Scripted(lambda number, _: busy if number < 2 else whole(4, s="active")).start()
-        ears = Ears(server)
-        ears.discovery.watch(True)
-        ears.discovery.poll()
-        assert [await ears.next(), await ears.next()] == [None, None]
-        assert ears.events.empty()
-        ears.discovery.watch(True)
-        assert (heard := await ears.next()) is not None and heard.version == 4
-        ears.discovery.close()
+        server = await Scripted(
+            lambda number, _: busy if number < 2 else complete_list(4, s="active")
+        ).start()
+        recorded = RecordedDiscovery(server)
+        recorded.discovery.watch(True)
+        recorded.discovery.poll()
+        assert [await recorded.next(), await recorded.next()] == [None, None]
+        assert recorded.events.empty()
+        recorded.discovery.watch(True)
+        assert (heard := await recorded.next()) is not None and heard.version == 4
+        recorded.discovery.close()
         server.stop()
 
     play(work)
 
 
-def test_half_an_answer_and_then_silence_is_asked_for_beside_it(short_waits: None) -> None:
+def test_incomplete_response_followed_by_silence_is_hedged(short_waits: None) -> None:
     async def work() -> None:
         def answers(number: int, heard: Heard) -> bytes | None:
             if number == 1:
-                return whole(2, s="leaving")[:-10]
-            return whole(1, s="active") if number == 0 else whole(2, s="leaving") if number == 2 else None
+                return complete_list(2, s="leaving")[:-10]
+            return (
+                complete_list(1, s="active")
+                if number == 0
+                else complete_list(2, s="leaving")
+                if number == 2
+                else None
+            )
 
         server = await Scripted(answers).start()
-        ears = Ears(server)
-        ears.discovery.watch(True)
-        assert await ears.next() is not None
-        assert (news := await ears.next()) is not None and news.version == 2
-        ears.discovery.close()
+        recorded = RecordedDiscovery(server)
+        recorded.discovery.watch(True)
+        assert await recorded.next() is not None
+        assert (news := await recorded.next()) is not None and news.version == 2
+        recorded.discovery.close()
         server.stop()
 
     play(work)
 
 
-def test_a_watch_that_nobody_answers_fails_once_and_leaves_nothing_behind(
+def test_unanswered_watch_fails_once_and_closes_its_connections(
     short_waits: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
         monkeypatch.setattr("sidecar.discovery.hedged_poll.POLL_TIMEOUT_S", 0.1)
-        server = await Scripted(lambda number, _: whole(1) if number == 0 else None).start()
-        ears = Ears(server)
-        ears.discovery.watch(True)
-        assert await ears.next() is not None
-        assert await ears.next() is None
+        server = await Scripted(lambda number, _: complete_list(1) if number == 0 else None).start()
+        recorded = RecordedDiscovery(server)
+        recorded.discovery.watch(True)
+        assert await recorded.next() is not None
+        assert await recorded.next() is None
         await until(lambda: len(server.closed) == server.connections)
-        assert server.connections <= 3 and ears.events.empty()
+        assert server.connections <= 3 and recorded.events.empty()
         server.stop()
 
     play(work)
 
 
-def test_a_refusal_beside_an_overdue_watch_ends_in_one_failure(short_waits: None) -> None:
+def test_error_beside_an_overdue_watch_is_one_failure(short_waits: None) -> None:
     async def work() -> None:
         def answers(number: int, heard: Heard) -> bytes | None:
-            return (whole(1), None)[number] if number < 2 else reply(b"", "503 Busy")
+            return (complete_list(1), None)[number] if number < 2 else reply(b"", "503 Busy")
 
         server = await Scripted(answers).start()
-        ears = Ears(server)
-        ears.discovery.watch(True)
-        assert await ears.next() is not None
-        assert await ears.next() is None
-        assert len(server.heard) == 4 and ears.events.empty()
+        recorded = RecordedDiscovery(server)
+        recorded.discovery.watch(True)
+        assert await recorded.next() is not None
+        assert await recorded.next() is None
+        assert len(server.heard) == 4 and recorded.events.empty()
         server.stop()
 
     play(work)
 
 
-def test_a_fetch_that_crosses_a_watch_brings_nothing_older(short_waits: None) -> None:
+def test_poll_that_crosses_a_watch_reports_nothing_older(short_waits: None) -> None:
     # Guards rule 3: the older list would bring a leaving server back.
     async def work() -> None:
         release = asyncio.Event()
@@ -351,72 +361,72 @@
         async def script(heard: Heard) -> bytes | None:
             if "?" not in heard.target:
                 await release.wait()
-                return whole(4, s="active")
-            return whole(9, s="leaving") if len(server.heard) == 2 else None
+                return complete_list(4, s="active")
+            return complete_list(9, s="leaving") if len(server.heard) == 2 else None
 
         server = await ScriptedServer(script).start()
-        ears = Ears(server, 3)
-        ears.discovery.poll()
+        recorded = RecordedDiscovery(server, 3)
+        recorded.discovery.poll()
         await until(lambda: len(server.heard) == 1)
-        ears.discovery.watch(True)
-        assert (news := await ears.next()) is not None and news.version == 9
+        recorded.discovery.watch(True)
+        assert (news := await recorded.next()) is not None and news.version == 9
         release.set()
-        answer = await ears.next()
+        answer = await recorded.next()
         assert answer is not None and (answer.version, answer.endpoints) == (9, ())
-        ears.discovery.close()
+        recorded.discovery.close()
         server.stop()
 
     play(work)
 
 
-def test_a_fetch_that_ends_after_discovery_moved_is_asked_for_where_it_is_now() -> None:
+def test_poll_that_ends_after_a_move_is_repeated_at_the_new_address() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
         async def held(heard: Heard) -> bytes:
             await release.wait()
-            return whole(4, s="active")
+            return complete_list(4, s="active")
 
         old, new = (
             await ScriptedServer(held).start(),
-            await Scripted(lambda *_: whole(6, s="leaving")).start(),
+            await Scripted(lambda *_: complete_list(6, s="leaving")).start(),
         )
-        ears = Ears(old, 3)
-        ears.discovery.poll()
+        recorded = RecordedDiscovery(old, 3)
+        recorded.discovery.poll()
         await until(lambda: len(old.heard) == 1)
-        ears.discovery.move(parse_address(new.address))
+        recorded.discovery.move(parse_address(new.address))
         release.set()
-        answer = await ears.next()
+        answer = await recorded.next()
         assert answer is not None and answer.version == 6 and len(new.heard) == 1
-        ears.discovery.close()
+        recorded.discovery.close()
         old.stop()
         new.stop()
 
     play(work)
 
 
-def test_a_watch_asked_for_again_after_a_move_keeps_its_place() -> None:
+def test_watch_enabled_again_after_a_move_keeps_its_place() -> None:
     # Guards against a call given up for its like: the answer before the move said nothing of the one after.
     async def work() -> None:
         old, new = ScriptedDiscovery(), await ScriptedServer(None).start()
         await old.start()
-        ears = Ears(old)
-        ears.discovery.watch(True)
-        assert await ears.next() is not None
-        ears.discovery.move(parse_address(new.address))
+        recorded = RecordedDiscovery(old)
+        recorded.discovery.watch(True)
+        assert await recorded.next() is not None
+        recorded.discovery.move(parse_address(new.address))
         await until(lambda: len(new.heard) == 1)
-        ears.discovery.watch(True)
-        ears.discovery.poll()  # comes after whatever a new watch would have asked
+        recorded.discovery.watch(True)
+        recorded.discovery.poll()  # comes after whatever a new watch would have asked
         await until(lambda: len(new.heard) == 2)
         assert "?" not in new.heard[1].target and new.closed == []
-        ears.discovery.close()
+        recorded.discovery.close()
         old.stop()
         new.stop()
 
     play(work)
 
 
-def test_a_listing_is_read_as_the_decisions_need_it() -> None:
+def test_endpoint_list_is_decoded_in_the_balancers_units() -> None:
     listing = parse_endpoint_list(
         {"version": 3, "full": False, "servers": [line("a", "127.0.0.1:80", started_ms=1_700_000_000_123)]}
     )
@@ -426,7 +436,7 @@
     assert gone.endpoints[0].address is None
 
 
-def test_whatever_failed_discovery_is_asked_again_well_before_its_word_counts_as_told() -> None:
+def test_retry_delays_end_before_changes_count_as_notified() -> None:
     # From when it can be reached on, the longest way to the first call that it hears.  The rest of
     # the 6 s is for its line: it serves the calls of the whole tier one after another.
     waits_s = balancer.ASK_AGAIN_LONGEST * balancer.TOLD_US / 1e6
--- a/tests/test_endpoint_list_tracker.py
+++ b/tests/test_endpoint_list_tracker.py
@@ -35,7 +35,7 @@
     return tracker
 
 
-def test_an_older_list_from_a_call_that_began_earlier_is_no_news() -> None:
+def test_older_list_from_an_earlier_poll_is_not_accepted() -> None:
     tracker = EndpointListTracker(listing(5, line("s", ADDRESS)))
     fetch, watch = tracker.begin_poll(), tracker.begin_poll()
     assert tracker.accept(listing(9, line("s", ADDRESS, state="leaving"), full=False), watch, 5) is not None
@@ -43,14 +43,14 @@
     assert tracker.version == 9
 
 
-def test_an_older_list_is_no_news_while_calls_go_on_without_a_break() -> None:
+def test_older_list_is_not_accepted_while_polls_succeed() -> None:
     tracker = told_leaving()
     assert tracker.accept(listing(7, line("s", ADDRESS)), tracker.begin_poll(), 9) is None
     assert tracker.accept(listing(7, line("s", ADDRESS), full=False), tracker.begin_poll(), 9) is None
     assert tracker.version == 9
 
 
-def test_after_a_break_a_whole_list_may_count_anew_but_brings_no_leaving_server_back() -> None:
+def test_older_complete_list_after_a_failure_revives_no_draining_server() -> None:
     tracker = told_leaving()
     tracker.poll_failed()
     old = line("s", ADDRESS, started_ms=STARTED_MS)
@@ -63,7 +63,7 @@
     }
 
 
-def test_after_a_break_a_server_that_left_stays_gone_unless_it_started_since() -> None:
+def test_gone_server_stays_gone_after_a_failure_unless_restarted() -> None:
     for again_ms, state in ((STARTED_MS, EndpointState.GONE), (STARTED_MS + 1, EndpointState.READY)):
         tracker = told_leaving()
         assert tracker.accept(listing(10), tracker.begin_poll(), 9) is not None
@@ -72,14 +72,14 @@
         assert states(heard) == {"s": state}
 
 
-def test_an_older_list_revives_no_old_start() -> None:
+def test_older_list_does_not_restore_an_older_start_time() -> None:
     tracker = EndpointListTracker(listing(5, line("s", ADDRESS, started_ms=STARTED_MS)))
     heard = tracker.accept(listing(2, line("s", ADDRESS, started_ms=STARTED_MS - 7)), tracker.begin_poll(), 5)
     assert heard is not None
     assert heard.endpoints[0].entry.started_at == STARTED_MS * 1_000
 
 
-def test_changes_that_count_anew_make_the_whole_list_wanted() -> None:
+def test_inconsistent_changes_require_a_complete_list() -> None:
     tracker = told_leaving()
     assert tracker.after_version == 9
     tracker.poll_failed()
@@ -90,7 +90,7 @@
     assert tracker.after_version == 2
 
 
-def test_changes_to_a_list_that_is_held_no_more_are_no_news() -> None:
+def test_changes_to_a_list_no_longer_held_are_not_accepted() -> None:
     tracker = told_leaving()
     watch = tracker.begin_poll()
     tracker.poll_failed()
@@ -99,7 +99,7 @@
     assert tracker.version == 2
 
 
-def test_what_is_remembered_of_servers_that_left_is_bounded() -> None:
+def test_remembered_gone_servers_are_bounded() -> None:
     tracker = EndpointListTracker(listing(1))
     for number in range(3_000):
         tracker.accept(listing(2 * number + 2, line(f"s-{number}", ADDRESS)), tracker.begin_poll(), None)
@@ -119,7 +119,7 @@
         max_size=30,
     )
 )
-def test_whatever_crosses_a_server_told_to_leave_comes_back_by_news_or_a_new_start_alone(
+def test_draining_server_returns_only_by_a_newer_list_or_a_restart(
     answers: list[tuple[int, bool, str, int, str]],
 ) -> None:
     tracker = EndpointListTracker(listing(0))
--- a/tests/test_lists.py
+++ b/tests/test_endpoint_lists_end_to_end.py
@@ -31,7 +31,7 @@
     )
 
 
-def test_where_lists_are_pushed_nobody_is_served_before_the_agent_has_spoken() -> None:
+def test_pushed_list_is_awaited_before_clients_are_accepted() -> None:
     # Guards rule 3: what the agent has counts as told from the first moment of a new process.
     async def work() -> None:
         release = asyncio.Event()
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("agent_is", ["away", "silent", "busy"])
-def test_an_agent_that_says_nothing_delays_a_start_by_a_bounded_time(
+def test_unavailable_agent_delays_a_start_by_a_bounded_time(
     agent_is: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
@@ -90,7 +90,7 @@
     play(work)
 
 
-def test_a_late_list_brings_a_leaving_server_back_neither_to_the_pool_nor_to_the_draw() -> None:
+def test_late_list_returns_a_draining_server_to_nobody() -> None:
     # Guards rule 3 over everything between discovery and the socket.
     async def work() -> None:
         async with stage(OK, OK) as scene:
--- a/tests/test_upgrade.py
+++ b/tests/test_hot_restart.py
@@ -31,8 +31,6 @@
 
 from sidecar.configuration import parse
 from sidecar.downstream.listener import inherited
-from sidecar.log_events import ExclusionsFileIgnored, ExclusionsFileNotWritten, LogEvent, ProcessLockFailed
-from sidecar.persisted_exclusions import PersistedExclusions
 from sidecar.process_lock import ProcessLock
 from sidecar.sidecar import Sidecar
 
@@ -107,7 +105,7 @@
                 server.stop()
 
 
-def test_the_old_process_ends_what_it_has_and_the_new_one_takes_what_comes(tmp_path: Path) -> None:
+def test_old_process_completes_its_requests_and_new_one_accepts(tmp_path: Path) -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -138,7 +136,7 @@
     play(work)
 
 
-def test_exclusions_pass_on_and_both_processes_keep_them(tmp_path: Path) -> None:
+def test_exclusions_are_shared_by_both_processes(tmp_path: Path) -> None:
     async def work() -> None:
         async with platform(tmp_path, OK, OK) as scene:
             old = await scene.start()
@@ -163,7 +161,7 @@
     play(work)
 
 
-def test_a_descriptor_that_is_no_listening_socket_ends_the_start_with_2(tmp_path: Path) -> None:
+def test_descriptor_without_a_listening_socket_exits_with_2(tmp_path: Path) -> None:
     async def work() -> None:
         (tmp_path / "config.json").write_text(json.dumps(GOOD))
         idle = socket.socket()
@@ -180,7 +178,7 @@
     play(work)
 
 
-def test_a_listening_socket_is_taken_as_it_is() -> None:
+def test_inherited_socket_is_used_as_it_is() -> None:
     with socket.socket() as held:
         held.bind((HOST, 0))
         held.listen(1)
@@ -191,52 +189,7 @@
             inherited(10**9)
 
 
-@pytest.mark.parametrize(
-    "content",
-    [b"", b"{", b"[]", b"{}", b'{"excluded":7}', b'{"excluded":[7]}', b"\xff", b"[" * 100_000],
-    ids=lambda value: repr(value)[:20],
-)
-def test_a_corrupt_file_is_logged_ignored_and_replaced(content: bytes, tmp_path: Path) -> None:
-    log: list[LogEvent] = []
-    exclusions = PersistedExclusions(tmp_path, log.append)
-    assert exclusions.read() is None and log == []  # there is none yet
-    (tmp_path / "excluded.json").write_bytes(content)
-    assert exclusions.read() is None
-    assert len(log) == 1 and isinstance(log[0], ExclusionsFileIgnored)
-    exclusions.record("b", True, frozenset({"a"}))
-    assert exclusions.read() == frozenset({"a", "b"})
-
-
-def test_two_writers_lose_no_word_of_each_other(tmp_path: Path) -> None:
-    first, second = PersistedExclusions(tmp_path, print), PersistedExclusions(tmp_path, print)
-    first.record("a", True, frozenset())
-    second.record("b", True, frozenset())
-    first.record("c", True, frozenset({"a"}))
-    second.record("a", False, frozenset({"b"}))
-    assert first.read() == second.read() == frozenset({"b", "c"})
-
-
-def test_a_folder_that_takes_no_file_is_logged_and_the_call_goes_on(tmp_path: Path) -> None:
-    log: list[LogEvent] = []
-    PersistedExclusions(tmp_path / "missing", log.append).record("a", True, frozenset())
-    assert len(log) == 1 and isinstance(log[0], ExclusionsFileNotWritten)
-
-
-def test_a_process_that_lives_is_seen_and_one_that_ended_is_not(tmp_path: Path) -> None:
-    first = ProcessLock(tmp_path, print, "first")
-    assert first.is_alone()
-    second = ProcessLock(tmp_path, print, "second")
-    assert not first.is_alone() and not second.is_alone()
-    os.close(second._descriptor)  # as when it is killed
-    assert first.is_alone()
-    first.close()
-    assert list(tmp_path.iterdir()) == []
-    log: list[LogEvent] = []
-    assert ProcessLock(tmp_path / "missing", log.append).is_alone()
-    assert len(log) == 1 and isinstance(log[0], ProcessLockFailed)
-
-
-def test_two_processes_share_the_descriptors_and_one_has_them_all(tmp_path: Path) -> None:
+def test_two_processes_divide_the_sockets_and_one_has_them_all(tmp_path: Path) -> None:
     async def work() -> None:
         given = {**GOOD, "limits": {"sockets": 160, "memory_mb": 64}}
         with socket.socket() as held:
--- /dev/null
+++ b/tests/test_persisted_exclusions.py
@@ -0,0 +1,46 @@
+"""The file of excluded servers: its form, invalid content, and several writers."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from sidecar.log_events import ExclusionsFileIgnored, ExclusionsFileNotWritten, LogEvent
+from sidecar.persisted_exclusions import PersistedExclusions
+
+
+def test_file_has_the_form_that_other_versions_read(tmp_path: Path) -> None:
+    PersistedExclusions(tmp_path, print).record("s-2", True, frozenset({"s-1"}))
+    assert (tmp_path / "excluded.json").read_bytes() == b'{"excluded": ["s-1", "s-2"]}'
+
+
+@pytest.mark.parametrize(
+    "content",
+    [b"", b"{", b"[]", b"{}", b'{"excluded":7}', b'{"excluded":[7]}', b"\xff", b"[" * 100_000],
+    ids=lambda value: repr(value)[:20],
+)
+def test_invalid_file_is_logged_ignored_and_replaced(content: bytes, tmp_path: Path) -> None:
+    log: list[LogEvent] = []
+    exclusions = PersistedExclusions(tmp_path, log.append)
+    assert exclusions.read() is None and log == []  # there is none yet
+    (tmp_path / "excluded.json").write_bytes(content)
+    assert exclusions.read() is None
+    assert len(log) == 1 and isinstance(log[0], ExclusionsFileIgnored)
+    exclusions.record("b", True, frozenset({"a"}))
+    assert exclusions.read() == frozenset({"a", "b"})
+
+
+def test_concurrent_writers_lose_no_change(tmp_path: Path) -> None:
+    first, second = PersistedExclusions(tmp_path, print), PersistedExclusions(tmp_path, print)
+    first.record("a", True, frozenset())
+    second.record("b", True, frozenset())
+    first.record("c", True, frozenset({"a"}))
+    second.record("a", False, frozenset({"b"}))
+    assert first.read() == second.read() == frozenset({"b", "c"})
+
+
+def test_failure_to_write_is_logged(tmp_path: Path) -> None:
+    log: list[LogEvent] = []
+    PersistedExclusions(tmp_path / "missing", log.append).record("a", True, frozenset())
+    assert len(log) == 1 and isinstance(log[0], ExclusionsFileNotWritten)
--- /dev/null
+++ b/tests/test_process_lock.py
@@ -0,0 +1,23 @@
+"""Lock files by which two processes of one sidecar know of each other."""
+
+from __future__ import annotations
+
+import os
+from pathlib import Path
+
+from sidecar.log_events import LogEvent, ProcessLockFailed
+from sidecar.process_lock import ProcessLock
+
+
+def test_lock_is_held_until_its_process_ends(tmp_path: Path) -> None:
+    first = ProcessLock(tmp_path, print, "first")
+    assert first.is_alone()
+    second = ProcessLock(tmp_path, print, "second")
+    assert not first.is_alone() and not second.is_alone()
+    os.close(second._descriptor)  # as when it is killed
+    assert first.is_alone()
+    first.close()
+    assert list(tmp_path.iterdir()) == []
+    log: list[LogEvent] = []
+    assert ProcessLock(tmp_path / "missing", log.append).is_alone()
+    assert len(log) == 1 and isinstance(log[0], ProcessLockFailed)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -69,7 +69,9 @@
     ],
     ids=str,
 )
-def test_a_bad_configuration_is_one_line_that_names_the_key(given: object, key: str, tmp_path: Path) -> None:
+def test_invalid_configuration_is_one_line_that_names_the_key(
+    given: object, key: str, tmp_path: Path
+) -> None:
     path = tmp_path / "config.json"
     path.write_text(given if isinstance(given, str) else json.dumps(given))
     done = subprocess.run(
@@ -139,7 +141,7 @@
         discovery.stop()
 
 
-def test_sigterm_answers_what_was_taken_and_what_still_comes_then_exits_0(tmp_path: Path) -> None:
+def test_sigterm_answers_open_and_late_requests_then_exits_with_0(tmp_path: Path) -> None:
     # Guards against requests lost at a restart: taken before SIGTERM, on kept connections, and on new ones.
     async def work() -> None:
         release = asyncio.Event()
@@ -169,7 +171,7 @@
     play(work)
 
 
-def test_sigterm_with_a_silent_server_still_answers_in_time(tmp_path: Path) -> None:
+def test_sigterm_with_a_silent_server_answers_in_time(tmp_path: Path) -> None:
     # Guards against SIGKILL finding a request unanswered that had more time left than the process has.
     async def work() -> None:
         async def silent(heard: Heard) -> None:
@@ -187,7 +189,7 @@
     play(work)
 
 
-def test_sighup_moves_discovery_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_moves_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     async def work() -> None:
         path = tmp_path / "config.json"
         async with program(OK, tmp_path) as running:
@@ -213,7 +215,7 @@
     play(work)
 
 
-def test_an_address_in_use_is_exit_code_1(tmp_path: Path) -> None:
+def test_address_in_use_exits_with_1(tmp_path: Path) -> None:
     async def work() -> None:
         async with program(OK, tmp_path) as running:
             path = tmp_path / "second.json"
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -87,7 +87,7 @@
     return decide
 
 
-def test_final_answers_leave_at_once_and_advice_is_decimal(scripted: Use) -> None:
+def test_final_response_is_sent_at_once_with_decimal_retry_after(scripted: Use) -> None:
     def decide(event: Event) -> list[Action]:
         if not isinstance(event, RequestArrived):
             return []
@@ -106,7 +106,7 @@
     play(work)
 
 
-def test_a_cancelled_attempt_ends_once_and_its_connection_is_closed(scripted: Use) -> None:
+def test_cancelled_attempt_ends_once_and_its_connection_is_closed(scripted: Use) -> None:
     def decide(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             return [SendAttempt(event.request, "s-0", FAR), SetTimer(50_000, "later")]
@@ -131,7 +131,7 @@
     play(work)
 
 
-def test_the_time_that_an_answer_lay_unread_is_not_its_servers(
+def test_attempt_time_excludes_time_in_the_socket_buffer(
     scripted: Use, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against windows that shut, and servers held for slow, because this process is busy.
@@ -148,7 +148,7 @@
     play(work)
 
 
-def test_only_the_first_delivery_is_the_answer_and_every_attempt_ends(scripted: Use) -> None:
+def test_first_delivery_is_the_response_and_every_attempt_ends(scripted: Use) -> None:
     async def work() -> None:
         balancer = scripted(
             on_arrival(
@@ -174,7 +174,7 @@
     play(work)
 
 
-def test_a_client_that_leaves_is_told_to_the_decisions(scripted: Use) -> None:
+def test_client_disconnect_is_dispatched_to_the_balancer(scripted: Use) -> None:
     async def work() -> None:
         balancer = scripted(on_arrival(lambda number: SendAttempt(number, "s-0", FAR)))
         release = asyncio.Event()
@@ -197,7 +197,7 @@
 
 
 @pytest.mark.parametrize("how", ["header", "body"])
-def test_a_probe_brings_its_report(scripted: Use, how: str) -> None:
+def test_health_check_returns_its_load_report(scripted: Use, how: str) -> None:
     async def report(heard: Heard) -> bytes:
         text = b"TEXT qps=7, util=0.5"
         if how == "header":
@@ -217,7 +217,7 @@
     play(work)
 
 
-def test_idle_connections_are_closed_the_list_is_fetched_and_lines_are_logged(scripted: Use) -> None:
+def test_actions_close_idle_connections_poll_endpoints_and_log(scripted: Use) -> None:
     def decide(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             return [SendAttempt(event.request, "s-0", FAR)]
@@ -246,7 +246,7 @@
     play(work)
 
 
-def test_a_message_reaches_the_other_sidecar(scripted: Use) -> None:
+def test_peer_message_reaches_the_other_sidecar(scripted: Use) -> None:
     async def work() -> None:
         balancer = scripted(
             lambda event: (
@@ -285,7 +285,7 @@
     play(work)
 
 
-def test_a_defect_of_the_decisions_fails_its_request_and_no_other(scripted: Use) -> None:
+def test_balancer_defect_fails_its_request_and_no_other(scripted: Use) -> None:
     # Guards against a request that nobody owns any more, after an exception on its way.
     def decide(event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
@@ -304,7 +304,7 @@
     play(work)
 
 
-def test_any_bytes_from_clients_and_servers_leave_the_sidecar_alive() -> None:
+def test_sidecar_survives_any_bytes_from_clients_and_servers() -> None:
     chance = random.Random(20)
 
     def mangled(text: bytes) -> bytes:
--- a/tests/test_descriptors.py
+++ b/tests/test_socket_limits.py
@@ -26,7 +26,7 @@
     ],
     ids=["at rest", "asked for health", "silent", "half a line", "half a body"],
 )
-def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_nobody_out(sent: bytes) -> None:
+def test_idle_clients_at_the_socket_limit_block_nobody(sent: bytes) -> None:
     async def work() -> None:
         async with stage(OK, OK, given={"limits": {"sockets": 72}}) as scene:
             frontend = scene.sidecar.frontend
@@ -65,7 +65,7 @@
         return super().accept()
 
 
-def test_where_the_system_has_no_descriptor_left_an_idle_client_makes_room(
+def test_idle_client_is_closed_when_the_system_has_no_descriptor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     crowded: list[Crowded] = []
--- a/tests/test_ready.py
+++ b/tests/test_start.py
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("damage", [_absent, _no_folder, _directory, _half_written, _nonsense, _loop, _pipe])
-def test_a_damaged_folder_holds_up_no_start(damage: Callable[[Path], None], tmp_path: Path) -> None:
+def test_damaged_state_directory_delays_no_start(damage: Callable[[Path], None], tmp_path: Path) -> None:
     folder = tmp_path / "own"
     folder.mkdir()
     damage(folder)
@@ -90,7 +90,7 @@
 TIER = {"bounds": {"mayTell": True}, "groupSize": 2, "me": 0}
 
 
-def test_a_taken_port_for_datagrams_holds_up_no_start() -> None:
+def test_peer_port_in_use_delays_no_start() -> None:
     async def work() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
             taken.bind((HOST, 0))
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("discovery", ["on_request", "pushed"])
-def test_peers_and_discovery_that_nobody_finds_hold_up_no_start(discovery: str) -> None:
+def test_unreachable_peers_and_discovery_delay_no_start(discovery: str) -> None:
     async def work() -> None:
         own, other = free_for_datagrams(2)
         peers = [f"{HOST}:{own[1]}", f"{HOST}:{other[1]}"]
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -9,7 +9,7 @@
 from helpers import MS, S, Stage, names, settings
 from loopback import HOST, OK, Client, Heard, line, play, read_head, request, soon, stage, until
 from loopback import Stage as Scene
-from test_evacuation import health
+from test_client_draining import health
 
 from balancer.actions import CancelAttempt, Fail, Reject
 from balancer.events import (
