--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -6,7 +6,7 @@
 
 import pytest
 from loopback import LONG_BODY, Client, Heard, play, read_chunks, read_head, request, soon, stage, until
-from test_evacuation import health
+from test_client_draining import health
 
 from sidecar import graceful_shutdown
 from sidecar.upstream import http_exchange, upstream
