--- a/sidecar/cluster_membership.py
+++ b/sidecar/cluster_membership.py
@@ -10,6 +10,7 @@
 import time
 from collections.abc import Callable, Sequence
 
+from sidecar import log_events
 from sidecar.clock import Clock
 from sidecar.cluster.actions import DuplicateMember, MembershipAction, MemberStateChanged, ProcessStalled
 from sidecar.cluster.cluster_size import ClusterSize
@@ -17,6 +18,7 @@
 from sidecar.cluster.membership import Membership
 from sidecar.cluster.message import DropReason, MemberState
 from sidecar.cluster.settings import MembershipSettings
+from sidecar.log_events import EventLog
 from sidecar.peers import Peers
 from sidecar.protocol_runner import ProtocolRunner
 
@@ -44,7 +46,7 @@
         seed: int,
         clock: Clock,
         peers: Peers,
-        log: Callable[[str], None],
+        log: EventLog,
         on_size: Callable[[ClusterSize], None],
     ) -> None:
         """`on_size` is called with the cluster's size after each event, changed or not."""
@@ -90,13 +92,13 @@
     def leave(self, has_successor: bool = False) -> None:
         """This process ends: announce it, unless another continues as this member."""
         membership, self.protocol = self.protocol, None
-        self._alarm.cancel()
+        self._timer.cancel()
         if membership is not None:
             self._carry_out(membership.leave(self._clock.now(), has_successor))
 
     def close(self) -> None:
         """Hold no timer any more."""
-        self._alarm.cancel()
+        self._timer.cancel()
         if self._log_timer is not None:
             self._log_timer.cancel()
 
@@ -154,10 +156,9 @@
                 state = action.state.name.lower()
                 self._log_change(f"{action.member} {state} (by {action.reported_by})")
             case DuplicateMember():
-                self._log(f"another process claims this sidecar's number {action.member}: look for it")
+                self._log(log_events.MemberNumberConflict(action.member))
             case ProcessStalled():
-                duration_s = action.duration_us / 1e6
-                self._log(f"stood still for {duration_s:.1f} s: doubts its own sight for now")
+                self._log(log_events.ProcessStalled(action.duration_us / 1e6))
 
     # Log lines
 
@@ -183,7 +184,7 @@
             if getattr(size, name):
                 counts += f", {getattr(size, name)} {name}"
         minority = "; this copy sees half or fewer" if size.is_in_minority else ""
-        self._log(f"members: {counts}{minority}: {changes}{further}")
+        self._log(log_events.MembershipChanged(f"{counts}{minority}", f"{changes}{further}"))
 
 
 def _letter(record: MemberRecord) -> str:
--- a/sidecar/configuration_rollout.py
+++ b/sidecar/configuration_rollout.py
@@ -24,6 +24,15 @@
 from sidecar.cluster.rollout_message import is_rollout_message
 from sidecar.cluster.rollout_status import RolloutStatus
 from sidecar.configuration import Configuration
+from sidecar.log_events import (
+    ConfigurationConflict,
+    ConfigurationInForceEverywhere,
+    ConfigurationMissing,
+    ConfigurationNotEverywhere,
+    ConfigurationWithdrawn,
+    EventLog,
+    LogEvent,
+)
 from sidecar.peers import Peers
 from sidecar.protocol_runner import ProtocolRunner
 
@@ -43,7 +52,7 @@
         seed: int,
         clock: Clock,
         peers: Peers,
-        log: Callable[[str], None],
+        log: EventLog,
         read_configuration: Callable[[], None],
     ) -> None:
         """`read_configuration` reads the file again, and passes what it holds to `configure`."""
@@ -90,7 +99,7 @@
     def close(self) -> None:
         """Compare no more, and hold no timer."""
         self.protocol = self._table = None
-        self._alarm.cancel()
+        self._timer.cancel()
 
     def figures(self) -> dict[str, object] | None:
         """The metrics that operators read; None while it is off."""
@@ -152,37 +161,35 @@
         if isinstance(action, ReadConfiguration):
             self._read_configuration()
             return
-        line = _log_line(action)
-        if line is not None and self._log_limiter.try_acquire(self._clock.now()):
-            self._log(line)
+        event = _log_event(action)
+        if event is not None and self._log_limiter.try_acquire(self._clock.now()):
+            self._log(event)
 
 
-def _log_line(action: RolloutAction) -> str | None:
+def _log_event(action: RolloutAction) -> LogEvent | None:
     match action:
         case RolloutConcluded(after_us, status):
-            return _conclusion_line(after_us / 1e6, status)
-        case AmbiguousVersion(version, low, high):
-            return f"configuration: two contents go by version {version}: digests {low:08x} and {high:08x}"
-        case VersionMissing(version, by, after_us):
-            told = f"configuration: version {version}, first said by {by}, is not in the file of this sidecar"
-            return f"{told} after {after_us / 1e6:.0f} s: it looks once a minute from now on"
-        case VersionForgotten(version, by):
-            return f"configuration: version {version}, first said by {by}, is in force nowhere any more"
+            return _conclusion_event(after_us / 1e6, status)
+        case AmbiguousVersion(version, min_digest, max_digest):
+            return ConfigurationConflict(version, min_digest, max_digest)
+        case VersionMissing(version, first_reported_by, after_us):
+            return ConfigurationMissing(version, first_reported_by, after_us / 1e6)
+        case VersionForgotten(version, first_reported_by):
+            return ConfigurationWithdrawn(version, first_reported_by)
     return None
 
 
-def _conclusion_line(after_s: float, status: RolloutStatus) -> str:
-    version = f"configuration: version {status.version}"
-    counts = f"{status.in_force_count} of {status.required_count}"
+def _conclusion_event(after_s: float, status: RolloutStatus) -> LogEvent:
+    counts = status.in_force_count, status.required_count
     if status.is_in_force_everywhere:
-        return f"{version} in force here; everywhere after {after_s:.1f} s ({counts})"
-    behind = _member_list("behind", status.behind, status.behind_count)
-    missing = _member_list("unheard", status.missing, status.missing_count)
-    return f"{version} not known to be everywhere after {after_s:.1f} s ({counts}){behind}{missing}"
+        return ConfigurationInForceEverywhere(status.version, after_s, *counts)
+    behind = _member_list(status.behind, status.behind_count)
+    missing = _member_list(status.missing, status.missing_count)
+    return ConfigurationNotEverywhere(status.version, after_s, *counts, behind, missing)
 
 
-def _member_list(label: str, members: tuple[int, ...], count: int) -> str:
+def _member_list(members: tuple[int, ...], count: int) -> str:
     if not count:
-        return ""
+        return "none"
     further = f" and {count - len(members)} more" if count > len(members) else ""
-    return f"; {label}: {', '.join(map(str, members))}{further}"
+    return f"{', '.join(map(str, members))}{further}"
--- a/sidecar/protocol_runner.py
+++ b/sidecar/protocol_runner.py
@@ -6,8 +6,9 @@
 from collections.abc import Callable, Sequence
 from typing import ClassVar, Generic, TypeVar
 
-from sidecar.clock import Alarm, Clock
+from sidecar.clock import Clock, Timer
 from sidecar.cluster.actions import ScheduleTick, SendDatagram
+from sidecar.log_events import EventLog, InternalError
 from sidecar.peers import Peers
 
 _RETRY_US = 1_000_000  # after an internal error, the next tick
@@ -22,10 +23,10 @@
 
     _label: ClassVar[str]  # of the protocol, in log lines
 
-    def __init__(self, clock: Clock, peers: Peers, log: Callable[[str], None]) -> None:
+    def __init__(self, clock: Clock, peers: Peers, log: EventLog) -> None:
         self.protocol: ProtocolT | None = None  # None: switched off
         self._clock, self._peers, self._log = clock, peers, log
-        self._alarm = Alarm(clock, self._tick)
+        self._timer = Timer(clock, self._tick)
 
     @abstractmethod
     def _handle(self, action: ActionT) -> None:
@@ -43,15 +44,15 @@
         try:
             self._carry_out(event(protocol, now))
         except Exception as error:
-            self._log(f"internal error: {error!r} ({self._label})")
-            if not self._alarm.is_set:
-                self._alarm.at(now + _RETRY_US)
+            self._log(InternalError(self._label, error))
+            if not self._timer.is_set:
+                self._timer.schedule(now + _RETRY_US)
 
     def _carry_out(self, actions: Sequence[ActionT]) -> None:
         for action in actions:
             if isinstance(action, SendDatagram):
                 self._peers.send(action.receiver, action.payload)
             elif isinstance(action, ScheduleTick):
-                self._alarm.at(action.at)
+                self._timer.schedule(action.at)
             else:
                 self._handle(action)
