--- a/tests/simulator_scenarios.py
+++ b/tests/simulator_scenarios.py
@@ -81,8 +81,8 @@
 ]
 TENANTS = [
     {"name": "large", "portion": 0.4, "quotaRps": 60.0},
-    {"name": "middle", "portion": 0.35, "quotaRps": 30.0},
-    {"name": "small", "portion": 0.25, "quotaRps": 5.0},
+    {"name": "middle", "portion": 0.3, "quotaRps": 30.0},
+    {"name": "small", "portion": 0.1, "quotaRps": 5.0},
 ]
 BOUNDS = {
     "sendCap": 4,
@@ -161,6 +161,7 @@
     )),
     Scenario("everything-fails-uncopied", 120, _boot(bounds={"secondCopies": False}), servers=12, zones=ZONES,
         span_us=16 * S, faults=(
+        Fault("behaviour", 100 * MS, 1 * S, 11),
         Fault("behaviour", 4 * S, 5 * S, 6),
         Fault("behaviour", 4 * S, 5 * S, zone="north", verdict="silent"),
         Fault("behaviour", 6 * S, 3 * S, zone="east"),
@@ -209,8 +210,8 @@
     Scenario("overload-burst", 110, _boot(realms=TENANTS, report=REPORTS), servers=4, arrivals_per_s=110.0,
         span_us=15 * S, work_us=40 * MS, queue_per_size=100.0,
         faults=(Fault("burst", 4 * S, 3 * S, factor=5.0), Fault("burst", 9 * S, 5 * S, factor=1.7))),
-    Scenario("overload-without-reports", 111, _boot(realms=TENANTS, prices=CROSSINGS), servers=4,
-        zones=ZONES[:2], span_us=15 * S, queue_per_size=100.0, client_retries=0.6,
+    Scenario("overload-without-reports", 111, _boot(realms=TENANTS, prices=CROSSINGS, overShareWorth=0.5),
+        servers=4, zones=ZONES[:2], span_us=15 * S, queue_per_size=100.0, client_retries=0.6,
         faults=(Fault("burst", 3 * S, 4 * S, factor=5.0), Fault("slow", 10 * S, 3 * S, factor=4.0))),
     Scenario("relisted-sizes", 121, _boot(weights="live", discovery="pushed"), servers=6,
         sizes=(0.0, 1.0, 2.0), lists_sizes=True, span_us=10 * S, faults=(
