--- a/deploy/native.py
+++ b/deploy/native.py
@@ -41,6 +41,7 @@
     "balancer/scheduler.py",
     "balancer/selection.py",
     "balancer/settings.py",
+    "balancer/settings_wire.py",
     "balancer/slow_start.py",
     "balancer/subset_size.py",
     "sidecar/http/grammar.py",
