--- /dev/null
+++ b/tests/test_cluster_size.py
@@ -0,0 +1,94 @@
+"""The size of the cluster: its effect on the balancer is bounded, and none where it is not known."""
+
+from __future__ import annotations
+
+import itertools
+
+from helpers import MS, Stage, names, settings
+
+from balancer.actions import WatchEndpoints
+from balancer.events import ClusterSizeChanged, EndpointEntry, EndpointListKind, EndpointListReceived, Outcome
+
+CLUSTER_SIZE = 16  # from twice as many on, backoffs are as long as the time to recover allows
+
+
+def mean_backoff(event: ClusterSizeChanged | None) -> float:
+    """The mean time between failing calls to discovery, over many balancers."""
+    backoffs: list[int] = []
+    for seed in range(30):
+        stage = Stage(settings(cluster_size=CLUSTER_SIZE), seed=seed)
+        if event is not None:
+            stage.play(event)
+        stage.servers(names(3))
+        polled_at = []
+        for _ in range(5):
+            stage.play(EndpointListReceived(EndpointListKind.FAILED))
+            before = len(stage.said(WatchEndpoints))
+            while len(stage.said(WatchEndpoints)) == before:
+                stage.wait(50 * MS)
+            polled_at.append(stage.now)
+        backoffs += [later - earlier for earlier, later in itertools.pairwise(polled_at)]
+    return sum(backoffs) / len(backoffs)
+
+
+def sent_to_warming_up(event: ClusterSizeChanged | None) -> int:
+    """How much a server that has just started gets of steady traffic."""
+    total = 0
+    for seed in range(8):
+        stage = Stage(settings(), seed=seed)
+        stage.servers(names(5))
+        stage.serve(300)
+        if event is not None:
+            stage.play(event)
+        warming_up = EndpointEntry(names(5)[0], zone="east", started_at=stage.now)
+        stage.servers([warming_up], EndpointListKind.CHANGES)
+        before = len(stage.log)
+        stage.serve(100)
+        total += sum(getattr(action, "server", None) == warming_up.server for _, action in stage.log[before:])
+    return total
+
+
+def trial_requests(event: ClusterSizeChanged | None) -> int:
+    """How many requests try servers that are ejected and stay lost."""
+    total = 0
+    for seed in range(6):
+        stage = Stage(settings(), seed=seed)
+        lost = names(12)[:6]
+        if event is not None:
+            stage.play(event)
+        stage.servers(names(12))
+        for _ in range(400):
+            stage.wait(50 * MS)
+            number = stage.request()
+            while stage.sends(number):
+                if stage.target(number) not in lost:
+                    stage.end(number)
+                    break
+                total += 1
+                before = len(stage.sends(number))
+                stage.end(number, Outcome.CONNECT_FAILED)
+                if len(stage.sends(number)) == before:
+                    break
+    return total
+
+
+def test_unknown_cluster_size_has_the_effect_of_a_complete_cluster() -> None:
+    complete = ClusterSizeChanged(CLUSTER_SIZE, CLUSTER_SIZE, CLUSTER_SIZE)
+    assert mean_backoff(None) == mean_backoff(complete)
+    assert sent_to_warming_up(None) == sent_to_warming_up(complete)
+
+
+def test_fewer_present_poll_sooner_and_try_more_but_send_no_more_while_warming_up() -> None:
+    few = ClusterSizeChanged(CLUSTER_SIZE, CLUSTER_SIZE * 3 // 4, CLUSTER_SIZE * 3 // 4)
+    assert mean_backoff(few) < 0.9 * mean_backoff(None)
+    # Slow-start budgets are a part of what a balancer sends itself: absent ones take nothing of that.
+    assert sent_to_warming_up(few) == sent_to_warming_up(None)
+    assert trial_requests(few) >= trial_requests(None)
+
+
+def test_wrong_cluster_size_costs_at_most_a_factor_of_one_and_a_half() -> None:
+    nobody = ClusterSizeChanged(CLUSTER_SIZE, 1, 1, in_minority=True)
+    assert mean_backoff(nobody) >= mean_backoff(None) / 1.6
+    assert sent_to_warming_up(nobody) == sent_to_warming_up(None)
+    assert mean_backoff(ClusterSizeChanged(0, 0, 0)) >= mean_backoff(None) / 1.6
+    assert mean_backoff(ClusterSizeChanged(CLUSTER_SIZE, 10 * CLUSTER_SIZE, 0)) == mean_backoff(None)
