--- a/balancer/selection.py
+++ b/balancer/selection.py
@@ -34,6 +34,26 @@
 MAX_FULL_BACKOFF_OBJECTIVES = 4.0
 
 
+class _Slots:
+    """The part of a subset that is for endpoints of the own zone, or for those of all others."""
+
+    __slots__ = ("_places_left", "_size_left")
+
+    def __init__(self, size: int) -> None:
+        self._places_left = size
+        self._size_left = size
+
+    def pass_by(self) -> bool:
+        """Go on to the next endpoint; return whether it is among as many first ones as there are slots."""
+        self._places_left -= 1
+        return self._places_left >= 0
+
+    def take(self) -> bool:
+        """Use a slot; return whether there was one left."""
+        self._size_left -= 1
+        return self._size_left >= 0
+
+
 class EndpointSelector:
     """Selects the endpoint of an attempt."""
 
@@ -99,45 +119,28 @@
         other balancers.
         """
         size = subset_size(self._in_flight.mean)
-        local_slots = remote_slots = size
+        local_size = remote_size = size
         if self._context.settings.costs.cross_zone > 0.0:
             share = self._current_remote_weight() * self._endpoints.remote_fraction
-            remote_slots = max(round(size * share), 1)
-            local_slots = size - remote_slots
-        return self._fill_subset(request, size, local_slots, remote_slots)
+            remote_size = max(round(size * share), 1)
+            local_size = size - remote_size
+        return self._fill_subset(request, size, _Slots(local_size), _Slots(remote_size))
 
-    def _fill_subset(
-        self, request: Request, size: int, local_slots: int, remote_slots: int
-    ) -> list[Endpoint]:
-        zone = self._context.settings.zone
+    def _fill_subset(self, request: Request, size: int, local: _Slots, remote: _Slots) -> list[Endpoint]:
         class_name = request.service_class.name
-        local_walked = remote_walked = 0
         subset: list[Endpoint] = []
-        spare: list[Endpoint] = []
+        spare: list[Endpoint] = []  # beyond the slots of their zone
         backed_off: list[Endpoint] = []
-        local_left, remote_left = local_slots, remote_slots
         for endpoint in self._endpoints.available:
-            is_local = endpoint.zone == zone
-            if is_local:
-                local_walked += 1
-                is_first = local_walked <= local_slots
-            else:
-                remote_walked += 1
-                is_first = remote_walked <= remote_slots
-            if not is_first and self._slow_start.is_warming_up(endpoint):
+            slots = local if self._endpoints.is_local(endpoint) else remote
+            if not slots.pass_by() and self._slow_start.is_warming_up(endpoint):
                 continue
             if not self._is_eligible(endpoint, request):
                 continue
             if self._is_backed_off(endpoint, class_name):
                 backed_off.append(endpoint)
                 continue
-            if is_local:
-                local_left -= 1
-                has_slot = local_left >= 0
-            else:
-                remote_left -= 1
-                has_slot = remote_left >= 0
-            (subset if has_slot else spare).append(endpoint)
+            (subset if slots.take() else spare).append(endpoint)
             if len(subset) >= size:
                 break
         subset += spare[: size - len(subset)]
