--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small stage for scripted events: it plays them and keeps what comes out."""
+"""Plays scripted events to one balancer and records its actions."""
 
 from __future__ import annotations
 
@@ -101,8 +101,8 @@
     def servers(
         self, listed: Iterable[str | EndpointEntry], kind: EndpointListKind = EndpointListKind.COMPLETE
     ) -> list[Action]:
-        lines = [EndpointEntry(each, zone="east") if isinstance(each, str) else each for each in listed]
-        return self.play(EndpointListReceived(kind, lines, 1))
+        entries = [EndpointEntry(item, zone="east") if isinstance(item, str) else item for item in listed]
+        return self.play(EndpointListReceived(kind, entries, 1))
 
     def drain(self, server: str, state: EndpointState = EndpointState.DRAINING) -> list[Action]:
         return self.servers([EndpointEntry(server, zone="east", state=state)], EndpointListKind.CHANGES)
@@ -131,7 +131,7 @@
         """Let time pass; due timers fire on the way."""
         until = self.now + span_us
         while True:
-            due = sorted(each for each in self._timers if each[0] <= until)
+            due = sorted(timer for timer in self._timers if timer[0] <= until)
             if not due:
                 break
             self._timers.remove(due[0])
@@ -141,21 +141,25 @@
 
     def sends(self, request: int | None = None) -> list[tuple[int, SendAttempt]]:
         return [
-            (at, each)
-            for at, each in self.log
-            if isinstance(each, SendAttempt) and (request is None or each.request == request)
+            (at, action)
+            for at, action in self.log
+            if isinstance(action, SendAttempt) and (request is None or action.request == request)
         ]
 
+    def targets(self, request: int | None = None) -> list[str]:
+        """The endpoints of all attempts, or of one request's, in the order they were sent."""
+        return [attempt.server for _, attempt in self.sends(request)]
+
     def target(self, request: int) -> str:
         return self.sends(request)[-1][1].server
 
     def said(self, kind: type[_Action]) -> list[_Action]:
-        return [each for _, each in self.log if isinstance(each, kind)]
+        return [action for _, action in self.log if isinstance(action, kind)]
 
     def serve(
         self, count: int, every_us: int = 20 * MS, taking_us: int = 50 * MS, name: str = "look"
     ) -> None:
-        """Traffic in good health: a request every so often, each answered after the same time."""
+        """Healthy traffic: requests at even intervals, all answered after the same time."""
         pending: list[tuple[int, int]] = []
         for _ in range(count):
             self.wait(every_us)
@@ -171,7 +175,7 @@
 
 
 def serve_singly(stage: Stage, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS) -> None:
-    """Traffic of a small balancer: each request is answered before the next comes."""
+    """Traffic of a small balancer: every request is answered before the next arrives."""
     for _ in range(count):
         request = stage.request()
         stage.wait(taking_us)
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -18,7 +18,7 @@
 
 
 def _overload(stage: Stage, spans: int) -> None:
-    """Servers that answer ever later as more is in flight, asked for far more than they can do."""
+    """Servers that answer ever later as more is in flight, under far more requests than they can serve."""
     stage.servers(names(4))
     out: list[int] = []
     for tick in range(spans):
@@ -38,10 +38,10 @@
     stage.servers(names(4))
     stage.serve(200)
     _overload(stage, 600)
-    asked = {each.request for each in stage.said(Reject)}
-    looks = sum(1 for each in asked if each % 2)  # asked for in turn, so half of them would be even-handed
-    assert len(asked) > 300 and looks > 0.5 * len(asked)
-    unsent = [each.request for each in stage.said(Reject) if not stage.sends(each.request)]
+    rejected = {rejection.request for rejection in stage.said(Reject)}
+    low_priority = sum(number % 2 for number in rejected)  # every other request
+    assert len(rejected) > 300 and low_priority > 0.5 * len(rejected)
+    unsent = [rejection.request for rejection in stage.said(Reject) if not stage.sends(rejection.request)]
     assert len(unsent) > 0.5 * len(stage.said(Reject))
 
 
@@ -54,11 +54,11 @@
         for attempt in request.attempts:
             if attempt.is_pending:
                 stage.end(request.request_id, Outcome.CANCELLED, attempt.index, answered=True)
-    stage.wait(15 * S)  # what was given up on, up to 14 s old, counts for as long again
+    stage.wait(15 * S)  # what was abandoned, up to 14 s old, counts for as long again
     stage.serve(300)  # a small window takes some aims to grow
-    refused = len(stage.said(Reject))
+    rejected = len(stage.said(Reject))
     stage.serve(300)
-    assert len(stage.said(Reject)) == refused
+    assert len(stage.said(Reject)) == rejected
 
 
 def test_quiet_fleet_gets_no_rejection() -> None:
@@ -77,13 +77,13 @@
         if stage.sends(request):
             stage.wait(700 * MS)
             stage.end(request)
-    refused = len(stage.said(Reject))
-    assert 20 <= refused < 120
+    rejected = len(stage.said(Reject))
+    assert 20 <= rejected < 120
     stage.wait(10 * S)
     serve_singly(stage, 60)
-    refused = len(stage.said(Reject))
+    rejected = len(stage.said(Reject))
     serve_singly(stage, 60)
-    assert len(stage.said(Reject)) == refused
+    assert len(stage.said(Reject)) == rejected
 
 
 def test_two_requests_at_once_are_no_overload_of_a_small_balancer() -> None:
@@ -103,7 +103,7 @@
 def _late_with_reports(cores: float, seed: int) -> int:
     stage = Stage(seed=seed)
     stage.servers(names(8))
-    refused = 0
+    rejected = 0
     for _ in range(300):
         stage.wait(60 * MS)
         request = stage.request()
@@ -111,8 +111,8 @@
             stage.wait(550 * MS)
             stage.end(request, attempt=0, report={"util": cores})
         else:
-            refused += 1
-    return refused
+            rejected += 1
+    return rejected
 
 
 def test_late_responses_from_idle_servers_are_no_overload() -> None:
@@ -176,7 +176,7 @@
 
 
 def test_small_balancer_with_quick_but_uneven_responses_rejects_next_to_nothing() -> None:
-    refused = 0
+    rejected = 0
     for seed in range(4):
         chance = random.Random(seed)
         stage = Stage(seed=seed)
@@ -187,13 +187,13 @@
             if stage.sends(request):  # typically a tenth of the aim, one in forty beyond it
                 stage.wait(min(int(50 * MS * chance.lognormvariate(0.0, 1.2)), 900 * MS))
                 stage.end(request, attempt=0)
-        refused += len(stage.said(Reject))
-    assert refused < 0.01 * 4 * 300
+        rejected += len(stage.said(Reject))
+    assert rejected < 0.01 * 4 * 300
 
 
 def _rejected_beside_late_servers(every_us: int, count: int) -> float:
-    """The part that is refused while one server in three, of a zone that came back cold say, answers late."""
-    refused = 0
+    """The part that is rejected while one server in three responds late."""
+    rejected = 0
     for seed in range(8):
         stage = Stage(seed=seed)
         stage.servers(names(60))
@@ -205,11 +205,11 @@
             if stage.sends(request):
                 took = 800 * MS if stage.target(request) in late else 100 * MS
                 due.append((stage.now + took, request))
-            for end in sorted(each for each in due if each[0] <= stage.now):
+            for end in sorted(response for response in due if response[0] <= stage.now):
                 due.remove(end)
                 stage.end(end[1])
-        refused += len(stage.said(Reject))
-    return refused / (8 * count)
+        rejected += len(stage.said(Reject))
+    return rejected / (8 * count)
 
 
 def test_a_third_of_the_servers_responding_late_is_no_overload() -> None:
@@ -226,9 +226,9 @@
     stage = Stage(settings(limits={"retry_after": advised, "max_retry_after_us": 400 * MS}))
     for _ in range(20):
         stage.request()  # no server is known
-    refused = stage.said(Reject)
-    assert len(refused) == 20 and stage.now == START  # none is held
-    waits = {each.retry_after_us for each in refused}
+    rejected = stage.said(Reject)
+    assert len(rejected) == 20 and stage.now == START  # none is held
+    waits = {item.retry_after_us for item in rejected}
     if advised:
         assert len(waits) > 10  # they do not all come back together
         assert min(waits) > 0 and max(waits) <= 400 * MS
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -18,7 +18,7 @@
     stage.servers(names(5))
     request = stage.request("pay", remaining_us=900 * MS)
     stage.wait(899 * MS)
-    assert [each.request for each in stage.said(Fail)] == [request]
+    assert [action.request for action in stage.said(Fail)] == [request]
 
 
 def test_request_is_neither_sent_nor_answered_after_its_final_response() -> None:
@@ -39,13 +39,13 @@
     stage.servers(names(3))
     request = stage.request("pay", remaining_us=0)
     assert stage.sends(request) == []
-    assert [each.request for each in stage.said(Reject)] == [request]
+    assert [action.request for action in stage.said(Reject)] == [request]
 
 
 def test_request_without_any_endpoint_is_rejected_at_once() -> None:
     stage = Stage()
     request = stage.request("pay")
-    assert [each.request for each in stage.said(Reject)] == [request]
+    assert [action.request for action in stage.said(Reject)] == [request]
 
 
 def test_request_without_any_allowed_attempt_is_rejected() -> None:
@@ -53,7 +53,7 @@
     stage.servers(names(3))
     request = stage.request("look")
     assert stage.sends(request) == []
-    assert [each.request for each in stage.said(Reject)] == [request]
+    assert [action.request for action in stage.said(Reject)] == [request]
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
@@ -75,7 +75,7 @@
     request = stage.request("pay")
     stage.play(ClientDisconnected(request))
     stage.wait(3 * S)
-    assert [each.request for each in stage.said(CancelAttempt)] == [request]
+    assert [action.request for action in stage.said(CancelAttempt)] == [request]
     assert stage.said(Fail) == [] and stage.said(Reject) == []
 
 
@@ -86,7 +86,7 @@
     stage.servers([*names(3)[1:], "10.0.0.9:80"])
     for _ in range(100):
         stage.request()
-    targets = {each.server for _, each in stage.sends()}
+    targets = set(stage.targets())
     assert targets == {"10.0.0.2:80", "10.0.0.3:80", "10.0.0.9:80"}
 
 
@@ -104,9 +104,9 @@
     stage.servers(names(3))
     request = stage.balancer._requests[stage.request()]
     server = next(
-        each
-        for each in stage.balancer._endpoints.by_name.values()
-        if each is not request.attempts[0].endpoint
+        endpoint
+        for endpoint in stage.balancer._endpoints.by_name.values()
+        if endpoint is not request.attempts[0].endpoint
     )
     for state in (EndpointState.DRAINING, EndpointState.GONE):
         stage.drain(server.name, state)
@@ -121,9 +121,9 @@
         stage.servers(names(3))
         request = stage.balancer._requests[stage.request()]
         server = next(
-            each
-            for each in stage.balancer._endpoints.by_name.values()
-            if each is not request.attempts[0].endpoint
+            endpoint
+            for endpoint in stage.balancer._endpoints.by_name.values()
+            if endpoint is not request.attempts[0].endpoint
         )
         assert stage.balancer._send(request, server) is allowed
 
@@ -144,6 +144,6 @@
 
 def test_timer_that_fires_on_its_microsecond_ends_where_the_objective_is_odd() -> None:
     # In a process of its own: a decision that never ends can't be stopped from within.
-    path = os.pathsep.join([str(Path(__file__).parent), *(each for each in sys.path if each)])
+    path = os.pathsep.join([str(Path(__file__).parent), *(folder for folder in sys.path if folder)])
     environment = {**os.environ, "PYTHONPATH": path}
     subprocess.run([sys.executable, "-P", "-c", ODD_OBJECTIVES], env=environment, check=True, timeout=90)
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -21,9 +21,9 @@
         stage.wait(350 * MS)
         seen = len(stage.log)
         request = stage.request("pay")
-        for close in [each for _, each in stage.log[seen:] if isinstance(each, CloseIdleConnections)]:
+        for close in [action for _, action in stage.log[seen:] if isinstance(action, CloseIdleConnections)]:
             used.pop(close.server, None)
-        for old in lost:  # given up at its deadline, and so called off
+        for old in lost:  # abandoned at its deadline, and so cancelled
             if stage.balancer._requests.get(old) is not None and stage.balancer._requests[old].is_answered:
                 stage.end(old, Outcome.CANCELLED, answered=True)
         if not stage.sends(request):
@@ -45,7 +45,7 @@
         stage = Stage(seed=seed)
         lost += len(_with_reaped_connections(stage, 300))
         closed += len(stage.said(CloseIdleConnections))
-        assert not any("ejected" in each.text for each in stage.said(Log))
+        assert not any("ejected" in action.text for action in stage.said(Log))
     assert lost < 20 and closed > 20
 
 
--- a/tests/test_discovery_polling.py
+++ b/tests/test_discovery_polling.py
@@ -30,15 +30,15 @@
 
 def test_failed_calls_are_repeated_with_backoff_and_never_given_up() -> None:
     stage = Stage()
-    asked = []
+    polled_at = []
     stage.servers(names(2), EndpointListKind.CACHED)
     for _ in range(12):
-        asked.append(stage.now)
+        polled_at.append(stage.now)
         count = len(stage.said(WatchEndpoints))
         stage.play(EndpointListReceived(EndpointListKind.FAILED))
         while len(stage.said(WatchEndpoints)) == count:
             stage.wait(5 * MS)
-    waits = [later - earlier for earlier, later in itertools.pairwise(asked)]
+    waits = [later - earlier for earlier, later in itertools.pairwise(polled_at)]
     assert max(waits) < 10 * S / 2
     assert waits[-1] > 2 * waits[0]
 
@@ -66,14 +66,14 @@
 
 def test_failed_calls_of_a_large_cluster_do_not_add_up() -> None:
     small, large = _calls_of_a_cluster(5), _calls_of_a_cluster(40)
-    assert min(map(len, large)) >= 5  # a change counts as told 6 s after discovery could be reached
+    assert min(map(len, large)) >= 5  # changes have to be known 6 s after discovery could be reached
     assert sum(map(len, large)) < 6 * sum(map(len, small))  # of eight times as many balancers
 
 
 @pytest.mark.parametrize("cluster_size", [1, 5, 40, 200])
 @pytest.mark.parametrize("allowed_us", [5 * S, 10 * S, 60 * S])
 def test_backoff_after_a_failed_call_leaves_time_to_recover(cluster_size: int, allowed_us: int) -> None:
-    # 6 s after discovery could be reached; what is left of them is for the call and its place in the line.
+    # 6 s after discovery could be reached; the rest is for the call and its place in the queue.
     for own in _calls_of_a_cluster(cluster_size, allowed_us=allowed_us)[:40]:
         assert all(later - earlier <= 3_620 * MS for earlier, later in itertools.pairwise([0, *own]))
 
@@ -91,7 +91,7 @@
     stage = Stage()
     stage.servers(names(2), EndpointListKind.CACHED)
     stage.wait(10 * S)
-    times = [at for at, each in stage.log if isinstance(each, WatchEndpoints)]
+    times = [at for at, action in stage.log if isinstance(action, WatchEndpoints)]
     assert len(times) > 1
     assert all(later - earlier < 10 * S for earlier, later in itertools.pairwise(times))
 
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -45,7 +45,7 @@
     out_since = stage.now
     stage.serve(40)
     for kind in (EndpointListKind.COMPLETE, EndpointListKind.CHANGES, EndpointListKind.CACHED):
-        stage.servers([EndpointEntry(each, zone="east", started_at=stage.now) for each in SMALL], kind)
+        stage.servers([EndpointEntry(name, zone="east", started_at=stage.now) for name in SMALL], kind)
         stage.serve(20)
     stage.drain(OUT, EndpointState.GONE)
     stage.servers([OUT], EndpointListKind.CHANGES)
@@ -90,7 +90,7 @@
     for name in SMALL:
         stage.play(EndpointExcluded(name))
     request = stage.request("pay")
-    assert [each.request for each in stage.said(Reject)] == [request]
+    assert [action.request for action in stage.said(Reject)] == [request]
 
 
 def test_one_call_back_ends_any_number_of_calls_out_and_it_is_used_soon() -> None:
@@ -124,8 +124,8 @@
         stage.serve(200, every_us=5 * MS)
         return sum(send.server == OUT for at, send in stage.sends() if at >= back)
 
-    warm, cold = sent_to_it(False), sent_to_it(True)
-    assert 0 < cold < warm / 2
+    warm, warming_up = sent_to_it(False), sent_to_it(True)
+    assert 0 < warming_up < warm / 2
 
 
 def test_counts_of_members_and_of_those_avoided() -> None:
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -9,48 +9,48 @@
 from balancer.outlier_detection import MAX_EJECTED_FRACTION
 
 
-def _with_one_hung(stage: Stage, rounds: int) -> tuple[str, list[int]]:
+def _with_one_silent(stage: Stage, rounds: int) -> tuple[str, list[int]]:
     """Good traffic, except that one server answers nothing from some moment on."""
     stage.servers(names(6))
     stage.serve(120)
     first = stage.request()
-    hung = stage.target(first)
+    silent = stage.target(first)
     stuck = [first]
     for _ in range(rounds):
         stage.wait(10 * MS)
         request = stage.request()
-        if stage.target(request) == hung:
+        if stage.target(request) == silent:
             stuck.append(request)
         else:
             stage.wait(30 * MS)
             stage.end(request)
-    return hung, stuck
+    return silent, stuck
 
 
 def test_silent_endpoint_is_ejected_while_others_respond_and_its_idempotent_requests_are_hedged() -> None:
     stage = Stage()
-    hung, stuck = _with_one_hung(stage, 20)
-    assert any(each.text.startswith(f"ejected {hung}") for each in stage.said(Log))
-    copies = [each.server for _, each in stage.sends(stuck[0])]
-    assert len(copies) > 1 and hung not in copies[1:]
+    silent, stuck = _with_one_silent(stage, 20)
+    assert any(action.text.startswith(f"ejected {silent}") for action in stage.said(Log))
+    copies = stage.targets(stuck[0])
+    assert len(copies) > 1 and silent not in copies[1:]
 
 
 def test_ejected_endpoint_is_readmitted_by_one_trial_at_a_time() -> None:
     stage = Stage()
-    hung, stuck = _with_one_hung(stage, 20)
-    before = len([1 for _, each in stage.sends() if each.server == hung])
+    silent, stuck = _with_one_silent(stage, 20)
+    before = stage.targets().count(silent)
     for request in stuck:
         stage.end(request, Outcome.TIMED_OUT, attempt=0, answered=False)
     for _ in range(60):
         stage.wait(60 * MS)
         request = stage.request()
-        if stage.target(request) != hung:
+        if stage.target(request) != silent:
             stage.end(request)
-    trials = len([1 for _, each in stage.sends() if each.server == hung]) - before
+    trials = stage.targets().count(silent) - before
     assert trials == 1
-    trial = next(each.request for _, each in reversed(stage.sends()) if each.server == hung)
+    trial = next(attempt.request for _, attempt in reversed(stage.sends()) if attempt.server == silent)
     stage.end(trial, attempt=0)
-    assert stage.said(Log)[-1].text == f"readmitted {hung}"
+    assert stage.said(Log)[-1].text == f"readmitted {silent}"
 
 
 def test_silent_endpoints_are_not_all_ejected() -> None:
@@ -60,7 +60,11 @@
     for _ in range(200):
         stage.request("pay")
         stage.wait(15 * MS)
-    ejected = [each for each in stage.balancer._endpoints.by_name.values() if each.ejected_until is not None]
+    ejected = [
+        endpoint
+        for endpoint in stage.balancer._endpoints.by_name.values()
+        if endpoint.ejected_until is not None
+    ]
     assert len(ejected) <= 2
 
 
@@ -76,7 +80,7 @@
         stage.end(new)
         stage.wait(30 * MS)
         stage.end(old, Outcome.TIMED_OUT, answered=False)
-    assert not any("ejected" in each.text for each in stage.said(Log))
+    assert not any("ejected" in action.text for action in stage.said(Log))
 
 
 def test_endpoints_whose_connections_break_now_and_then_do_not_start_slowly() -> None:
@@ -88,7 +92,9 @@
     for _ in range(600):
         stage.wait(10 * MS)
         request = stage.request()
-        while len(stage.sends(request)) > sum(each.request == request for each in stage.said(Reject)):
+        while len(stage.sends(request)) > sum(
+            rejection.request == request for rejection in stage.said(Reject)
+        ):
             server = stage.target(request)
             ends[server] += 1
             if ends[server] % 20 > 1:  # of twenty in a row at a server, two break
@@ -96,7 +102,7 @@
                 break
             stage.end(request, Outcome.CONNECTION_LOST)
     assert len(stage.said(Reject)) < 12  # of 600: by chance all four are ejected or tried
-    assert any("dropped" in each.text for each in stage.said(Log))
+    assert any("dropped" in action.text for action in stage.said(Log))
 
 
 def test_endpoint_that_could_not_be_connected_to_starts_slowly() -> None:
@@ -109,17 +115,17 @@
 
     def traffic(count: int) -> int:
         """Play a request every 10 ms, each answered after 50 ms; give how many `away` took."""
-        asked: list[int] = []
+        requests: list[int] = []
         for _ in range(count):
             stage.wait(10 * MS)
-            asked.append(stage.request())
-            while stage.now < back_at and stage.target(asked[-1]) == away:
-                stage.end(asked[-1], Outcome.CONNECT_FAILED)
-            if len(asked) > 5:
-                stage.end(asked[-6])
-        for each in asked[-5:]:
-            stage.end(each)
-        return sum(stage.target(each) == away for each in asked)
+            requests.append(stage.request())
+            while stage.now < back_at and stage.target(requests[-1]) == away:
+                stage.end(requests[-1], Outcome.CONNECT_FAILED)
+            if len(requests) > 5:
+                stage.end(requests[-6])
+        for request in requests[-5:]:
+            stage.end(request)
+        return sum(stage.target(request) == away for request in requests)
 
     assert traffic(400) == 0
     while "readmitted" not in stage.said(Log)[-1].text:
@@ -136,16 +142,16 @@
         for _ in range(4):
             requests = [stage.request("pay") for _ in range(8)]  # two for each server
             stage.wait(50 * MS)
-            for each in requests:
-                stage.end(each, Outcome.ERROR if stage.target(each) == listed[0] else Outcome.DELIVERED)
-        assert any(each.text.startswith(f"ejected {listed[0]}") for each in stage.said(Log)), generation
+            for request in requests:
+                stage.end(request, Outcome.ERROR if stage.target(request) == listed[0] else Outcome.DELIVERED)
+        assert any(action.text.startswith(f"ejected {listed[0]}") for action in stage.said(Log)), generation
 
 
 def test_restarted_endpoint_is_readmitted_and_starts_slowly() -> None:
     stage = Stage()
-    hung, _ = _with_one_hung(stage, 20)
-    stage.servers([EndpointEntry(hung, "east", started_at=stage.now)], EndpointListKind.CHANGES)
-    server = stage.balancer._endpoints.by_name[hung]
+    silent, _ = _with_one_silent(stage, 20)
+    stage.servers([EndpointEntry(silent, "east", started_at=stage.now)], EndpointListKind.CHANGES)
+    server = stage.balancer._endpoints.by_name[silent]
     assert server.ejected_until is None and stage.balancer._slow_start.is_warming_up(server)
 
 
@@ -160,11 +166,11 @@
             stage.wait(2 * MS)
             stage.end(request, Outcome.CONNECT_FAILED)
             if len(stage.sends(request)) == sent:
-                break  # given up on
+                break  # abandoned
         else:
             stage.wait(40 * MS)
             stage.end(request)
-    return sum(each.server in dead for _, each in stage.sends()[before:])
+    return sum(server in dead for server in stage.targets()[before:])
 
 
 def test_small_balancer_ejects_more_dead_endpoints_than_its_subset_holds() -> None:
@@ -172,7 +178,7 @@
     stage.servers(names(60))
     dead = set(names(60)[::2])
     _serve_among_dead(stage, dead, 100)
-    ejected = [each.text for each in stage.said(Log) if each.text.startswith("ejected")]
+    ejected = [action.text for action in stage.said(Log) if action.text.startswith("ejected")]
     assert len(ejected) > 4  # what a balancer at rest draws from
 
 
@@ -187,5 +193,5 @@
     stage.wait(20 * S)  # all have waited long enough
     assert _serve_among_dead(stage, lost, 100) <= 0.1 * 100 + 4
     _serve_among_dead(stage, set(), 100)  # they are back: a trial that is answered costs nothing
-    found = [each.text for each in stage.said(Log) if each.text.startswith("readmitted")]
+    found = [action.text for action in stage.said(Log) if action.text.startswith("readmitted")]
     assert len(found) == len(lost)
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -48,7 +48,7 @@
     stage.wait(10 * MS)
     stage.end(request, outcome)
     assert len(stage.sends(request)) == 1
-    assert [each.request for each in stage.said(Fail)] == [request]
+    assert [action.request for action in stage.said(Fail)] == [request]
     assert stage.said(Reject) == []
 
 
@@ -59,7 +59,7 @@
     request = stage.request("pay")
     stage.wait(10 * MS)
     stage.end(request, outcome)
-    targets = [each.server for _, each in stage.sends(request)]
+    targets = stage.targets(request)
     assert len(targets) == 2 and targets[0] != targets[1]
 
 
@@ -67,14 +67,14 @@
     for seed in range(20):
         stage = Stage(seed=seed)
         stage.servers(cells())
-        cell_of = {each.server: each.cell for each in cells()}
+        cell_of = {entry.server: entry.cell for entry in cells()}
         request = stage.request("amend")
         for _ in range(3):
             stage.wait(10 * MS)
             stage.end(request, Outcome.CONNECTION_LOST)
-        targets = [each.server for _, each in stage.sends(request)]
+        targets = stage.targets(request)
         assert len(targets) > 1
-        assert len({cell_of[each] for each in targets}) == 1
+        assert len({cell_of[target] for target in targets}) == 1
 
 
 def test_retry_with_a_key_ends_with_the_idempotency_window() -> None:
@@ -84,7 +84,7 @@
     stage.wait(2 * S)
     stage.end(request, Outcome.CONNECTION_LOST)
     assert len(stage.sends(request)) == 1
-    assert [each.request for each in stage.said(Fail)] == [request]
+    assert [action.request for action in stage.said(Fail)] == [request]
 
 
 def test_retry_waits_for_the_first_attempt_where_hedging_is_not_allowed() -> None:
@@ -92,13 +92,13 @@
     stage.servers(names(6))
     stage.serve(100)
     request = stage.request("look")
-    hung = stage.target(request)
+    silent = stage.target(request)
     for _ in range(60):
         stage.wait(10 * MS)
         other = stage.request("look")
-        if stage.target(other) != hung:
+        if stage.target(other) != silent:
             stage.end(other)
-    assert [each.request for each in stage.said(CancelAttempt)][:1] == [request]
+    assert [action.request for action in stage.said(CancelAttempt)][:1] == [request]
     assert len(stage.sends(request)) == 1
     stage.end(request, Outcome.CANCELLED, answered=False)
     assert len(stage.sends(request)) == 2
@@ -132,7 +132,7 @@
     for seed in range(6):
         stage = Stage(seed=seed)
         stage.servers(cells())
-        cell_of = {each.server: each.cell for each in cells()}
+        cell_of = {entry.server: entry.cell for entry in cells()}
         request = stage.request("amend")
         first = stage.target(request)
         moved = EndpointEntry(first, zone="east", cell=1 - cell_of[first])
@@ -152,17 +152,17 @@
     request = stage.request("pay")
     stage.end(request, Outcome.FULL)
     assert len(stage.sends(request)) == 1
-    assert [each.request for each in stage.said(Fail)] == [request] and stage.said(Reject) == []
+    assert [action.request for action in stage.said(Fail)] == [request] and stage.said(Reject) == []
 
 
 def test_full_response_that_proves_nothing_keeps_a_retry_with_a_key_in_its_cell_and_window() -> None:
-    cell_of = {each.server: each.cell for each in cells()}
+    cell_of = {entry.server: entry.cell for entry in cells()}
     for seed in range(20):
         stage = Stage(settings(guarantees={"full_may_have_executed": True}), seed=seed)
         stage.servers(cells())
         request = stage.request("amend", remaining_us=4 * S)
         stage.end(request, Outcome.FULL)
-        assert len({cell_of[each.server] for _, each in stage.sends(request)}) == 1
+        assert len({cell_of[server] for server in stage.targets(request)}) == 1
         assert len(stage.sends(request)) == 2
         stage.wait(2 * S)
         stage.end(request, Outcome.FULL, answered=False)
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -20,7 +20,7 @@
     stage.servers(names(4))  # all are drawn
     for _ in range(40):
         stage.request()
-    assert set(Counter(each.server for _, each in stage.sends()).values()) == {10}
+    assert set(Counter(stage.targets()).values()) == {10}
 
 
 def test_selection_after_full_leaves_out_the_full_endpoints_until_all_were_tried() -> None:
@@ -29,10 +29,10 @@
     request = stage.request("pay")
     for _ in range(4):
         stage.end(request, Outcome.FULL)
-    targets = [each.server for _, each in stage.sends(request)]
+    targets = stage.targets(request)
     assert sorted(targets) == names(5)
     stage.end(request, Outcome.FULL)
-    assert [each.request for each in stage.said(Reject)] == [request]
+    assert [action.request for action in stage.said(Reject)] == [request]
 
 
 def test_selection_uses_the_only_endpoint_left() -> None:
@@ -49,7 +49,7 @@
         request = stage.request()
         stage.wait(90 * MS if stage.target(request) == slow else 30 * MS)
         stage.end(request)
-    late = Counter(each.server for _, each in stage.sends()[500:])
+    late = Counter(stage.targets()[500:])
     assert late[slow] < 0.6 * sum(late.values()) / 12
 
 
@@ -64,7 +64,7 @@
     for _ in range(200):
         request = stage.request()
         stage.end(request)
-    first = Counter(each.server for _, each in stage.sends()[:40])
+    first = Counter(stage.targets()[:40])
     assert first[names(8)[0]] > 40 / 8
 
 
@@ -72,15 +72,15 @@
     stage = Stage()
     stage.servers(names(2))
     request = stage.request("pay", remaining_us=400 * MS)
-    hung = stage.target(request)
-    stage.wait(395 * MS)  # answered by then, and called off
+    silent = stage.target(request)
+    stage.wait(395 * MS)  # answered by then, and cancelled
     stage.end(request, Outcome.CANCELLED, answered=True)
     other = stage.request("pay")
-    assert stage.target(other) != hung
+    assert stage.target(other) != silent
     again = stage.request("pay")
     assert stage.target(again) in names(2)
     stage.wait(S)
-    assert stage.balancer._in_flight.at_endpoint(stage.balancer._endpoints.by_name[hung]) <= 1
+    assert stage.balancer._in_flight.at_endpoint(stage.balancer._endpoints.by_name[silent]) <= 1
 
 
 def test_selection_is_not_attracted_by_quick_errors() -> None:
@@ -95,22 +95,22 @@
         else:
             stage.wait(40 * MS)
             stage.end(request)
-    assert sum(1 for _, each in stage.sends() if each.server == bad) < 300 / 6
+    assert stage.targets().count(bad) < 300 / 6
 
 
 def zones() -> list[EndpointEntry]:
     return [EndpointEntry(name, "east" if index < 4 else "west") for index, name in enumerate(names(8))]
 
 
-def _crossings(stage: Stage, near_us: int, far_us: int) -> float:
+def _crossings(stage: Stage, local_us: int, remote_us: int) -> float:
     stage.servers(zones())
-    near = set(names(8)[:4])
+    local = set(names(8)[:4])
     for _ in range(600):
         request = stage.request()
-        stage.wait(near_us if stage.target(request) in near else far_us)
+        stage.wait(local_us if stage.target(request) in local else remote_us)
         stage.end(request)
-    late = stage.sends()[300:]
-    return sum(1 for _, each in late if each.server not in near) / len(late)
+    late = stage.targets()[300:]
+    return sum(server not in local for server in late) / len(late)
 
 
 def test_selection_prefers_the_own_zone_while_it_is_as_quick_and_crossing_has_a_cost() -> None:
@@ -127,9 +127,9 @@
     taken = 0
 
     def __iter__(self) -> Iterator[Endpoint]:
-        for each in super().__iter__():
+        for endpoint in super().__iter__():
             self.taken += 1
-            yield each
+            yield endpoint
 
 
 @pytest.mark.skipif(not balancer.__file__.endswith(".py"), reason="what is compiled can't be watched")
@@ -183,19 +183,19 @@
         stage.wait(5 * MS if target == bad else 40 * MS)
         errors += target == bad
         stage.end(request, Outcome.ERROR if target == bad and errors % 2 else Outcome.DELIVERED)
-    assert sum(1 for _, each in stage.sends()[400:] if each.server == bad) < 0.5 * 800 / 12
+    assert stage.targets()[400:].count(bad) < 0.5 * 800 / 12
 
 
 def test_subset_of_a_small_balancer_is_small_and_replaced_when_its_endpoints_drain() -> None:
     stage = Stage()
     stage.servers(names(60))
     serve_singly(stage, 200)
-    met = {each.server for _, each in stage.sends()}
+    met = set(stage.targets())
     assert 2 <= len(met) <= 8
     for gone in met:
         stage.drain(gone)
     serve_singly(stage, 50)
-    later = {each.server for _, each in stage.sends()[200:]}
+    later = set(stage.targets()[200:])
     assert later and not later & met
 
 
@@ -203,7 +203,7 @@
     stage = Stage()
     stage.servers(names(30))
     stage.serve(2_000, every_us=5 * MS, taking_us=250 * MS)
-    assert len({each.server for _, each in stage.sends()}) == 30
+    assert len(set(stage.targets())) == 30
 
 
 def test_subsets_of_small_balancers_differ() -> None:
@@ -212,7 +212,7 @@
         stage = Stage(seed=seed)
         stage.servers(names(60))
         serve_singly(stage, 20)
-        first |= {each.server for _, each in stage.sends()}
+        first |= set(stage.targets())
     assert len(first) > 25
 
 
@@ -236,7 +236,7 @@
 
 def _small_crossings(price: float, taking_us: int) -> float:
     """The part of a small balancer's requests that leaves its zone; one server in four is in it."""
-    far = 0
+    remote = 0
     for seed in range(6):
         stage = Stage(settings(costs=Costs(cross_zone=price)), seed=seed)
         stage.servers(
@@ -245,10 +245,10 @@
                 for index, name in enumerate(names(40))
             ]
         )
-        near = set(names(40)[::4])
+        local = set(names(40)[::4])
         serve_singly(stage, 150, taking_us)
-        far += sum(each.server not in near for _, each in stage.sends()[50:])
-    return far / (6 * 100)
+        remote += sum(server not in local for server in stage.targets()[50:])
+    return remote / (6 * 100)
 
 
 def test_subset_of_a_small_balancer_is_mostly_in_its_own_zone_where_crossing_has_a_cost() -> None:
@@ -272,10 +272,10 @@
         stage.wait(200 * MS)
         for kind in ("pay", "look"):
             request = stage.request(kind)
-            refused = kind == "pay" and stage.target(request) == shunning
-            tried += refused
+            rejected = kind == "pay" and stage.target(request) == shunning
+            tried += rejected
             used += kind == "look" and stage.target(request) == shunning
-            if refused:
+            if rejected:
                 stage.wait(10 * MS)
                 stage.end(request, Outcome.FULL)
             stage.wait(40 * MS)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -19,15 +19,15 @@
     stage.serve(300, every_us=10 * MS)
     warm_per_s = 100 / 6
     began = stage.now
-    cold = EndpointEntry("10.0.0.6:80", zone="east", started_at=began)
-    stage.servers([cold], EndpointListKind.CHANGES)
+    warming_up = EndpointEntry("10.0.0.6:80", zone="east", started_at=began)
+    stage.servers([warming_up], EndpointListKind.CHANGES)
     while stage.now < began + 10 * S:
         requests = [stage.request() for _ in range(burst)]
         stage.wait(every_us)
-        for each in requests:
-            if stage.sends(each):
-                stage.end(each)
-    times = [at for at, each in stage.sends() if each.server == "10.0.0.6:80" and at >= began]
+        for request in requests:
+            if stage.sends(request):
+                stage.end(request)
+    times = [at for at, attempt in stage.sends() if attempt.server == "10.0.0.6:80" and at >= began]
     for end in times:
         warmth = 0.2 + 0.8 * max(end - 2 * S - began, 0) / (10 * S)
         inside = sum(1 for at in times if end - 2 * S < at <= end)
@@ -36,40 +36,40 @@
 
 
 def test_warming_up_endpoint_gets_what_it_can_surely_bear() -> None:
-    # Guards against cold servers that stand idle while the warm ones drown in what is left to them.
+    # Guards against warming-up servers that stand idle while the warm ones are overloaded.
     stage = Stage()
     stage.servers(names(4))
     stage.serve(300, every_us=10 * MS, taking_us=100 * MS)
     began = stage.now - 2 * S
-    cold = EndpointEntry(names(4)[0], zone="east", started_at=began)
-    stage.servers([cold], EndpointListKind.CHANGES)
+    warming_up = EndpointEntry(names(4)[0], zone="east", started_at=began)
+    stage.servers([warming_up], EndpointListKind.CHANGES)
     before = len(stage.sends())
     stage.serve(200, every_us=10 * MS, taking_us=100 * MS)
-    sent = [each for _, each in stage.sends()[before:]]
-    got = sum(each.server == cold.server for each in sent)
-    warm = (len(sent) - got) / 3  # what a warm server served meanwhile
+    sent = [attempt for _, attempt in stage.sends()[before:]]
+    received = sum(attempt.server == warming_up.server for attempt in sent)
+    warm = (len(sent) - received) / 3  # what a warm server served meanwhile
     warmth = 0.2 + 0.8 * 3 / 10  # on average, at least
-    assert warm * warmth < got < 3 * warm * warmth
+    assert warm * warmth < received < 3 * warm * warmth
 
 
 def test_warming_up_endpoints_do_not_starve_while_the_warm_ones_are_overloaded() -> None:
     # A new balancer, or one whose warm servers are too late for all, has seen no warm server serve anything.
     stage = Stage()
     began = stage.now - 5 * S
-    warm, cold = names(4)[:2], names(4)[2:]
-    stage.servers([*warm, *(EndpointEntry(name, zone="east", started_at=began) for name in cold)])
-    asked: list[int] = []
+    warm, warming_up = names(4)[:2], names(4)[2:]
+    stage.servers([*warm, *(EndpointEntry(name, zone="east", started_at=began) for name in warming_up)])
+    requests: list[int] = []
     for _ in range(300):
         stage.wait(10 * MS)
-        asked.append(stage.request("pay", remaining_us=400 * MS))
-        for each in asked[-6:-5]:
-            if stage.sends(each) and stage.target(each) in cold:
-                stage.end(each)
-        for each in asked[-40:-39]:
-            if stage.sends(each) and stage.target(each) in warm:
-                stage.end(each, Outcome.TIMED_OUT, answered=False)
-    got = sum(each.server in cold for _, each in stage.sends())
-    assert got >= 5  # the window is nearly shut; without this they get none
+        requests.append(stage.request("pay", remaining_us=400 * MS))
+        for request in requests[-6:-5]:
+            if stage.sends(request) and stage.target(request) in warming_up:
+                stage.end(request)
+        for request in requests[-40:-39]:
+            if stage.sends(request) and stage.target(request) in warm:
+                stage.end(request, Outcome.TIMED_OUT, answered=False)
+    received = sum(server in warming_up for server in stage.targets())
+    assert received >= 5  # the window is nearly shut; without this they get none
 
 
 def test_warm_endpoint_has_no_budget() -> None:
@@ -77,7 +77,7 @@
     stage.servers(names(2))
     for _ in range(50):
         stage.request()
-    assert len({each.server for _, each in stage.sends()}) == 2
+    assert len(set(stage.targets())) == 2
 
 
 def test_small_balancers_send_to_a_warming_up_endpoint_at_different_times() -> None:
@@ -87,13 +87,15 @@
         stage.servers(names(2))
         stage.serve(20, every_us=200 * MS)
         began = stage.now
-        cold = [EndpointEntry(name, zone="east", started_at=began) for name in names(2)[:1]]
-        stage.servers(cold, EndpointListKind.CHANGES)
+        warming_up = [EndpointEntry(name, zone="east", started_at=began) for name in names(2)[:1]]
+        stage.servers(warming_up, EndpointListKind.CHANGES)
         while stage.now < began + 4 * S and not first[seed:]:
             stage.serve(1, every_us=200 * MS)
-            first += [at - began for at, each in stage.sends()[-1:] if each.server == cold[0].server]
+            first += [
+                at - began for at, attempt in stage.sends()[-1:] if attempt.server == warming_up[0].server
+            ]
         first += [] if first[seed:] else [4 * S]
-    early = sum(1 for each in first if each < 1 * S)
+    early = sum(1 for delay_us in first if delay_us < 1 * S)
     assert 3 < early < 80  # some within the first second, and by no means all
 
 
