--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -1,8 +1,9 @@
-"""Arbitrary legal sequences of events, judged from outside by the actions alone."""
+"""Arbitrary legal sequences of events, checked from outside by the actions alone."""
 
 from __future__ import annotations
 
-from dataclasses import replace
+from collections.abc import Sequence
+from dataclasses import dataclass, field, replace
 from typing import Any
 
 import pytest
@@ -13,8 +14,8 @@
 
 from balancer import Balancer
 from balancer.actions import CancelAttempt, CloseIdleConnections, Fail, Reject, SendAttempt, SetTimer
-from balancer.events import AttemptEnded as Ended
 from balancer.events import (
+    AttemptEnded,
     ClientDisconnected,
     EndpointEntry,
     EndpointListKind,
@@ -25,7 +26,7 @@
     RequestArrived,
     TimerFired,
 )
-from balancer.settings import Costs, Idempotency, IdempotencyScope
+from balancer.settings import Costs, Idempotency, IdempotencyScope, ServiceClass
 
 SERVERS = names(7)
 ZONES = ("east", "west")
@@ -38,173 +39,128 @@
 )
 
 
+@dataclass
+class SentAttempt:
+    """An attempt as its server and the endpoint list know it."""
+
+    entry: EndpointEntry  # as listed when it was sent
+    sent_at: int
+    outcome: Outcome | None = None  # None: pending
+
+    @property
+    def is_pending(self) -> bool:
+        return self.outcome is None
+
+
+@dataclass
+class ClientRequest:
+    """A request as its client knows it."""
+
+    service_class: ServiceClass
+    deadline: int
+    is_late: bool  # too late on arrival for a response before the deadline
+    attempts: list[SentAttempt] = field(default_factory=list)
+    is_over: bool = False
+
+
 class Referee:
-    """Keeps what a client, the servers and the list know, and checks every action against the rules."""
+    """Knows what a client, the servers and the endpoint list know, and checks every action by that."""
 
-    def __init__(self, second_copies: bool, attempts: int, rng_seed: int, strict: bool) -> None:
-        further = {"full_may_have_executed": True, "close_idle_within_us": CLOSE_WITHIN} if strict else {}
+    def __init__(self, may_hedge: bool, max_attempts: int, seed: int, is_strict: bool) -> None:
+        strict = {"full_may_have_executed": True, "close_idle_within_us": CLOSE_WITHIN}
         self.settings = settings(
             classes=CLASSES,
-            limits={"hedged_requests": second_copies, "max_attempts": attempts},
-            guarantees=further,
-            costs=Costs(cross_zone=0.03 if strict else 0.0),
+            limits={"hedged_requests": may_hedge, "max_attempts": max_attempts},
+            guarantees=strict if is_strict else {},
+            costs=Costs(cross_zone=0.03 if is_strict else 0.0),
         )
-        self.never_ran = [Outcome.CONNECT_FAILED, Outcome.NOT_SENT, *([] if strict else [Outcome.FULL])]
-        self.to_close: dict[str, int] = {}  # by when idle connections to a leaving server must be closed
-        self.balancer = Balancer(self.settings, rng_seed)
-        self.kinds = {each.name: each for each in self.settings.classes}
+        self.not_executed = [Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
+        if not is_strict:
+            self.not_executed.append(Outcome.FULL)
+        self.close_by: dict[str, int] = {}  # when idle connections to a draining endpoint must be closed
+        self.balancer = Balancer(self.settings, seed)
+        self.classes = {service_class.name: service_class for service_class in self.settings.classes}
         self.now = START
         self.timers: list[tuple[int, str]] = []
-        self.requests: dict[int, dict[str, Any]] = {}
+        self.requests: dict[int, ClientRequest] = {}
         self.listed: dict[str, EndpointEntry] = {}
-        self.next = 1
+        self.next_request = 1
 
-    def sums_hold(self) -> None:
-        """What is kept of zones' latency is the sum of their endpoints' own."""
-        endpoints = self.balancer._endpoints
-        zones = endpoints._zone_latency
-        if zones is None:
-            return
-        for is_local, total, count in (
-            (True, zones.local_sum, zones.local_count),
-            (False, zones.remote_sum, zones.remote_count),
-        ):
-            latencies = [
-                endpoint.relative_latency
-                for endpoint in endpoints.available
-                if endpoint.ejected_until is None and (endpoint.zone == self.settings.zone) == is_local
-            ]
-            assert [total, count] == pytest.approx([sum(latencies), len(latencies)])
+    # Events
 
     def play(self, event: Event) -> None:
         actions = self.balancer.handle(self.now, event)
-        self.sums_hold()
+        self.check_zone_latency()
         for action in actions:
             match action:
                 case SendAttempt():
-                    self.sent(action)
+                    self.check_attempt(action)
                 case Reject() | Fail():
-                    self.answered(action)
+                    self.check_final_response(action)
                 case CancelAttempt():
-                    assert action.attempt < len(self.requests[action.request]["attempts"])
+                    assert action.attempt < len(self.requests[action.request].attempts)
                 case CloseIdleConnections():
-                    self.to_close.pop(action.server, None)
+                    self.close_by.pop(action.server, None)
                 case SetTimer():
                     self.timers.append((self.now + action.delay_us, action.token))
                 case _:
                     pass
         self.check_counts()
 
-    def sent(self, action: SendAttempt) -> None:
-        request = self.requests[action.request]
-        kind = request["kind"]
-        assert not request["over"], "sent after the final answer"
-        assert self.now < request["deadline"], "sent after the deadline"
-        line = self.listed[action.server]
-        assert line.state is EndpointState.READY, "sent to a draining or gone server"
-        earlier = request["attempts"]
-        assert len(earlier) < self.settings.limits.max_attempts, "more attempts than allowed"
-        if not self.settings.limits.hedged_requests:
-            assert not any(each["pending"] for each in earlier), "two copies out at once"
-        maybe = [each for each in earlier if each["pending"] or each["outcome"] not in self.never_ran]
-        if maybe and kind.idempotency is Idempotency.NOT_IDEMPOTENT:
-            raise AssertionError("an unsafe request was sent again")
-        if maybe and kind.idempotency is Idempotency.WITH_KEY:
-            assert self.now < maybe[0]["at"] + kind.idempotency_window_us, "sent after servers forgot"
-            for each in maybe:
-                assert kind.idempotency_scope.value != "zone" or each["line"].zone == line.zone, (
-                    "left the zone"
-                )
-                assert kind.idempotency_scope.value != "cell" or each["line"].cell == line.cell, (
-                    "left the cell"
-                )
-        earlier.append(
-            {"server": action.server, "line": line, "at": self.now, "pending": True, "outcome": None}
+    def arrive(self, class_name: str, remaining_us: int) -> None:
+        number, self.next_request = self.next_request, self.next_request + 1
+        self.requests[number] = ClientRequest(
+            self.classes[class_name], self.now + remaining_us, is_late=remaining_us <= 2 * TICK
         )
-
-    def answered(self, action: Reject | Fail) -> None:
-        request = self.requests[action.request]
-        assert not request["over"], "two final answers"
-        assert self.now < request["deadline"] or request["late"], "answered after the deadline"
-        if isinstance(action, Reject) and request["kind"].idempotency is not Idempotency.IDEMPOTENT:
-            maybe = [
-                each
-                for each in request["attempts"]
-                if each["pending"] or each["outcome"] not in self.never_ran
-            ]
-            whole = (
-                request["kind"].idempotency is Idempotency.WITH_KEY
-                and request["kind"].idempotency_scope.value == "all"
-            )
-            assert not maybe or whole, "a refusal that may have run"
-        request["over"] = True
-
-    def check_counts(self) -> None:
-        out: dict[str, int] = dict.fromkeys(SERVERS, 0)
-        for request in self.requests.values():
-            for each in request["attempts"]:
-                out[each["server"]] += each["pending"]
-        for name, server in self.balancer._endpoints.by_name.items():
-            assert server.in_flight == out[name], "the count of requests in flight is off"
-
-    def arrive(self, name: str, remaining_us: int) -> None:
-        number, self.next = self.next, self.next + 1
-        self.requests[number] = {
-            "kind": self.kinds[name],
-            "deadline": self.now + remaining_us,
-            "late": remaining_us <= 2 * TICK,
-            "attempts": [],
-            "over": False,
-        }
-        self.play(RequestArrived(number, name, None, None, remaining_us))
+        self.play(RequestArrived(number, class_name, None, None, remaining_us))
 
     def end(self, choice: int, outcome: Outcome) -> None:
-        out = [
+        """End one of the pending attempts."""
+        pending = [
             (number, index)
             for number, request in self.requests.items()
-            for index, each in enumerate(request["attempts"])
-            if each["pending"]
+            for index, attempt in enumerate(request.attempts)
+            if attempt.is_pending
         ]
-        if out:
-            self.end_one(*out[choice % len(out)], outcome)
-
-    def end_one(self, number: int, index: int, outcome: Outcome) -> None:
+        if not pending:
+            return
+        number, index = pending[choice % len(pending)]
         request = self.requests[number]
-        each = request["attempts"][index]
-        each["pending"], each["outcome"] = False, outcome
+        attempt = request.attempts[index]
+        attempt.outcome = outcome
         if outcome is Outcome.DELIVERED:
-            request["over"] = True
-        self.used(each["server"])
-        self.play(Ended(number, index, each["server"], outcome, self.now - each["at"], request["over"]))
-
-    def used(self, server: str) -> None:
-        """Told of a drain or gone, or used since: what is idle there is to be closed."""
-        if (
-            self.settings.guarantees.close_idle_within_us
-            and self.listed[server].state is not EndpointState.READY
-        ):
-            self.to_close[server] = self.now + CLOSE_WITHIN
+            request.is_over = True
+        server = attempt.entry.server
+        self.note_use(server)
+        self.play(AttemptEnded(number, index, server, outcome, self.now - attempt.sent_at, request.is_over))
+
+    def note_use(self, server: str) -> None:
+        """A connection may be idle from now on, or its endpoint has changed its state."""
+        is_required = self.settings.guarantees.close_idle_within_us is not None
+        if is_required and self.listed[server].state is not EndpointState.READY:
+            self.close_by[server] = self.now + CLOSE_WITHIN
         else:
-            self.to_close.pop(server, None)
+            self.close_by.pop(server, None)
 
-    def leave(self, choice: int) -> None:
-        waiting = [number for number, request in self.requests.items() if not request["over"]]
+    def disconnect(self, choice: int) -> None:
+        """Disconnect the client of one of the open requests."""
+        waiting = [number for number, request in self.requests.items() if not request.is_over]
         if waiting:
             number = waiting[choice % len(waiting)]
-            self.requests[number]["over"] = True
+            self.requests[number].is_over = True
             self.play(ClientDisconnected(number))
 
-    def list(self, kind: EndpointListKind, lines: list[EndpointEntry]) -> None:
-        before = {name: line.state for name, line in self.listed.items()}
+    def receive_list(self, kind: EndpointListKind, entries: Sequence[EndpointEntry]) -> None:
+        before = {name: entry.state for name, entry in self.listed.items()}
         if kind is not EndpointListKind.CHANGES:
-            for line in self.listed.values():
-                line.state = EndpointState.GONE
-        for line in lines:
-            self.listed[line.server] = line
-        for name, line in self.listed.items():
-            if line.state is not before.get(name):
-                self.used(name)
-        self.play(EndpointListReceived(kind, lines, 1))
+            for entry in self.listed.values():
+                entry.state = EndpointState.GONE
+        for entry in entries:
+            self.listed[entry.server] = entry
+        for name, entry in self.listed.items():
+            if entry.state is not before.get(name):
+                self.note_use(name)
+        self.play(EndpointListReceived(kind, entries, 1))
 
     def wait(self, span_us: int) -> None:
         until = self.now + span_us
@@ -217,14 +173,84 @@
         self.now = until
         self.check_deadlines()
 
+    # Checks
+
+    def may_have_executed(self, request: ClientRequest) -> list[SentAttempt]:
+        return [attempt for attempt in request.attempts if attempt.outcome not in self.not_executed]
+
+    def check_attempt(self, action: SendAttempt) -> None:
+        request = self.requests[action.request]
+        assert not request.is_over, "sent after the final response"
+        assert self.now < request.deadline, "sent after the deadline"
+        entry = self.listed[action.server]
+        assert entry.state is EndpointState.READY, "sent to a draining or gone endpoint"
+        assert len(request.attempts) < self.settings.limits.max_attempts, "more attempts than allowed"
+        if not self.settings.limits.hedged_requests:
+            assert not any(attempt.is_pending for attempt in request.attempts), "two attempts at once"
+        self.check_retry(request, entry)
+        request.attempts.append(SentAttempt(entry, self.now))
+
+    def check_retry(self, request: ClientRequest, entry: EndpointEntry) -> None:
+        executed = self.may_have_executed(request)
+        service_class = request.service_class
+        if not executed or service_class.idempotency is Idempotency.IDEMPOTENT:
+            return
+        assert service_class.idempotency is Idempotency.WITH_KEY, "retried without being idempotent"
+        window_us = service_class.idempotency_window_us
+        assert self.now < executed[0].sent_at + window_us, "retried after servers forgot the key"
+        for attempt in executed:
+            if service_class.idempotency_scope is IdempotencyScope.ZONE:
+                assert attempt.entry.zone == entry.zone, "retried in another zone"
+            if service_class.idempotency_scope is IdempotencyScope.CELL:
+                assert attempt.entry.cell == entry.cell, "retried in another cell"
+
+    def check_final_response(self, action: Reject | Fail) -> None:
+        request = self.requests[action.request]
+        assert not request.is_over, "two final responses"
+        assert self.now < request.deadline or request.is_late, "answered after the deadline"
+        service_class = request.service_class
+        if isinstance(action, Reject) and service_class.idempotency is not Idempotency.IDEMPOTENT:
+            is_safe_anywhere = (
+                service_class.idempotency is Idempotency.WITH_KEY
+                and service_class.idempotency_scope is IdempotencyScope.ALL
+            )
+            assert is_safe_anywhere or not self.may_have_executed(request), "rejected, yet maybe executed"
+        request.is_over = True
+
     def check_deadlines(self) -> None:
-        for server, by in self.to_close.items():
+        for server, by in self.close_by.items():
             assert self.now <= by, f"idle connections to {server} are still open"
         for request in self.requests.values():
-            assert request["over"] or self.now < request["deadline"], "a request was left unanswered"
+            assert request.is_over or self.now < request.deadline, "a request was left unanswered"
+
+    def check_counts(self) -> None:
+        """The count of attempts in flight is right for every endpoint."""
+        in_flight = dict.fromkeys(SERVERS, 0)
+        for request in self.requests.values():
+            for attempt in request.attempts:
+                in_flight[attempt.entry.server] += attempt.is_pending
+        for name, endpoint in self.balancer._endpoints.by_name.items():
+            assert endpoint.in_flight == in_flight[name]
+
+    def check_zone_latency(self) -> None:
+        """The kept sums of the zones' latency are the sums of their endpoints' own."""
+        endpoints = self.balancer._endpoints
+        zones = endpoints._zone_latency
+        if zones is None:
+            return
+        for is_local, total, count in (
+            (True, zones.local_sum, zones.local_count),
+            (False, zones.remote_sum, zones.remote_count),
+        ):
+            latencies = [
+                endpoint.relative_latency
+                for endpoint in endpoints.available
+                if endpoint.ejected_until is None and (endpoint.zone == self.settings.zone) == is_local
+            ]
+            assert [total, count] == pytest.approx([sum(latencies), len(latencies)])
 
 
-lines = st.builds(
+entries = st.builds(
     EndpointEntry,
     server=st.sampled_from(SERVERS),
     zone=st.sampled_from(ZONES),
@@ -238,7 +264,7 @@
 )
 arrivals = st.tuples(
     st.just("arrive"),
-    st.sampled_from([each.name for each in CLASSES]),
+    st.sampled_from([service_class.name for service_class in CLASSES]),
     st.integers(1, 2_500).map(lambda ms: ms * MS),
 )
 steps = st.one_of(
@@ -247,12 +273,12 @@
     st.tuples(st.just("end"), st.integers(0, 50), st.sampled_from(list(Outcome))),
     st.tuples(st.just("end"), st.integers(0, 50), st.just(Outcome.DELIVERED)),
     st.tuples(st.just("end"), st.integers(0, 50), st.just(Outcome.FULL)),
-    st.tuples(st.just("leave"), st.integers(0, 50)),
+    st.tuples(st.just("disconnect"), st.integers(0, 50)),
     st.tuples(st.just("wait"), st.integers(1, 1_500).map(lambda ms: ms * MS)),
     st.tuples(
         st.just("list"),
         st.sampled_from([EndpointListKind.CHANGES, EndpointListKind.COMPLETE, EndpointListKind.FAILED]),
-        st.lists(lines, max_size=5, unique_by=lambda each: each.server),
+        st.lists(entries, max_size=5, unique_by=lambda entry: entry.server),
     ),
 )
 
@@ -265,25 +291,25 @@
     st.integers(0, 1_000),
     st.lists(steps, min_size=5, max_size=60),
 )
-def test_no_sequence_breaks_a_rule(
-    strict: bool, copies: bool, attempts: int, rng: int, script: list[Any]
+def test_no_sequence_of_events_breaks_a_rule(
+    is_strict: bool, may_hedge: bool, max_attempts: int, seed: int, script: list[Any]
 ) -> None:
-    referee = Referee(copies, attempts, rng, strict)
+    referee = Referee(may_hedge, max_attempts, seed, is_strict)
     ready = [EndpointEntry(name, "east", "box", index % 3) for index, name in enumerate(SERVERS)]
-    referee.list(EndpointListKind.CACHED, ready)
+    referee.receive_list(EndpointListKind.CACHED, ready)
     for step in script:
         match step:
             case ("arrive", name, remaining):
                 referee.arrive(name, remaining)
             case ("end", choice, outcome):
                 referee.end(choice, outcome)
-            case ("leave", choice):
-                referee.leave(choice)
+            case ("disconnect", choice):
+                referee.disconnect(choice)
             case ("wait", span):
                 referee.wait(span)
             case ("list", kind, changed):
                 if kind is EndpointListKind.FAILED:
                     referee.play(EndpointListReceived(kind))
                 else:
-                    referee.list(kind, changed)
+                    referee.receive_list(kind, changed)
     referee.wait(4 * S)
