--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -102,6 +102,7 @@
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
+        self._zone = context.settings.zone
         self.by_name: dict[str, Endpoint] = {}
         self.available: list[Endpoint] = []
         self.remote_fraction = 0.0  # of the available endpoints
@@ -128,7 +129,7 @@
         available.sort(key=lambda endpoint: endpoint.subset_position)
         self.available = available
         self._zone_latency = None
-        remote = sum(endpoint.zone != self._context.settings.zone for endpoint in available)
+        remote = sum(endpoint.zone != self._zone for endpoint in available)
         self.remote_fraction = remote / max(len(available), 1)
         mean_capacity = sum(endpoint.nominal_capacity for endpoint in available) / max(len(available), 1)
         for endpoint in available:
@@ -139,7 +140,7 @@
 
     def is_local(self, endpoint: Endpoint) -> bool:
         """Whether the endpoint is in the balancer's own zone."""
-        return endpoint.zone == self._context.settings.zone
+        return endpoint.zone == self._zone
 
     def forget_zone_latency(self) -> None:
         """Sum the zones' latency anew when it is asked for next: an endpoint was ejected or readmitted."""
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -29,7 +29,9 @@
         self._context = context
         self._endpoints = endpoints
         self._in_flight = in_flight
-        window_us = RATE_WINDOWS * context.settings.guarantees.overload_window_us
+        self._guarantees = context.settings.guarantees
+        self._duration_us = self._guarantees.slow_start_us
+        window_us = RATE_WINDOWS * self._guarantees.overload_window_us
         self._arrivals = DecayingRate(window_us)
         self._warm_responses = DecayingRate(window_us)
         self._first_attempts = DecayingRate(window_us)
@@ -66,19 +68,16 @@
     def is_warming_up(self, endpoint: Endpoint) -> bool:
         """Whether the endpoint may still be unable to bear its full share."""
         since = endpoint.slow_start_since
-        return (
-            since is not None and self._context.now < since + self._context.settings.guarantees.slow_start_us
-        )
+        return since is not None and self._context.now < since + self._duration_us
 
     def capacity_fraction(self, endpoint: Endpoint) -> float:
         """The least fraction of its capacity that the endpoint has by now."""
         since = endpoint.slow_start_since
         if since is None or not self.is_warming_up(endpoint):
             return 1.0
-        guarantees = self._context.settings.guarantees
-        initial = guarantees.slow_start_initial_capacity
+        initial = self._guarantees.slow_start_initial_capacity
         age_us = max(self._context.now - since, 0)
-        return initial + (1.0 - initial) * age_us / guarantees.slow_start_us
+        return initial + (1.0 - initial) * age_us / self._duration_us
 
     def has_budget(self, endpoint: Endpoint, relative_cost: float) -> bool:
         """Whether a request of this cost may be sent; always so for a warm endpoint.
@@ -88,7 +87,7 @@
         """
         if not self.is_warming_up(endpoint):
             return True
-        guarantees = self._context.settings.guarantees
+        guarantees = self._guarantees
         now = self._context.now
         capacity = self._estimate_warm_capacity()
         if self._mean_nominal_capacity > 0.0:
