--- a/balancer/attempt_timeouts.py
+++ b/balancer/attempt_timeouts.py
@@ -14,7 +14,7 @@
 from balancer.context import DecisionContext
 from balancer.endpoints import Endpoint
 from balancer.latency import LatencyEstimator
-from balancer.outlier_detection import OutlierDetector
+from balancer.outlier_detection import EjectionReason, OutlierDetector
 from balancer.requests import Attempt, Request
 from balancer.retry_policy import RetryPolicy
 from balancer.scheduler import Scheduler
@@ -116,7 +116,7 @@
             self._scheduler.schedule_attempt(due, request.request_id, attempt.index)
         elif endpoint.ejected_until is None and self._did_others_respond(attempt):
             if not self._connections.record_silence(attempt):
-                self._outliers.eject_silent(endpoint)
+                self._outliers.eject(endpoint, EjectionReason.SILENT)
         return endpoint.ejected_until is not None or attempt.is_blamed_on_idle_connection
 
     def _did_others_respond(self, attempt: Attempt) -> bool:
--- a/balancer/outlier_detection.py
+++ b/balancer/outlier_detection.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from enum import Enum, unique
+
 from balancer.actions import Log
 from balancer.connection_reuse import ConnectionReuse
 from balancer.context import DecisionContext
@@ -28,8 +30,25 @@
 TRIALS_PER_REQUEST = 0.1
 MAX_SAVED_TRIALS = 4.0
 
-SILENT = "silent"  # the reason of an ejection without an outcome
-FAILURES = (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST, Outcome.CONNECT_FAILED, Outcome.ERROR)
+
+@unique
+class EjectionReason(Enum):
+    """Why an endpoint was ejected, as the log says it."""
+
+    SILENT = "silent"
+    TIMED_OUT = "expired"
+    CONNECTION_LOST = "dropped"
+    CONNECT_FAILED = "dial_failed"
+    ERROR = "error"
+
+
+# Outcomes that count as failures of the endpoint.
+FAILURES = {
+    Outcome.TIMED_OUT: EjectionReason.TIMED_OUT,
+    Outcome.CONNECTION_LOST: EjectionReason.CONNECTION_LOST,
+    Outcome.CONNECT_FAILED: EjectionReason.CONNECT_FAILED,
+    Outcome.ERROR: EjectionReason.ERROR,
+}
 
 
 class OutlierDetector:
@@ -97,40 +116,38 @@
         endpoint.consecutive_failures += 1
         has_failed_often = endpoint.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
         if was_trial or (has_failed_often and endpoint.ejected_until is None):
-            self.eject(endpoint, outcome.value, MAX_EJECTED_FRACTION)
+            self.eject(endpoint, FAILURES[outcome])
             if was_trial and outcome is Outcome.CONNECT_FAILED:
                 # No process listens even after a wait: it died, and may be back before the list says so.
                 # Broken connections alone tell of the network, and must not make warm servers warm up.
                 self._slow_start.begin(endpoint, self._context.now)
 
-    def eject_silent(self, endpoint: Endpoint) -> None:
-        """Eject an endpoint that takes requests and answers none, while others do."""
-        self.eject(endpoint, SILENT, MAX_SILENT_FRACTION)
-
-    def eject(self, endpoint: Endpoint, reason: str, max_fraction: float) -> None:
+    def eject(self, endpoint: Endpoint, reason: EjectionReason) -> None:
         """Eject an endpoint, or prolong its ejection, unless too many others are ejected."""
         if endpoint.state is EndpointState.GONE or endpoint.is_excluded:
             return
         if endpoint.ejected_until is None:
-            if len(self._ejected) + 1 > max_fraction * self._count_considered(reason):
+            if len(self._ejected) + 1 > self._max_ejected(reason):
                 return
             self._ejected.append(endpoint)
             self._endpoints.forget_zone_latency()
             self._in_flight.record_ejection(endpoint)
-            self._context.actions.append(Log(f"ejected {endpoint.name}: {reason}"))
+            self._context.actions.append(Log(f"ejected {endpoint.name}: {reason.value}"))
         objectives = min(EJECTION_OBJECTIVES * 2**endpoint.ejections, MAX_EJECTION_OBJECTIVES)
         endpoint.ejections = min(endpoint.ejections + 1, MAX_EJECTIONS_IN_A_ROW)
         endpoint.ejected_until = self._context.time_after(objectives)
 
-    def _count_considered(self, reason: str) -> int:
-        """The endpoints of which a fraction may be ejected.
+    def _max_ejected(self, reason: EjectionReason) -> float:
+        """How many endpoints may be ejected at a time.
 
-        What can't be connected to makes way for others further on in the list; the slow are spared.
+        A fraction of the subset, since others would have to take over its load.  An endpoint that can't be
+        connected to makes way for others further on in the list, so there it is a fraction of the list.
         """
         available = len(self._endpoints.available)
-        if reason == Outcome.CONNECT_FAILED.value:
-            return available
-        return min(available, subset_size(self._in_flight.mean))
+        if reason is EjectionReason.CONNECT_FAILED:
+            return MAX_EJECTED_FRACTION * available
+        considered = min(available, subset_size(self._in_flight.mean))
+        return (MAX_SILENT_FRACTION if reason is EjectionReason.SILENT else MAX_EJECTED_FRACTION) * considered
 
     def release(self, endpoint: Endpoint) -> None:
         """End an ejection without a judgement: the endpoint left, or operators excluded it."""
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -4,6 +4,7 @@
 
 import importlib.util
 import subprocess
+import tomllib
 from pathlib import Path
 from types import ModuleType
 
@@ -12,13 +13,19 @@
 ROOT = Path(__file__).parent.parent
 
 
+def load_script() -> ModuleType:
+    """Import the build's script, which is in no package."""
+    spec = importlib.util.spec_from_file_location("native", ROOT / "deploy" / "native.py")
+    assert spec is not None and spec.loader is not None
+    module = importlib.util.module_from_spec(spec)
+    spec.loader.exec_module(module)
+    return module
+
+
 @pytest.fixture
 def native(tmp_path: Path) -> ModuleType:
     """The build's script, on a small tree of its own."""
-    found = importlib.util.spec_from_file_location("native", ROOT / "deploy" / "native.py")
-    assert found is not None and found.loader is not None
-    module = importlib.util.module_from_spec(found)
-    found.loader.exec_module(module)
+    module = load_script()
     for name in ("balancer", "sidecar"):
         (tmp_path / name).mkdir()
         (tmp_path / name / "one.py").write_text("VALUE = 1\n")
@@ -33,6 +40,15 @@
     return module
 
 
+def test_every_module_of_the_balancer_is_compiled_and_named_as_policy() -> None:
+    module = load_script()
+    not_policy = {"balancer/__init__.py", "balancer/simulator_adapter.py"}
+    modules = {f"balancer/{file.name}" for file in (ROOT / "balancer").glob("*.py")} - not_policy
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
+    assert {name for name in module.COMPILED if name.startswith("balancer/")} == modules
+    assert set(deploy["policy"]) == modules
+
+
 def compiled(native: ModuleType, monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Stand in for the compiler; give the contents of what it was called for."""
     calls: list[str] = []
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -5,7 +5,7 @@
 import re
 from pathlib import Path
 
-from balancer.outlier_detection import FAILURES, SILENT
+from balancer.outlier_detection import FAILURES, EjectionReason
 
 ROOT = Path(__file__).parent.parent
 MODULE = "".join(file.read_text(encoding="utf-8") for file in sorted((ROOT / "balancer").glob("*.py")))
@@ -18,8 +18,9 @@
     assert len(re.findall(r"Log\([^)]", MODULE)) == len(written)
     for word in written:
         assert f"`{word} SERVER" in page
-    for reason in (SILENT, *(outcome.value for outcome in FAILURES)):
-        assert f"`ejected S: {reason}`" in page
+    assert {reason.value for reason in EjectionReason} == {"silent", *(outcome.value for outcome in FAILURES)}
+    for reason in EjectionReason:
+        assert f"`ejected S: {reason.value}`" in page
 
 
 def test_every_line_of_the_sidecar_stands_on_the_on_call_page() -> None:
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -6,7 +6,7 @@
 
 from balancer.actions import Log, Reject
 from balancer.events import EndpointEntry, EndpointListKind, Outcome
-from balancer.outlier_detection import MAX_EJECTED_FRACTION
+from balancer.outlier_detection import EjectionReason
 
 
 def _with_one_silent(stage: Stage, rounds: int) -> tuple[str, list[int]]:
@@ -187,9 +187,7 @@
     stage.servers(names(60))
     lost = set(names(60)[::2])
     for name in sorted(lost):
-        stage.balancer._outliers.eject(
-            stage.balancer._endpoints.by_name[name], "dial_failed", MAX_EJECTED_FRACTION
-        )
+        stage.balancer._outliers.eject(stage.balancer._endpoints.by_name[name], EjectionReason.CONNECT_FAILED)
     stage.wait(20 * S)  # all have waited long enough
     assert _serve_among_dead(stage, lost, 100) <= 0.1 * 100 + 4
     _serve_among_dead(stage, set(), 100)  # they are back: a trial that is answered costs nothing
