--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -99,13 +99,22 @@
         endpoint.slow_start_budget_at = now
         return endpoint.slow_start_budget >= min(relative_cost, max_budget)
 
+    def _warm_endpoints(self) -> list[Endpoint]:
+        """The available endpoints that are not warming up; walks the complete list, so it computes little."""
+        warm_if_since = self._context.now - self._duration_us
+        return [
+            endpoint
+            for endpoint in self._endpoints.available
+            if endpoint.slow_start_since is None or endpoint.slow_start_since <= warm_if_since
+        ]
+
     def _estimate_warm_capacity(self) -> float:
         """What a warm server serves for this balancer; computed once for each clock time."""
         now = self._context.now
         if self._warm_capacity_at != now:
             self._warm_capacity_at = now
             available = self._endpoints.available
-            warm = [endpoint for endpoint in available if not self.is_warming_up(endpoint)]
+            warm = self._warm_endpoints()
             peers = warm or available  # ejected ones too: they served a part of what is counted
             served = self._warm_responses if warm else self._arrivals
             size = subset_size(self._in_flight.mean)
