--- a/fuzz/fuzz_codec.py
+++ b/fuzz/fuzz_codec.py
@@ -1,7 +1,7 @@
 """Coverage-guided fuzzing of the codec, with h11 as the oracle: `make fuzz`.
 
 The first byte of an input says whether the rest is a request or an answer and where it is cut.  What is found
-becomes a named case in `tests/test_http.py`, or a reason in `tests/oracle.py`.
+becomes a named case in `tests/test_http_codec.py`, or a reason in `tests/oracle.py`.
 """
 
 import sys
--- a/tests/test_closing.py
+++ b/tests/test_connection_closing.py
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("why", ["asked for", "http 1.0", "drained", "refused", "more beside it"])
-def test_bytes_that_cross_the_last_answer_do_not_cut_it(why: str) -> None:
+def test_bytes_that_cross_the_last_response_do_not_truncate_it(why: str) -> None:
     # Guards against a close over unread bytes: it resets the connection, and the answer goes with it.
     async def work() -> None:
         async def answer(heard: Heard) -> bytes:
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("why", ["drain", "evacuation", "at rest too long"])
-def test_a_request_that_crosses_the_end_of_a_resting_connection_is_not_sent_on(why: str) -> None:
+def test_request_that_crosses_close_of_idle_connection_is_not_forwarded(why: str) -> None:
     # Guards rule 1: what is read after the shutdown and sent on is lost; the client sends it again elsewhere.
     async def work() -> None:
         async with stage(OK) as scene:
@@ -119,7 +119,7 @@
     play(work)
 
 
-def test_a_client_that_never_hangs_up_is_let_go_in_time() -> None:
+def test_client_that_never_hangs_up_is_closed_in_time() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             raw = Raw(scene.sidecar.downstream.port)
@@ -139,7 +139,7 @@
     play(work)
 
 
-def test_a_slow_reader_gets_all_of_the_last_answer() -> None:
+def test_slow_reader_gets_the_complete_last_response() -> None:
     # Guards against a bounded time to hang up that would cut whoever is still reading.
     async def work() -> None:
         body = b"x" * 65_000
@@ -173,7 +173,7 @@
     play(work)
 
 
-def test_room_is_made_by_a_silent_connection_not_by_one_that_takes_its_answer() -> None:
+def test_room_is_made_by_silent_connection_not_by_one_that_takes_its_response() -> None:
     async def work() -> None:
         body = b"x" * 65_000
         limits = {"limits": {"sockets": 72}}
@@ -208,7 +208,7 @@
     play(work)
 
 
-def test_what_the_system_accepted_before_the_listener_closes_is_served() -> None:
+def test_connections_queued_before_listener_closes_are_served() -> None:
     # Guards rule 1 at SIGTERM: the end of a listening socket resets all that waits in its queue.
     async def work() -> None:
         async with stage(OK) as scene:
@@ -227,7 +227,7 @@
     play(work)
 
 
-def test_resting_and_silent_clients_are_let_go_while_another_is_owed_its_answer() -> None:
+def test_idle_and_silent_clients_are_closed_while_another_awaits_its_response() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -258,7 +258,7 @@
 
 
 @pytest.mark.parametrize("ends", [True, False])
-def test_a_body_that_is_half_here_at_a_drain_is_taken_if_it_ends_in_time(ends: bool) -> None:
+def test_partial_body_at_drain_is_accepted_if_it_ends_in_time(ends: bool) -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
@@ -281,7 +281,7 @@
     play(work)
 
 
-def test_a_half_close_and_a_full_close_alike_mean_that_the_client_has_gone() -> None:
+def test_half_close_counts_as_disconnect() -> None:
     # On the wire both are the same end; nothing is sent on for either.
     async def work() -> None:
         async with stage(None) as scene:
@@ -295,7 +295,7 @@
     play(work)
 
 
-def test_a_client_that_leaves_in_the_moment_of_its_answer_harms_nobody() -> None:
+def test_disconnect_at_the_moment_of_the_response_harms_nobody() -> None:
     async def work() -> None:
         faults: list[Any] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, what: faults.append(what))
@@ -316,7 +316,7 @@
     play(work)
 
 
-def test_floods_that_go_leave_legal_clients_served() -> None:
+def test_floods_that_disconnect_leave_other_clients_served() -> None:
     async def work() -> None:
         async with stage(OK, given={"limits": {"sockets": 180}}) as scene:
             for _ in range(5):
@@ -334,7 +334,7 @@
 
 
 @pytest.mark.parametrize("late", [b"HTTP/1.1 20", OK, b"\r\n"])
-def test_what_comes_on_a_resting_connection_to_a_server_is_no_answer(late: bytes) -> None:
+def test_bytes_on_idle_upstream_connection_are_no_response(late: bytes) -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
@@ -356,7 +356,7 @@
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nserX", 502),
     ],
 )
-def test_an_answer_that_is_reset_on_its_way_is_none(cut: bytes, status: int) -> None:
+def test_response_that_is_reset_is_not_forwarded(cut: bytes, status: int) -> None:
     async def work() -> None:
         async def reset(heard: Heard) -> None:
             heard.writer.write(cut)
@@ -397,7 +397,7 @@
 # The program, by signals
 
 
-def test_a_second_sigterm_and_a_sighup_during_the_drain_change_nothing(tmp_path: Path) -> None:
+def test_second_sigterm_and_sighup_during_shutdown_change_nothing(tmp_path: Path) -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -424,7 +424,7 @@
     play(work)
 
 
-def test_sigterm_before_ready_ends_with_0(tmp_path: Path) -> None:
+def test_sigterm_before_ready_exits_with_0(tmp_path: Path) -> None:
     async def work() -> None:
         agent = await ScriptedServer(None).start()  # pushes lists, and is silent: the start waits for it
         path = tmp_path / "config.json"
@@ -439,7 +439,7 @@
     play(work)
 
 
-def test_the_last_word_reaches_a_client_that_went_on_sending(tmp_path: Path) -> None:
+def test_last_response_reaches_client_that_goes_on_sending(tmp_path: Path) -> None:
     # Servers hang just at SIGTERM, and the client has sent more than is read.
     async def work() -> None:
         async def silent(heard: Heard) -> None:
@@ -456,7 +456,7 @@
     play(work)
 
 
-def test_a_server_error_and_a_drain_in_one_moment_are_one_answer() -> None:
+def test_server_error_and_drain_at_once_are_one_response() -> None:
     async def work() -> None:
         async def fail(heard: Heard) -> bytes:
             scene.sidecar.downstream.drain()
--- a/tests/test_frontend.py
+++ b/tests/test_downstream_requests.py
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize(
     ("kind", "body"), [("check", b""), ("amend", b'{"a":1}'), ("lodge", b"x" * 65_536)], ids=str
 )
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back(kind: str, body: bytes) -> None:
+def test_request_is_forwarded_unchanged_and_response_returned(kind: str, body: bytes) -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             answer = await scene.ask(kind, body=body, timeout="1.5", Request_Id="9b1f03aa5c7e2d41")
@@ -60,7 +60,7 @@
         request(Host="").replace(b"HTTP/1.1", b"HTTP/1.0"),
     ],
 )
-def test_bad_input_gets_400_and_reaches_no_server(raw: bytes) -> None:
+def test_invalid_request_gets_400_and_reaches_no_server(raw: bytes) -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
-def test_a_body_over_the_longest_gets_413(form: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_body_over_the_limit_gets_413(form: str, monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against a reset that takes the answer with it, when the client is still sending.
     monkeypatch.setattr(connection, "MAX_BODY_BYTES", 150_000)
 
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("form", ["length beside chunks", "chunks in HTTP/1.0"])
-def test_a_request_inside_a_body_of_two_lengths_reaches_no_server(form: str) -> None:
+def test_request_smuggled_by_two_lengths_reaches_no_server(form: str) -> None:
     # Guards against smuggling: by its chunks the body ends before the inner request, by its length after it.
     async def work() -> None:
         async with stage(OK) as scene:
@@ -110,7 +110,7 @@
     play(work)
 
 
-def test_what_came_in_one_piece_with_a_request_is_no_request() -> None:
+def test_pipelined_request_is_rejected() -> None:
     # Guards against bodies longer than their head says; clients send one request at a time.
     async def work() -> None:
         async with stage(OK) as scene:
@@ -123,7 +123,7 @@
     play(work)
 
 
-def test_what_comes_beside_an_open_request_is_no_request() -> None:
+def test_bytes_beside_a_pending_request_are_no_request() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -148,7 +148,7 @@
     play(work)
 
 
-def test_nothing_is_read_on_behind_a_request_that_was_refused_unread() -> None:
+def test_nothing_is_read_after_a_rejected_request() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
@@ -162,7 +162,7 @@
     play(work)
 
 
-def test_a_client_that_leaves_ends_the_attempt_and_the_sidecar_forgets_the_request() -> None:
+def test_disconnect_cancels_the_attempt_and_removes_the_request() -> None:
     async def work() -> None:
         async with stage(None) as scene:
             client = await scene.client()
@@ -175,7 +175,7 @@
     play(work)
 
 
-def test_no_work_is_done_for_a_client_that_left_before_its_request_was_read() -> None:
+def test_request_of_disconnected_client_is_not_forwarded() -> None:
     # Guards against collapse: a sidecar short of time would spend it on answers that nobody reads.
     async def work() -> None:
         async with stage(OK) as scene:
@@ -197,7 +197,7 @@
     play(work)
 
 
-def test_the_time_a_request_lay_unread_is_taken_from_its_client_s() -> None:
+def test_time_that_a_request_lay_unread_counts_against_its_deadline() -> None:
     # Guards against answers that come when the client has given up, after the event loop was held up.
     async def work() -> None:
         async with stage(OK) as scene:
@@ -211,7 +211,7 @@
     play(work)
 
 
-def test_more_than_max_open_is_refused_at_once() -> None:
+def test_request_over_max_open_requests_is_rejected_at_once() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -232,7 +232,7 @@
     play(work)
 
 
-def test_the_connection_longest_at_rest_makes_room_for_a_new_one() -> None:
+def test_longest_idle_connection_makes_room_for_a_new_one() -> None:
     # Guards against running out of descriptors: 64 leave room for a handful of clients.
     async def work() -> None:
         async with stage(OK, given={"limits": {"sockets": 64}}) as scene:
@@ -248,7 +248,7 @@
     play(work)
 
 
-def test_clients_get_at_most_a_third_of_the_descriptors_however_many_come() -> None:
+def test_clients_get_at_most_a_third_of_the_descriptors() -> None:
     # Guards against running out of descriptors: with none left, nothing is accepted or sent for a second.
     async def work() -> None:
         release = asyncio.Event()
@@ -274,7 +274,7 @@
     play(work)
 
 
-def test_a_rush_of_silent_connections_does_not_hold_the_descriptors() -> None:
+def test_rush_of_silent_connections_does_not_hold_the_descriptors() -> None:
     # They all wait to be accepted when the event loop runs next, as in a rush of clients that come back.
     async def work() -> None:
         async with stage(OK, given={"limits": {"sockets": 180}}) as scene:
@@ -293,7 +293,7 @@
     play(work)
 
 
-def test_a_client_cannot_have_the_host_or_the_ids_taken_off() -> None:
+def test_connection_header_does_not_remove_host_or_ids() -> None:
     # Guards against a request that can't be written to a server: its client would wait for the deadline.
     async def work() -> None:
         async with stage(OK) as scene:
@@ -306,7 +306,7 @@
     play(work)
 
 
-def test_requests_that_stall_half_sent_make_room_for_new_ones() -> None:
+def test_stalled_requests_make_room_for_new_ones() -> None:
     # Guards against clients that begin a body and never end it: each would hold its descriptor for good.
     async def work() -> None:
         async with stage(OK, given={"limits": {"sockets": 64}}) as scene:
@@ -327,7 +327,7 @@
     [b"", b"GET /api HT", request("check")[:-2], request("lodge", body=b"x" * 10)[:-1]],
     ids=["silent", "half a line", "half a head", "half a body"],
 )
-def test_a_client_that_sends_no_whole_request_is_let_go_in_time(sent: bytes) -> None:
+def test_client_with_incomplete_request_is_closed_in_time(sent: bytes) -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             downstream, now = scene.sidecar.downstream, asyncio.get_running_loop().time
@@ -350,7 +350,7 @@
     play(work)
 
 
-def test_a_client_that_begins_a_further_request_and_never_ends_it_is_let_go_in_time() -> None:
+def test_client_with_incomplete_second_request_is_closed_in_time() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             client, other = await scene.client(), await scene.client()
@@ -363,7 +363,7 @@
     play(work)
 
 
-def test_a_client_that_reads_no_answers_is_let_go_in_time() -> None:
+def test_client_that_reads_no_responses_is_closed_in_time() -> None:
     async def work() -> None:
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
         async with stage(large) as scene:
@@ -388,7 +388,7 @@
     play(work)
 
 
-def test_letting_go_of_idle_connections_spares_one_with_a_request_unread() -> None:
+def test_closing_idle_connections_spares_one_with_an_unread_request() -> None:
     # Guards against a reset that loses a request at the end of a drain, when nobody listens for a second try.
     async def work() -> None:
         async with stage(OK) as scene:
@@ -401,7 +401,7 @@
     play(work)
 
 
-def test_health_is_answered_here() -> None:
+def test_health_check_is_answered_by_the_sidecar() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
--- a/tests/test_crossings.py
+++ b/tests/test_event_races.py
@@ -228,7 +228,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_in_any_order_each_request_has_one_answer_and_nothing_is_left(
+def test_random_events_leave_one_response_per_request_and_no_resources(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     against = watch_the_guard(monkeypatch)
@@ -288,7 +288,7 @@
     assert against == []
 
 
-def test_every_state_of_a_connection_is_met_in_such_plays(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_random_events_reach_every_connection_state(monkeypatch: pytest.MonkeyPatch) -> None:
     """The plays above would prove little of a table of which they see a corner."""
     seen: set[tuple[str, str]] = set()
     plain = DownstreamConnection._enter
@@ -299,7 +299,7 @@
 
     monkeypatch.setattr(DownstreamConnection, "_enter", enter)
     for seed in (0, 1, 2):
-        test_in_any_order_each_request_has_one_answer_and_nothing_is_left(seed, monkeypatch)
+        test_random_events_leave_one_response_per_request_and_no_resources(seed, monkeypatch)
     wanted = {
         ("reading", "awaiting response"),
         ("awaiting response", "idle"),
--- a/tests/test_http.py
+++ b/tests/test_http_codec.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("rule", [each.name for each in HEAD_RULES])
-def test_each_rule_on_heads_has_its_case(rule: str) -> None:
+def test_head_rule_rejects_its_example(rule: str) -> None:
     raw, status = CASES[rule]
     assert refusal(raw) == (rule, status)
 
@@ -76,7 +76,7 @@
         (b"Host: y", 400),
     ],
 )
-def test_what_readers_may_frame_in_two_ways_is_refused(fields: bytes, status: int) -> None:
+def test_ambiguous_framing_is_rejected(fields: bytes, status: int) -> None:
     assert refusal(FRAMED % fields)[1] == status
 
 
@@ -96,11 +96,11 @@
         b"5\r\nhello\r\n0\r\nA\nB\r\n\r\n",
     ],
 )
-def test_broken_chunks_are_refused(body: bytes) -> None:
+def test_malformed_chunks_are_rejected(body: bytes) -> None:
     assert refusal(CHUNKED + body)[1] == 400
 
 
-def test_heads_are_bounded_in_length_and_lines_whole_or_in_pieces() -> None:
+def test_head_is_limited_in_length_and_number_of_fields() -> None:
     long = b"GET / HTTP/1.1\r\nHost: x\r\nA: " + b"a" * MAX_HEAD_BYTES
     assert refusal(long)[1] == 431
     assert refusal(long + b"\r\n\r\n")[1] == 431
@@ -111,7 +111,7 @@
 @pytest.mark.parametrize(
     "endless", [b"5;" + b"a" * 100, b"0\r\n" + b"A: b\r\n" * 20], ids=["an extension", "trailers"]
 )
-def test_what_is_no_body_is_bounded_in_a_body(endless: bytes) -> None:
+def test_chunk_framing_is_limited(endless: bytes) -> None:
     # Guards against a body that never ends and never grows: each of its bytes would cost time for nothing.
     reader = RequestReader()
     reader.receive(CHUNKED + endless)
@@ -124,7 +124,7 @@
             reader.receive(more)
 
 
-def test_small_chunks_are_no_abuse() -> None:
+def test_many_small_chunks_are_accepted() -> None:
     reader = RequestReader()
     reader.receive(CHUNKED + b"1\r\nx\r\n" * 50_000 + b"0\r\n\r\n")
     assert isinstance(reader.next_event(), RequestHead)
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize("tail", [b"\r", b"\n", b"\r\n", b"G", b"\r\n\r\n", b"GET / HTTP/1.1\r\n\r\n", b"\0"])
 @pytest.mark.parametrize("cut", range(-6, 1))
-def test_what_comes_behind_a_body_in_chunks_is_seen(tail: bytes, cut: int) -> None:
+def test_trailing_data_after_chunked_body_is_noticed(tail: bytes, cut: int) -> None:
     # Guards against smuggling: llhttp skips line ends between messages, and begins the next one unasked.
     whole = CHUNKED + b"1\r\nx\r\n0\r\n\r\n"
     at = len(whole) + cut
@@ -149,7 +149,7 @@
     assert reader.has_trailing_data
 
 
-def test_an_upgrade_is_a_proposal_that_changes_nothing() -> None:
+def test_offered_upgrade_is_ignored() -> None:
     reader = RequestReader()
     fields = b"Connection: upgrade\r\nUpgrade: h2c\r\nTransfer-Encoding: chunked"
     reader.receive(FRAMED % fields + b"1\r\nx\r\n0\r\n\r\n")
@@ -172,7 +172,7 @@
         (b"HTTP/1.1 103 Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", b"ok", True),
     ],
 )
-def test_answers_end_where_their_heads_say(raw: bytes, body: bytes, reusable: bool) -> None:
+def test_response_ends_where_its_head_says(raw: bytes, body: bytes, reusable: bool) -> None:
     reader = ResponseReader()
     reader.receive(raw)
     reader.receive_end()
@@ -194,14 +194,14 @@
     ],
     ids=["another protocol", "too many before the final one", "chunks in 1.0", "two lengths", "bare LF"],
 )
-def test_garbled_answers_are_refused(raw: bytes) -> None:
+def test_malformed_response_is_rejected(raw: bytes) -> None:
     reader = ResponseReader()
     reader.receive(raw)
     with pytest.raises(MalformedMessage):
         reader.next_event()
 
 
-def test_what_is_written_reads_back() -> None:
+def test_written_messages_read_back_unchanged() -> None:
     reader = RequestReader()
     reader.receive(request_head(b"POST", b"/a", [(b"host", b"x"), (b"transfer-encoding", b"chunked")]))
     reader.receive(chunk(b"one") + chunk(b"two") + b"0\r\n\r\n")
--- a/tests/test_http_oracle.py
+++ b/tests/test_http_oracle.py
@@ -126,18 +126,18 @@
 @settings(max_examples=1_200, deadline=None, derandomize=True, database=None)
 @given(message(REQUESTS))
 @example(b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n\r\n")
-def test_requests_are_taken_as_h11_takes_them_or_refused_for_a_reason(raw: bytes) -> None:
+def test_requests_are_read_as_by_h11_or_rejected_for_a_reason(raw: bytes) -> None:
     assert disagreement(raw, is_request=True) is None
 
 
 @settings(max_examples=1_200, deadline=None, derandomize=True, database=None)
 @given(message(ANSWERS))
-def test_answers_are_taken_as_h11_takes_them_or_refused_for_a_reason(raw: bytes) -> None:
+def test_responses_are_read_as_by_h11_or_rejected_for_a_reason(raw: bytes) -> None:
     assert disagreement(raw, is_request=False) is None
 
 
 @pytest.mark.parametrize("is_request", [True, False], ids=["requests", "answers"])
-def test_the_pieces_that_bytes_come_in_change_nothing(is_request: bool) -> None:
+def test_result_does_not_depend_on_how_bytes_are_cut(is_request: bool) -> None:
     # Guards against smuggling by pieces: what is refused whole must not pass when it is cut.
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
     @given(message(REQUESTS if is_request else ANSWERS))
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("reason", [*STRICTER.values(), *LOOSER.values()], ids=[*STRICTER, *LOOSER])
-def test_each_reason_to_differ_from_h11_has_a_case(reason: Reason) -> None:
+def test_reason_to_differ_from_h11_covers_its_example(reason: Reason) -> None:
     mine = ours([reason.case], is_request=reason.is_request)
     other = theirs(reason.case, is_request=reason.is_request)
     assert reason.covers(reason.case)
--- a/tests/test_late_dials.py
+++ b/tests/test_late_connections.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("why", ["drains", "leaves", "client gone"])
-def test_nothing_is_written_when_a_dial_comes_up_too_late(why: str) -> None:
+def test_nothing_is_written_when_connection_is_established_too_late(why: str) -> None:
     # Guards rule 3 (a drain that is told while the dial is under way) and an attempt that was called off.
     async def work() -> None:
         slow = SlowToAccept()
@@ -127,7 +127,7 @@
         slow.close()
 
 
-def test_a_call_whose_dial_comes_up_in_time_is_written() -> None:
+def test_attempt_whose_connection_is_established_in_time_is_written() -> None:
     async def work() -> None:
         async with late_pool() as pool:
             pool.call(send_by=2**59)
@@ -136,7 +136,7 @@
     play(work)
 
 
-def test_a_repeat_whose_window_ends_during_the_dial_is_never_written() -> None:
+def test_retry_whose_window_ends_while_connecting_is_never_written() -> None:
     # Guards rule 2: a keyed repeat was decided inside its window and written after it.
     async def work() -> None:
         async with late_pool() as pool:
@@ -151,7 +151,7 @@
 @pytest.mark.parametrize(
     ("send_by", "outcome"), [(2**61, Outcome.CONNECT_FAILED), (2**59, Outcome.NOT_SENT)], ids=str
 )
-def test_a_timer_that_fires_early_does_not_change_who_is_to_blame(send_by: int, outcome: Outcome) -> None:
+def test_early_timer_does_not_change_who_is_to_blame(send_by: int, outcome: Outcome) -> None:
     # Guards against a server to which no connection comes up and that is never ejected for it.
     async def work() -> None:
         async with late_pool() as pool:
@@ -161,7 +161,7 @@
     play(work)
 
 
-def test_a_window_that_is_over_at_the_draw_lets_nothing_be_dialled() -> None:
+def test_attempt_whose_window_is_over_does_not_connect() -> None:
     async def work() -> None:
         async with late_pool() as pool:
             pool.call(send_by=pool.clock.now())
@@ -171,7 +171,7 @@
     play(work)
 
 
-def test_a_server_that_changes_its_cell_during_the_dial_gets_no_repeat_drawn_by_it() -> None:
+def test_server_that_changes_its_cell_while_connecting_gets_no_retry() -> None:
     async def work() -> None:
         async with late_pool() as pool:
             pool.call()
@@ -182,7 +182,7 @@
     play(work)
 
 
-def test_a_call_that_nobody_waits_for_when_its_dial_comes_up_is_not_written() -> None:
+def test_unwanted_attempt_is_not_written_when_connected() -> None:
     async def work() -> None:
         async with late_pool() as pool:
             there = [True]
@@ -194,7 +194,7 @@
     play(work)
 
 
-def test_calling_off_what_was_not_written_proves_that_it_never_ran() -> None:
+def test_cancelled_attempt_that_was_not_written_is_reported_as_not_sent() -> None:
     async def work() -> None:
         async with late_pool() as pool:
             call = pool.call()
@@ -206,7 +206,7 @@
     play(work)
 
 
-def test_a_dial_that_outlives_its_call_counts_against_the_descriptors_and_is_kept() -> None:
+def test_connection_that_outlives_its_attempt_counts_against_the_limit_and_is_kept() -> None:
     async def work() -> None:
         async with late_pool(most=1) as pool:
             pool.upstream.withdraw(pool.call())
@@ -223,7 +223,7 @@
 
 @pytest.mark.parametrize("may_cancel", [True, False])
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_a_client_that_leaves_during_the_dial_is_not_sent_on(may_cancel: bool, how: str) -> None:
+def test_request_is_not_forwarded_after_disconnect_while_connecting(may_cancel: bool, how: str) -> None:
     # Guards the operators' 0.3 s.  Where attempts may not be cancelled, one that is not written is none yet.
     async def work() -> None:
         slow = SlowToAccept()
@@ -246,7 +246,7 @@
     play(work)
 
 
-def test_a_burst_of_clients_that_leave_during_dials_leaves_nothing_behind() -> None:
+def test_burst_of_disconnects_while_connecting_leaves_nothing_behind() -> None:
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
@@ -273,7 +273,7 @@
     play(work)
 
 
-def test_a_client_that_leaves_while_its_long_body_is_held_back_is_noticed() -> None:
+def test_disconnect_of_paused_upload_is_noticed() -> None:
     # Guards against a request that waits in a dial while its client, not read from, is long gone.
     async def work() -> None:
         slow = SlowToAccept()
@@ -294,7 +294,7 @@
     play(work)
 
 
-def test_an_outcome_that_ends_a_request_while_its_repeat_dials_calls_that_off() -> None:
+def test_response_cancels_hedged_request_that_is_connecting() -> None:
     # Guards rule 1 on the socket: the second copy would be written for a request that has its answer.
     async def work() -> None:
         slow = SlowToAccept()
@@ -330,7 +330,7 @@
     play(work)
 
 
-def test_a_keyed_repeat_whose_window_ends_while_it_dials_is_answered_as_failed() -> None:
+def test_retry_with_key_whose_window_ends_while_connecting_fails_the_request() -> None:
     # The whole way: first attempt broken, so it may have run; the repeat dials until the window is over.
     async def work() -> None:
         slow = SlowToAccept()
@@ -368,7 +368,7 @@
     play(work)
 
 
-def test_a_client_that_left_before_a_further_attempt_gets_none_though_its_end_is_unheard() -> None:
+def test_no_retry_is_written_after_disconnect_that_is_not_yet_seen() -> None:
     # Guards the operators' 0.1 s in a busy process: it hears a server's answer first, and draws again, on a
     # connection that is there.
     async def work() -> None:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -47,7 +47,7 @@
         (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, 200),
     ],
 )
-def test_what_an_unsafe_request_comes_to(answer: bytes, status: int) -> None:
+def test_non_idempotent_request_maps_response_to_status(answer: bytes, status: int) -> None:
     async def work() -> None:
         async with stage(answer) as scene:
             assert (await scene.ask("lodge")).status == status
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("part", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"])
-def test_an_unsafe_request_whose_connection_breaks_is_never_sent_again(part: bytes) -> None:
+def test_non_idempotent_request_is_not_retried_after_connection_loss(part: bytes) -> None:
     async def work() -> None:
         async def hang_up(heard: Heard) -> None:
             heard.writer.write(part)
@@ -71,7 +71,7 @@
     play(work)
 
 
-def test_an_answer_that_its_end_frames_is_whole() -> None:
+def test_response_delimited_by_close_is_complete() -> None:
     async def work() -> None:
         async def until_eof(heard: Heard) -> None:
             heard.writer.write(b"HTTP/1.1 200 OK\r\n\r\nserved")
@@ -83,7 +83,7 @@
     play(work)
 
 
-def test_a_refused_dial_never_ran_and_is_drawn_again() -> None:
+def test_refused_connection_is_retried_elsewhere() -> None:
     async def work() -> None:
         async with stage(OK, OK, OK) as scene:
             scene.servers[0].stop()
@@ -94,7 +94,7 @@
     play(work)
 
 
-def test_silence_ends_at_the_deadline_and_closes_the_connection() -> None:
+def test_silent_server_times_out_and_its_connection_is_closed() -> None:
     async def work() -> None:
         async with stage(None) as scene:
             assert (await scene.ask("lodge", timeout="0.3")).status == 504
@@ -104,7 +104,7 @@
     play(work)
 
 
-def test_a_connection_is_used_again_and_one_that_ended_is_not() -> None:
+def test_open_connection_is_reused_and_closed_one_is_not() -> None:
     # Guards against writing to a connection whose end lies unread in the socket: that may have run.
     async def work() -> None:
         async with stage(OK) as scene:
@@ -119,7 +119,7 @@
     play(work)
 
 
-def test_a_connection_near_its_idle_limit_is_not_used() -> None:
+def test_connection_near_its_idle_timeout_is_not_reused() -> None:
     async def work() -> None:
         async with stage(OK, bounds={"idleCloseUs": 50_000}) as scene:
             client = await scene.client()
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("change", ["addr", "started_ms"])
-def test_connections_to_what_was_there_before_go(change: str) -> None:
+def test_connections_to_replaced_server_are_closed(change: str) -> None:
     async def work() -> None:
         async with stage(OK, OK, listed=False) as scene:
             first, second = (each.address for each in scene.servers)
@@ -151,7 +151,7 @@
     play(work)
 
 
-def test_idle_connections_to_a_server_that_drains_are_closed() -> None:
+def test_idle_connections_to_draining_server_are_closed() -> None:
     # Guards against holding places, of which a server has few, where nothing new may go.
     async def work() -> None:
         async with stage(OK, bounds={"idleCloseUs": 600_000_000}) as scene:
@@ -163,7 +163,7 @@
     play(work)
 
 
-def test_no_more_connections_than_there_is_room_for() -> None:
+def test_connections_are_limited_and_surplus_attempts_not_sent() -> None:
     # Guards against running out of descriptors; what finds no room was not sent.
     async def work() -> None:
         release = asyncio.Event()
@@ -194,7 +194,7 @@
     play(work)
 
 
-def test_load_reports_reach_the_decisions_and_nonsense_does_not() -> None:
+def test_load_report_is_parsed_and_nonsense_ignored() -> None:
     from sidecar.upstream.http_exchange import Response
     from sidecar.upstream.load_report import parse_load_report
 
