--- /dev/null
+++ b/tests/test_flow_control.py
@@ -0,0 +1,51 @@
+"""Write buffer limits, and how far a client is behind in sending and reading."""
+
+from __future__ import annotations
+
+import pytest
+
+from sidecar.downstream.flow_control import ReceiveProgress, WriteProgress, write_buffer_limit
+
+
+@pytest.mark.parametrize(
+    ("memory_mb", "connections", "limit_bytes"),
+    [(64, 341, (64 << 20) // 8 // 341), (192, 10, 64 << 10), (1, 10_000, 4 << 10)],
+    ids=["equal part", "at most", "at least"],
+)
+def test_write_buffer_limit_is_an_equal_part_within_bounds(
+    memory_mb: int, connections: int, limit_bytes: int
+) -> None:
+    assert write_buffer_limit(memory_mb, connections) == limit_bytes
+
+
+def test_receive_progress_allows_time_for_the_body() -> None:
+    progress = ReceiveProgress(now=10.0)
+    assert progress.lag_s(12.0) == 2.0
+    progress.received_bytes = 58_000  # what the minimum rate brings in a second
+    assert progress.lag_s(12.0) == 1.0
+
+
+def test_receive_progress_does_not_count_pauses() -> None:
+    progress = ReceiveProgress(now=10.0)
+    progress.paused_since = 11.0
+    progress.resume(16.0)
+    assert progress.paused_since is None
+    assert progress.lag_s(18.0) == 3.0
+    progress.resume(20.0)  # not paused
+    assert progress.lag_s(20.0) == 5.0
+
+
+def test_write_progress_is_stalled_while_nothing_is_taken() -> None:
+    progress = WriteProgress()
+    assert progress.stalled_s(1_000, now=5.0) == 0.0
+    assert progress.stalled_s(1_000, now=7.0) == 2.0
+    assert progress.stalled_s(1_500, now=8.0) == 3.0  # more was written, and nothing taken
+
+
+def test_write_progress_restarts_when_some_is_taken() -> None:
+    progress = WriteProgress()
+    progress.stalled_s(1_000, now=5.0)
+    assert progress.stalled_s(999, now=7.0) == 0.0
+    assert progress.stalled_s(999, now=8.0) == 1.0
+    progress.restart()
+    assert progress.stalled_s(999, now=9.0) == 0.0
