--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -1,7 +1,7 @@
-"""Any order of what may happen round a sidecar, over real sockets: requests, ends, resets, lists, SIGTERM.
+"""Random sequences of requests, disconnects, resets, endpoint lists and shutdown, over real sockets.
 
-Each play is drawn from its seed; the order in which the system hands events on is not, and needs not be: what
-is checked holds in any order.
+Each sequence is drawn from its seed.  The order in which the system delivers events is not, and need not be:
+what is checked holds in any order.
 """
 
 from __future__ import annotations
@@ -24,187 +24,197 @@
 
 STEPS = 120
 KINDS = ("check", "amend", "lodge")
-CUT = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nser"
-ENDLESS = b"HTTP/1.1 200 OK\r\n\r\nser"
-SPOILT = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+TRUNCATED = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nser"
+UNFRAMED = b"HTTP/1.1 200 OK\r\n\r\nser"
+AMBIGUOUS = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
 INTERIM = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 @dataclass
-class Asker:
-    """A client on one connection: what it sent, and what came back until the end."""
+class RandomClient:
+    """A client on one connection, and all that it has received."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    sent: int = 0  # requests, whole
-    rest: bytes = b""  # of one that is half sent
-    is_legal: bool = True  # it sent no more than one request at a time, whole, and stays
-    has_ended: bool = False  # its sending, at least
-    got: bytes = b""
+    sent: int = 0  # complete requests
+    unsent: bytes = b""  # the rest of a partial request
+    is_well_behaved: bool = True  # it sends complete requests, one at a time, and stays
+    has_closed_sending: bool = False
+    received: bytes = b""
     reading: asyncio.Task[None] | None = None
 
     def send(self, data: bytes) -> None:
         transport = self.writer.transport
-        if not transport.is_closing() and not self.has_ended:
+        if not transport.is_closing() and not self.has_closed_sending:
             self.writer.write(data)
 
     async def read(self) -> None:
         try:
             while piece := await self.reader.read(65_536):
-                self.got += piece
+                self.received += piece
         except OSError:
             pass
 
     @property
-    def answers(self) -> int:
-        return self.got.count(b"HTTP/1.1 ")
+    def responses(self) -> int:
+        return self.received.count(b"HTTP/1.1 ")
 
     @property
     def is_idle(self) -> bool:
         """Whether it may ask again on its connection, as far as it knows."""
         is_open = (
-            self.reading is not None and not self.reading.done() and b"connection: close" not in self.got
+            self.reading is not None and not self.reading.done() and b"connection: close" not in self.received
         )
-        return is_open and self.is_legal and self.answers == self.sent and not self.rest
+        return is_open and self.is_well_behaved and self.responses == self.sent and not self.unsent
 
 
 @dataclass
-class Play:
-    """One play: a stage, its clients, and servers that answer when the play says so."""
+class RandomEvents:
+    """The clients and servers of one stage; servers respond when a random event says so."""
 
     scene: Stage
-    chance: random.Random
-    askers: list[Asker] = field(default_factory=list)
-    held: list[tuple[Heard, asyncio.Future[bytes | None]]] = field(default_factory=list)
-    runs: Counter[str] = field(default_factory=Counter)  # by request id, of those that may not run twice
+    rng: random.Random
+    clients: list[RandomClient] = field(default_factory=list)
+    unanswered: list[tuple[Heard, asyncio.Future[bytes | None]]] = field(default_factory=list)
+    # By request ID, of requests that may not run twice.
+    executions: Counter[str] = field(default_factory=Counter)
     states: dict[str, str] = field(default_factory=dict)
     is_over: bool = False
 
     async def serve(self, heard: Heard) -> bytes | None:
         if heard.headers.get("request-class") == "lodge":
-            self.runs[heard.headers["request-id"]] += 1
+            self.executions[heard.headers["request-id"]] += 1
         if self.is_over:
             return OK
         answer: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
-        self.held.append((heard, answer))
+        self.unanswered.append((heard, answer))
         return await answer
 
     async def step(self) -> None:
-        act = self.chance.choice(
-            [self.ask, self.ask, self.ask_half, self.go_on, self.leave, self.interrupt]
+        act = self.rng.choice(
+            [
+                self.send_request,
+                self.send_request,
+                self.send_partial_request,
+                self.complete_request,
+                self.disconnect,
+                self.send_unexpected_bytes,
+            ]
             + [self.answer] * 4
-            + [self.tell, self.exclude, self.hurry, self.pause, self.pause]
+            + [self.update_list, self.exclude, self.pass_time, self.pause, self.pause]
         )
         await act()
 
-    async def ask(self) -> None:
-        idle = [each for each in self.askers if each.is_idle]
-        if idle and self.chance.random() < 0.5:
-            asker = self.chance.choice(idle)
+    async def send_request(self) -> None:
+        idle = [each for each in self.clients if each.is_idle]
+        if idle and self.rng.random() < 0.5:
+            client = self.rng.choice(idle)
         else:
-            asker = Asker(*await asyncio.open_connection(HOST, self.scene.sidecar.downstream.port))
-            asker.reading = asyncio.get_running_loop().create_task(asker.read())
-            self.askers.append(asker)
-        asker.send(self.worded())
-        asker.sent += 1
-
-    def worded(self) -> bytes:
-        kind = self.chance.choice(KINDS)
-        timeout = self.chance.choice(["0.05", "0.3", "5.0"])
-        further: dict[str, str] = {"Connection": "close"} if self.chance.random() < 0.2 else {}
-        body = b"" if kind == "check" else b"x" * self.chance.choice([0, 7, 60_000])
+            client = RandomClient(*await asyncio.open_connection(HOST, self.scene.sidecar.downstream.port))
+            client.reading = asyncio.get_running_loop().create_task(client.read())
+            self.clients.append(client)
+        client.send(self.random_request())
+        client.sent += 1
+
+    def random_request(self) -> bytes:
+        kind = self.rng.choice(KINDS)
+        timeout = self.rng.choice(["0.05", "0.3", "5.0"])
+        further: dict[str, str] = {"Connection": "close"} if self.rng.random() < 0.2 else {}
+        body = b"" if kind == "check" else b"x" * self.rng.choice([0, 7, 60_000])
         return request(kind, timeout=timeout, body=body, **further)
 
-    async def ask_half(self) -> None:
-        asker = Asker(*await asyncio.open_connection(HOST, self.scene.sidecar.downstream.port))
-        asker.reading = asyncio.get_running_loop().create_task(asker.read())
-        self.askers.append(asker)
-        whole = self.worded()
-        cut = self.chance.randrange(1, len(whole))
-        asker.send(whole[:cut])
-        asker.rest = whole[cut:]
-
-    async def go_on(self) -> None:
-        for asker in self.askers:
-            if asker.rest:
-                asker.send(asker.rest)
-                asker.rest = b""
-                asker.sent += 1
+    async def send_partial_request(self) -> None:
+        client = RandomClient(*await asyncio.open_connection(HOST, self.scene.sidecar.downstream.port))
+        client.reading = asyncio.get_running_loop().create_task(client.read())
+        self.clients.append(client)
+        whole = self.random_request()
+        cut = self.rng.randrange(1, len(whole))
+        client.send(whole[:cut])
+        client.unsent = whole[cut:]
+
+    async def complete_request(self) -> None:
+        for client in self.clients:
+            if client.unsent:
+                client.send(client.unsent)
+                client.unsent = b""
+                client.sent += 1
                 return
 
-    async def leave(self) -> None:
-        if self.askers:
-            asker = self.chance.choice(self.askers)
-            asker.is_legal = False
-            how = self.chance.choice(["end", "reset", "half"])
+    async def disconnect(self) -> None:
+        if self.clients:
+            client = self.rng.choice(self.clients)
+            client.is_well_behaved = False
+            how = self.rng.choice(["end", "reset", "half"])
             if how == "reset":
-                asker.writer.transport.abort()
-            elif how == "half" and not asker.writer.is_closing() and not asker.has_ended:
-                asker.has_ended = True
-                asker.writer.write_eof()
+                client.writer.transport.abort()
+            elif how == "half" and not client.writer.is_closing() and not client.has_closed_sending:
+                client.has_closed_sending = True
+                client.writer.write_eof()
             else:
-                asker.writer.close()
+                client.writer.close()
 
-    async def interrupt(self) -> None:
+    async def send_unexpected_bytes(self) -> None:
         """More than one request at a time, or nonsense."""
-        if self.askers:
-            asker = self.chance.choice(self.askers)
-            asker.is_legal = False
-            asker.send(self.chance.choice([b"x", self.worded(), b"\r\n\r\n"]))
+        if self.clients:
+            client = self.rng.choice(self.clients)
+            client.is_well_behaved = False
+            client.send(self.rng.choice([b"x", self.random_request(), b"\r\n\r\n"]))
 
     async def answer(self) -> None:
-        if not self.held:
+        if not self.unanswered:
             return
-        heard, answer = self.held.pop(self.chance.randrange(len(self.held)))
+        heard, answer = self.unanswered.pop(self.rng.randrange(len(self.unanswered)))
         if answer.done():
             return
-        how = self.chance.choice([OK] * 6 + [FULL, ERROR, CUT, ENDLESS, SPOILT, INTERIM + OK, OK + OK, b""])
+        how = self.rng.choice(
+            [OK] * 6 + [FULL, ERROR, TRUNCATED, UNFRAMED, AMBIGUOUS, INTERIM + OK, OK + OK, b""]
+        )
         if how == FULL:
-            self.runs[heard.headers["request-id"]] -= 1  # it says that it never ran
+            self.executions[heard.headers["request-id"]] -= 1  # it says that it never ran
         answer.set_result(how)
-        if how in (CUT, ENDLESS, b""):
+        if how in (TRUNCATED, UNFRAMED, b""):
             await asyncio.sleep(0)
-            if self.chance.random() < 0.5:
+            if self.rng.random() < 0.5:
                 heard.writer.transport.abort()
             else:
                 heard.writer.close()
-        elif how == OK and self.chance.random() < 0.1:
-            asyncio.get_running_loop().call_later(0.003, interrupt, heard.writer)
+        elif how == OK and self.rng.random() < 0.1:
+            asyncio.get_running_loop().call_later(0.003, send_partial_status_line, heard.writer)
 
-    async def tell(self) -> None:
-        name = f"s-{self.chance.randrange(len(self.scene.servers))}"
-        state = self.chance.choice(["active", "active", "leaving", "left"])
+    async def update_list(self) -> None:
+        name = f"s-{self.rng.randrange(len(self.scene.servers))}"
+        state = self.rng.choice(["active", "active", "leaving", "left"])
         self.states[name] = state
         address = self.scene.servers[int(name[2:])].address
-        self.scene.discovery.tell(line(name, address, state=state, cell=self.chance.randrange(2)))
+        self.scene.discovery.tell(line(name, address, state=state, cell=self.rng.randrange(2)))
 
     async def exclude(self) -> None:
-        name = f"s-{self.chance.randrange(len(self.scene.servers))}"
-        if self.chance.random() < 0.4:
+        name = f"s-{self.rng.randrange(len(self.scene.servers))}"
+        if self.rng.random() < 0.4:
             self.scene.sidecar.administration.exclude(name)
         else:
             self.scene.sidecar.administration.include(name)
 
-    async def hurry(self) -> None:
+    async def pass_time(self) -> None:
         """Those whose time is up by now go."""
         downstream = self.scene.sidecar.downstream
-        downstream.close_overdue(asyncio.get_running_loop().time() + self.chance.choice([0.0, 1.0]))
+        downstream.close_overdue(asyncio.get_running_loop().time() + self.rng.choice([0.0, 1.0]))
 
     async def pause(self) -> None:
-        if self.chance.random() < 0.2:
+        if self.rng.random() < 0.2:
             await asyncio.sleep(0.01)
-        for _ in range(self.chance.randrange(6)):
+        for _ in range(self.rng.randrange(6)):
             await asyncio.sleep(0)
 
 
-def interrupt(writer: asyncio.StreamWriter) -> None:
+def send_partial_status_line(writer: asyncio.StreamWriter) -> None:
     """Half a status line on a connection that is answered."""
     if not writer.transport.is_closing():
         writer.write(b"HTTP/1.1 20")
 
 
 def watch_the_guard(monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Note what is written against a limit that its call carries, or to a server that is not wanted."""
+    """Record what is written after a limit of its attempt, or to a server that is draining or excluded."""
     faults: list[str] = []
     plain = Upstream._write
 
@@ -231,53 +241,57 @@
 def test_random_events_leave_one_response_per_request_and_no_resources(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    against = watch_the_guard(monkeypatch)
-    chance = random.Random(seed)
+    faults = watch_the_guard(monkeypatch)
+    rng = random.Random(seed)
     bounds = {
-        "mayCancel": chance.random() < 0.5,
-        "secondCopies": chance.random() < 0.5,
-        "sendCap": chance.choice([1, 2, 4]),
+        "mayCancel": rng.random() < 0.5,
+        "secondCopies": rng.random() < 0.5,
+        "sendCap": rng.choice([1, 2, 4]),
         "dialTimeoutUs": 200_000,
     }
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
         internal: list[dict[str, Any]] = []
-        loop.set_exception_handler(lambda _, what: internal.append(what))
+        loop.set_exception_handler(lambda _, context: internal.append(context))
         gc.collect()
         before = sockets()
         async with stage(OK, OK, OK, bounds=bounds, console=seed % 2 == 0) as scene:
             await until(lambda: len(scene.discovery.heard) >= 2)
-            here = Play(scene, chance)
+            events = RandomEvents(scene, rng)
             for server in scene.servers:
-                server.script = here.serve
+                server.script = events.serve
             for _ in range(STEPS):
-                await here.step()
+                await events.step()
                 assert scene.sidecar.unanswered_requests >= 0
                 assert scene.sidecar.downstream.open_connections <= 340
-            owed = {id(each): each.sent for each in here.askers if each.is_legal}
+            owed = {id(each): each.sent for each in events.clients if each.is_well_behaved}
             draining = loop.create_task(scene.sidecar.shut_down())
             while not draining.done():
-                await here.chance.choice([here.answer, here.go_on, here.pause])()
+                await events.rng.choice([events.answer, events.complete_request, events.pause])()
                 await asyncio.sleep(0.001)
-            here.is_over = True
+            events.is_over = True
             await draining
-            for asker in here.askers:
-                asker.writer.close()
-                assert asker.reading is not None
-                await asker.reading
+            for client in events.clients:
+                client.writer.close()
+                assert client.reading is not None
+                await client.reading
             await until(lambda: scene.sidecar.downstream.is_empty)
             await until(lambda: scene.sidecar.open_requests == 0)
-            for asker in here.askers:
-                assert asker.answers <= asker.sent + (not asker.is_legal) + bool(asker.rest), asker.got
-                assert not asker.is_legal or asker.answers >= owed.get(id(asker), 0), asker.got
+            for client in events.clients:
+                assert client.responses <= client.sent + (not client.is_well_behaved) + bool(client.unsent), (
+                    client.received
+                )
+                assert not client.is_well_behaved or client.responses >= owed.get(id(client), 0), (
+                    client.received
+                )
             assert scene.sidecar.unanswered_requests == 0
-            assert not [each for each, count in here.runs.items() if count > 1]
+            assert not [each for each, count in events.executions.items() if count > 1]
             pool = scene.sidecar._upstream._pool
             await until(lambda: not pool._endpoint_of and not pool._tasks)
             await until(lambda: not scene.sidecar._discovery._tasks)
             assert not [each for each in scene.log if "internal" in each]
-            for _, answer in here.held:
+            for _, answer in events.unanswered:
                 answer.cancel()
         await until(lambda: not [each for each in asyncio.all_tasks() if "/sidecar/" in repr(each)])
         gc.collect()
@@ -285,11 +299,11 @@
         assert not [each for each in internal if "sidecar" in repr(each) or "protocol." in each["message"]]
 
     play(work)
-    assert against == []
+    assert faults == []
 
 
 def test_random_events_reach_every_connection_state(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The plays above would prove little of a table of which they see a corner."""
+    """The test above would prove little if it met a few of the states only."""
     seen: set[tuple[str, str]] = set()
     plain = DownstreamConnection._enter
 
