--- a/sidecar/__init__.py
+++ b/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""Sidecar: the sidecar that puts balancer's decisions on real sockets."""
+"""The proxy process: executes the decisions of the balancer on real sockets."""
--- a/sidecar/discovery/__init__.py
+++ b/sidecar/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list: reading it, its versions, polling and watching."""
+"""Service discovery: endpoint lists and their versions, polling and watching."""
