--- a/tests/test_members.py
+++ b/tests/test_cluster_membership.py
@@ -19,8 +19,8 @@
 
 
 @dataclass
-class Copy:
-    """One copy's part: its members, what it logged and what its decisions were told."""
+class Replica:
+    """One process: its membership, what it logged and which sizes it reported."""
 
     members: ClusterMembership
     peers: Peers
@@ -32,8 +32,8 @@
         return None if figures is None else figures[name]
 
 
-async def copies(addresses: tuple[Address, ...], count: int) -> list[Copy]:
-    out: list[Copy] = []
+async def replicas(addresses: tuple[Address, ...], count: int) -> list[Replica]:
+    out: list[Replica] = []
 
     def receive(me: int, sender: int, payload: bytes) -> None:
         out[me].members.datagram_received(sender, payload)
@@ -43,16 +43,16 @@
         lines: list[str] = []
         sizes: list[ClusterSize] = []
         members = ClusterMembership(me, "0", me, Clock(), peers, lines.append, sizes.append)
-        out.append(Copy(members, peers, lines, sizes))
+        out.append(Replica(members, peers, lines, sizes))
         await peers.listen(addresses[me])
     for each in out:
         each.members.configure(QUICK)
     return out
 
 
-def test_three_see_each_other_one_leaves_and_all_are_told() -> None:
+def test_members_see_each_other_and_one_that_leaves() -> None:
     async def work() -> None:
-        one, two, three = await copies(free_for_datagrams(3), 3)
+        one, two, three = await replicas(free_for_datagrams(3), 3)
         everybody = (one, two, three)
         await until(lambda: all(each.figure("present") == 3 for each in everybody))
         three.members.leave()
@@ -68,9 +68,9 @@
     play(work)
 
 
-def test_switched_off_the_decisions_go_by_what_is_configured_again() -> None:
+def test_switched_off_reports_the_configured_size() -> None:
     async def work() -> None:
-        one, two = await copies(free_for_datagrams(2), 2)
+        one, two = await replicas(free_for_datagrams(2), 2)
         await until(lambda: one.figure("present") == 2)
         two.members.leave()
         await until(lambda: one.sizes[-1].at_most == 1)
@@ -83,9 +83,9 @@
     play(work)
 
 
-def test_decisions_that_are_informed_again_hear_the_number_at_once() -> None:
+def test_informing_again_reports_the_size_at_once() -> None:
     async def work() -> None:
-        one, two = await copies(free_for_datagrams(2), 2)
+        one, two = await replicas(free_for_datagrams(2), 2)
         await until(lambda: one.figure("present") == 2)
         two.members.leave()
         await until(lambda: one.sizes[-1].at_most == 1)
@@ -100,10 +100,10 @@
     play(work)
 
 
-def test_peers_may_change_while_it_runs() -> None:
+def test_reconfigured_peers_change_the_cluster_size() -> None:
     async def work() -> None:
         addresses = free_for_datagrams(3)
-        one, two = await copies(addresses[:2], 2)
+        one, two = await replicas(addresses[:2], 2)
         await until(lambda: one.figure("present") == 2)
         for each in (one, two):
             each.peers.set_addresses(addresses, None)
@@ -116,10 +116,10 @@
     play(work)
 
 
-def test_a_datagram_that_is_none_of_the_tiers_is_counted_by_its_reason() -> None:
+def test_invalid_datagrams_are_counted_by_reason() -> None:
     async def work() -> None:
         addresses = free_for_datagrams(2)
-        (one,) = await copies(addresses, 1)
+        (one,) = await replicas(addresses, 1)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"hello", addresses[0])
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
--- a/tests/test_members_real.py
+++ b/tests/test_cluster_membership_processes.py
@@ -34,7 +34,7 @@
     return base.replace("count = 1", "count = 4").replace("count = 2", f"count = {count}\n{more}{QUICK}")
 
 
-def test_seven_copies_cut_killed_paused_and_restarted_agree_in_the_end(tmp_path: Path) -> None:
+def test_partitioned_killed_paused_and_restarted_processes_end_in_agreement(tmp_path: Path) -> None:
     history = played(draw(read("seven-copies"), 1), tmp_path)
     found = agreement(history)
     assert found.wrongly_dead == ()
@@ -43,13 +43,13 @@
     assert missed  # while the cut lasted
 
 
-def test_seven_copies_with_every_trouble_of_datagrams_agree_in_the_end(tmp_path: Path) -> None:
+def test_processes_with_every_datagram_fault_end_in_agreement(tmp_path: Path) -> None:
     found = agreement(played(draw(read("seven-strangers"), 1), tmp_path))
     assert found.wrongly_dead == ()
     assert found.at is not None
 
 
-def test_an_upgrade_is_one_member_with_two_lives_and_nobody_is_called_dead(tmp_path: Path) -> None:
+def test_upgrade_is_one_member_with_two_incarnations(tmp_path: Path) -> None:
     history = played(
         a_day(trouble("upgrade", 2, 0, who=["copy:0"]), small(3, 7, "operated = true")), tmp_path
     )
@@ -59,18 +59,18 @@
     assert len(lives) == 2
 
 
-def test_datagrams_forbidden_leave_membership_off(tmp_path: Path) -> None:
+def test_forbidden_datagrams_leave_membership_off(tmp_path: Path) -> None:
     history = played(a_day("", small(2, 1, "console = true\ndatagrams = false")), tmp_path)
     assert history.figures and not looks(history) and not history.datagrams
 
 
-def test_switched_off_nothing_is_sent(tmp_path: Path) -> None:
+def test_membership_switched_off_sends_nothing(tmp_path: Path) -> None:
     base = small(2, 1).replace("least_period_ms = 200", "on = false")
     history = played(a_day("", base), tmp_path)
     assert history.figures and not looks(history) and not history.datagrams
 
 
-def test_agreement_is_read_from_the_figures_alone() -> None:
+def test_agreement_is_read_from_metrics() -> None:
     def day(views: list[tuple[int, int, str]]) -> Agreement:
         events: list[log.Event] = [log.Began(at=log.BEFORE, day=a_day("", small(2, 1)), engine="x")]
         events += [log.Copy(at=0, copy=copy, life=1, what="ready") for copy in (0, 1)]
--- a/tests/test_versions.py
+++ b/tests/test_configuration_rollout.py
@@ -112,7 +112,7 @@
             relay.close()
 
 
-def test_one_is_signalled_and_all_follow_and_one_back_with_an_older_file_is_named(tmp_path: Path) -> None:
+def test_one_signal_updates_all_processes_and_an_older_file_is_reported(tmp_path: Path) -> None:
     async def work() -> None:
         async with fleet(4, tmp_path) as running:
             await running.until(version=1, in_force_everywhere=True)
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize("more", OFF, ids=str)
-def test_without_a_version_nothing_is_loaded_sent_or_refused(more: dict[str, Any]) -> None:
+def test_without_version_nothing_is_sent_or_rejected(more: dict[str, Any]) -> None:
     async def work() -> None:
         own, other = free_for_datagrams(2)
         heard: list[bytes] = []
@@ -199,7 +199,7 @@
 }
 
 
-def test_without_a_version_the_mechanism_is_not_imported() -> None:
+def test_without_version_rollout_modules_are_not_imported() -> None:
     assert len(ROLLOUT_MODULES) >= 11 and all(map(importlib.util.find_spec, ROLLOUT_MODULES))
     own, other = free_for_datagrams(2)
     program = f"""
@@ -220,7 +220,7 @@
     assert done.returncode == 0, done.stderr
 
 
-def test_it_can_be_switched_on_and_off_while_running() -> None:
+def test_rollout_is_switched_on_and_off_by_reload() -> None:
     async def work() -> None:
         own, other = free_for_datagrams(2)
 
@@ -252,7 +252,7 @@
     play(work)
 
 
-def test_what_waits_for_a_restart_is_not_said_to_be_in_force() -> None:
+def test_version_pending_a_restart_is_not_in_force() -> None:
     async def work() -> None:
         own, other = free_for_datagrams(2)
         sidecar = Sidecar(parse(given(own, other, version=5)), print)
@@ -271,7 +271,7 @@
     play(work)
 
 
-def test_a_file_that_waits_for_a_restart_switches_nothing_on() -> None:
+def test_file_pending_a_restart_does_not_switch_rollout_on() -> None:
     async def work() -> None:
         own, other = free_for_datagrams(2)
         sidecar = Sidecar(parse(given(own, other)), print)
@@ -283,7 +283,7 @@
     play(work)
 
 
-def test_a_refused_file_changes_nothing_of_what_a_reload_changes() -> None:
+def test_rejected_file_changes_nothing() -> None:
     async def work() -> None:
         own, other = free_for_datagrams(2)
         sidecar = Sidecar(parse(given(own, other, version=5)), print)
@@ -319,13 +319,13 @@
     ],
     ids=str,
 )
-def test_nonsense_is_named(more: dict[str, Any], key: str) -> None:
+def test_invalid_setting_names_its_key(more: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError) as complaint:
         parse({**GOOD, **more})
     assert str(complaint.value).startswith(key)
 
 
-def test_the_digest_is_of_what_all_files_of_a_version_have_alike() -> None:
+def test_digest_covers_the_keys_shared_by_all_files() -> None:
     own, other = free_for_datagrams(2)
     first = parse(given(own, other, version=1))
     assert (
@@ -339,7 +339,7 @@
     assert first.rollout == RolloutSettings()
 
 
-def test_every_line_about_versions_stands_on_the_on_call_page() -> None:
+def test_every_log_line_about_versions_is_on_the_on_call_page() -> None:
     page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
     source = (ROOT / "sidecar" / "configuration_rollout.py").read_text(encoding="utf-8")
     written = re.findall(r'f"(configuration: [^"]*)"', source) + re.findall(r'f"\{version\}([^"]*)"', source)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,7 +10,7 @@
 from sidecar.peers import Peers
 
 
-def test_peers_hear_one_another_and_nobody_else() -> None:
+def test_peers_receive_from_each_other_and_nobody_else() -> None:
     # Guards against an endpoint that never comes up: its failure is only a line in the log.
     async def work() -> None:
         addresses = free_for_datagrams(2)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -18,12 +18,12 @@
     return found
 
 
-def test_a_seed_gives_the_same_again() -> None:
+def test_seed_repeats_the_run() -> None:
     assert played("region-cut-60s", SIZE, 3) == played("region-cut-60s", SIZE, 3)
     assert played("region-cut-60s", SIZE, 3) != played("region-cut-60s", SIZE, 4)
 
 
-def test_at_rest_what_is_sent_is_heard() -> None:
+def test_datagrams_sent_at_rest_are_received() -> None:
     samples = played("rest", SIZE, 1)
     sent = value(samples, "member.sent_bytes", "mean", "rest")
     assert sent == pytest.approx(value(samples, "member.heard_bytes", "mean", "rest"), rel=0.01)
@@ -31,20 +31,20 @@
     assert value(samples, "member.wrong_deaths", "mean", "rest") == 0.0
 
 
-def test_a_death_is_known_to_all_and_no_wrong_one() -> None:
+def test_zone_failure_is_known_to_all_without_wrong_deaths() -> None:
     samples = played("zone", SIZE, 1)
     median = value(samples, "member.death_known", "median", "zone")
     assert 0.0 < median <= value(samples, "member.death_known", "max", "zone")
     assert value(samples, "member.wrong_deaths", "mean", "zone") == 0.0
 
 
-def test_deaths_across_a_cut_are_not_wrong_ones() -> None:
+def test_deaths_across_a_partition_are_not_wrong() -> None:
     samples = played("region-cut-120s", SIZE, 1)
     assert value(samples, "member.wrong_deaths", "mean", "region-cut-120s-during") == 0.0
     assert value(samples, "member.agreed_after", "max", "region-cut-120s") > 0.0
 
 
-def test_a_living_member_that_is_called_dead_is_counted() -> None:
+def test_live_member_declared_dead_is_counted() -> None:
     trial = Trial(SIZE, 1)
     trial.cluster.processes[3][0].pause()
     trial.cluster.run(60.0)
@@ -55,25 +55,25 @@
 
 
 @pytest.mark.parametrize("case", ["restarts", "release"])
-def test_who_begins_anew_is_not_called_dead_wrongly_and_keeps_its_counts(case: str) -> None:
+def test_restarted_member_is_not_wrongly_dead_and_keeps_its_counts(case: str) -> None:
     samples = played(case, SIZE, 1)
     assert value(samples, "member.wrong_deaths", "mean", case) == 0.0
     mean = value(samples, "member.sent_datagrams", "mean", case)
     assert mean == pytest.approx(value(samples, "member.heard_datagrams", "mean", case), rel=0.05)
 
 
-def test_requests_raise_what_may_be_sent() -> None:
+def test_requests_raise_the_rate_of_datagrams() -> None:
     at_rest = value(played("rest", SIZE, 1), "member.sent_datagrams", "mean", "rest")
     loaded = value(played("load", SIZE, 1), "member.sent_datagrams", "mean", "load")
     assert loaded > 1.5 * at_rest
 
 
-def test_what_does_not_come_in_time_is_said() -> None:
+def test_overdue_wait_raises() -> None:
     trial = Trial(SIZE, 1)
     trial.kill([1])
     with pytest.raises(Overdue, match="within 1 s"):
         trial.until_known(1.0)
 
 
-def test_every_slope_has_four_sizes() -> None:
+def test_every_case_has_four_sizes() -> None:
     assert not [name for name, case in CASES.items() if len({size for size, _ in case.cells()}) < 4]
