--- a/sidecar/cluster/configuration_file_checks.py
+++ b/sidecar/cluster/configuration_file_checks.py
@@ -24,7 +24,7 @@
         """Another member has a newer version: check soon, but not all members at once."""
         self._is_missing = False
         self._interval_us = _FIRST_INTERVAL_US
-        spread_us = int(self._state.settings.spread_s * 1e6 * self._state.random.random())
+        spread_us = int(self._state.settings.file_read_spread_s * 1e6 * self._state.random.random())
         self.next_at = max(now + spread_us, self._last_at + _FIRST_INTERVAL_US)
 
     def stop(self) -> None:
--- a/sidecar/cluster/member_context.py
+++ b/sidecar/cluster/member_context.py
@@ -31,7 +31,7 @@
     def period_us(self, now: int) -> int:
         """The protocol period: as the rate of datagrams allows, longer where the local health is degraded."""
         allowed_us = int(_DATAGRAMS_PER_PERIOD / self.limiter.rate_per_s(now) * 1e6)
-        return max(allowed_us, self.settings.least_period_ms * 1_000) * self.health.multiplier
+        return max(allowed_us, self.settings.min_period_ms * 1_000) * self.health.multiplier
 
     def min_suspicion_timeout_us(self, now: int) -> int:
         return min_timeout_us(len(self.table), self.period_us(now), self.settings.suspicion_periods)
--- a/sidecar/cluster/rollout_state.py
+++ b/sidecar/cluster/rollout_state.py
@@ -56,7 +56,7 @@
     @property
     def round_interval_us(self) -> int:
         """From the start of a round to that of the next: as set, longer where it could not fill."""
-        return max(int(self.settings.wave_s * 1e6), 2 * self.round_fill_us)
+        return max(int(self.settings.round_interval_s * 1e6), 2 * self.round_fill_us)
 
     def jittered(self, interval_us: int) -> int:
         return int(interval_us * (0.8 + 0.4 * self.random.random()))
--- a/sidecar/cluster/settings.py
+++ b/sidecar/cluster/settings.py
@@ -1,96 +1,108 @@
-"""What operators may set of the tier (`membership` and `rollout`): units, defaults, bounds."""
+"""Settings of membership and of the rollout of configuration versions: units, defaults, bounds.
+
+A field that has another name than its key in the configuration names the key in its metadata.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass, fields
+from dataclasses import Field, dataclass, field, fields
 from typing import Any
 
-# key: (least, most), of the unit that the field names
-BOUNDS: dict[str, tuple[float, float]] = {
-    "datagrams_per_s": (0.1, 1.0),
-    "datagrams_per_request": (0.0, 0.05),
-    "least_period_ms": (200, 10_000),
-    "relays": (0, 8),
-    "suspicion_periods": (1, 20),
-    "suspicion_stretch": (1, 10),
-}
-ROLLOUT_BOUNDS: dict[str, tuple[float, float]] = {
-    "datagrams_per_s": (0.1, 5.0),
-    "fanout": (0, 8),
-    "wave_s": (5, 600),
-    "spread_s": (0, 4),
-}
-# What SIGHUP takes over, and what a digest may be of.
-TAKEN_OVER = ("discovery", "peers", "peers_all", "membership", "rollout")
+_KEY, _BOUNDS = "key", "bounds"  # of a field's metadata
+# Keys of the configuration that a reload applies, and that a digest may cover.
+RELOADED_KEYS = ("discovery", "peers", "peers_all", "membership", "rollout")
+
+
+def _number(default: float, minimum: float, maximum: float, key: str | None = None) -> Any:
+    """A field for a number within bounds, an integer if its default is one."""
+    metadata = {_BOUNDS: (minimum, maximum)}
+    return field(default=default, metadata=metadata if key is None else {**metadata, _KEY: key})
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """Whether and how this sidecar keeps track of the others."""
+    """Whether and how this sidecar takes part in membership."""
 
     on: bool = True  # only where the platform's settings allow datagrams
-    informs: bool = True  # whether the decisions hear how many are there
-    datagrams_per_s: float = 1.0  # sent at rest, on average
-    datagrams_per_request: float = 0.05  # and for each request taken
-    least_period_ms: int = 1_000  # between two questions, however many requests there are
-    relays: int = 3  # members asked to ask a silent one
-    suspicion_periods: float = 3.0  # least time-out of a suspicion, for each decimal digit of the tier's size
-    suspicion_stretch: float = 4.0  # the longest, where nobody else suspects: times the least
+    informs: bool = True  # whether load balancing hears of the cluster's size
+    datagrams_per_s: float = _number(1.0, 0.1, 1.0)  # sent at rest, on average
+    datagrams_per_request: float = _number(0.05, 0.0, 0.05)  # and for each request taken
+    # The least protocol period, however many requests there are.
+    min_period_ms: int = _number(1_000, 200, 10_000, key="least_period_ms")
+    relays: int = _number(3, 0, 8)  # members that a ping-request goes to
+    # The least time-out of a suspicion, for each decimal digit of the cluster's size.
+    suspicion_periods: float = _number(3.0, 1, 20)
+    # The greatest time-out, while no other member confirms the suspicion, divided by the least.
+    suspicion_timeout_ratio: float = _number(4.0, 1, 10, key="suspicion_stretch")
 
     @staticmethod
     def from_mapping(given: object) -> MembershipSettings:
-        """Read them from the configuration; raise ValueError, naming the key, on nonsense."""
-        known = {each.name: each.default for each in fields(MembershipSettings)}
-        return MembershipSettings(**_read(given, known, BOUNDS))
+        """Read them from the configuration; raise ValueError, naming the key, on invalid values."""
+        return MembershipSettings(**_read(given, fields(MembershipSettings)))
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutSettings:
-    """Whether and how this sidecar compares its configuration's version with the others'."""
+    """Whether and how this sidecar compares its configuration version with other members."""
 
     on: bool = True  # only where the file has a `version`, and membership is on
-    datagrams_per_s: float = 1.0  # exchanges begun while there is news; a fifth of it where there is none
-    fanout: int = 3  # members that a newer version is pushed to at once
-    wave_s: float = 30.0  # an aggregation round starts this often; less often in large clusters
-    spread_s: float = 1.0  # each reads its file within so long of hearing: not all call discovery at once
-    digest_of: tuple[str, ...] = TAKEN_OVER  # keys that all files of one version have alike
+    datagrams_per_s: float = _number(1.0, 0.1, 5.0)  # while there is news; a fifth of it otherwise
+    fanout: int = _number(3, 0, 8)  # members that a newer version is pushed to at once
+    round_interval_s: float = _number(30.0, 5, 600, key="wave_s")  # longer in large clusters
+    # Members that hear of a version read their files within this, so that not all call discovery at once.
+    file_read_spread_s: float = _number(1.0, 0, 4, key="spread_s")
+    digest_of: tuple[str, ...] = RELOADED_KEYS  # keys that all files of one version have alike
 
     @staticmethod
     def from_mapping(given: object) -> RolloutSettings:
-        """Read them from the configuration; raise ValueError, naming the key, on nonsense."""
-        known = {each.name: each.default for each in fields(RolloutSettings)}
-        return RolloutSettings(**_read(given, known, ROLLOUT_BOUNDS))
+        """Read them from the configuration; raise ValueError, naming the key, on invalid values."""
+        return RolloutSettings(**_read(given, fields(RolloutSettings)))
 
 
-def _read(
-    given: object, known: Mapping[str, Any], bounds: Mapping[str, tuple[float, float]]
-) -> dict[str, Any]:
+def _read(given: object, settings: tuple[Field[Any], ...]) -> dict[str, Any]:
+    """The values of the settings that are given, by the names of their fields."""
     if given is None:
         return {}
     if not isinstance(given, Mapping):
         raise ValueError("an object is needed")
-    read: dict[str, Any] = {}
+    by_key = {setting.metadata.get(_KEY, setting.name): setting for setting in settings}
+    values: dict[str, Any] = {}
     for key, value in given.items():
-        if key not in known:
-            raise ValueError(f"{key}: no such key: {', '.join(known)} are known")
-        read[key] = _checked(key, value, known[key], bounds)
-    return read
-
-
-def _checked(key: str, value: object, default: object, bounds: Mapping[str, tuple[float, float]]) -> object:
-    if isinstance(default, bool):
-        if not isinstance(value, bool):
-            raise ValueError(f"{key}: true or false is needed, not {value!r:.60}")
-        return value
-    if isinstance(default, tuple):
-        if not isinstance(value, list) or not value or not all(each in default for each in value):
-            raise ValueError(f"{key}: a list of {', '.join(default)} is needed, not {value!r:.60}")
-        return tuple(each for each in default if each in value)
-    least, most = bounds[key]
-    whole = isinstance(default, int)
-    fits = isinstance(value, int | float) and not isinstance(value, bool) and least <= value <= most
-    if not fits or (whole and value != int(value)):  # type: ignore[call-overload]
-        kind = "a whole number" if whole else "a number"
-        raise ValueError(f"{key}: {kind} from {least:g} to {most:g} is needed, not {value!r:.60}")
-    return int(value) if whole else float(value)  # type: ignore[call-overload, arg-type]
+        if key not in by_key:
+            raise ValueError(f"{key}: no such key: {', '.join(by_key)} are known")
+        values[by_key[key].name] = _checked(key, value, by_key[key])
+    return values
+
+
+def _checked(key: str, value: object, setting: Field[Any]) -> object:
+    if isinstance(setting.default, bool):
+        return _checked_boolean(key, value)
+    if isinstance(setting.default, tuple):
+        return _checked_choices(key, value, setting.default)
+    return _checked_number(key, value, isinstance(setting.default, int), setting.metadata[_BOUNDS])
+
+
+def _checked_boolean(key: str, value: object) -> bool:
+    if not isinstance(value, bool):
+        raise ValueError(f"{key}: true or false is needed, not {value!r:.60}")
+    return value
+
+
+def _checked_choices(key: str, value: object, choices: tuple[str, ...]) -> tuple[str, ...]:
+    if not isinstance(value, list) or not value or not all(choice in choices for choice in value):
+        raise ValueError(f"{key}: a list of {', '.join(choices)} is needed, not {value!r:.60}")
+    return tuple(choice for choice in choices if choice in value)
+
+
+def _checked_number(key: str, value: object, is_integer: bool, bounds: tuple[float, float]) -> float:
+    minimum, maximum = bounds
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if is_number and minimum <= value <= maximum:  # type: ignore[operator]
+        number = float(value)  # type: ignore[arg-type]
+        if not is_integer:
+            return number
+        if number == int(number):
+            return int(number)
+    kind = "a whole number" if is_integer else "a number"
+    raise ValueError(f"{key}: {kind} from {minimum:g} to {maximum:g} is needed, not {value!r:.60}")
--- a/sidecar/cluster/suspicion.py
+++ b/sidecar/cluster/suspicion.py
@@ -15,14 +15,16 @@
 
     __slots__ = ("_max_timeout_us", "_min_timeout_us", "_needed_confirmations", "_started_at", "reporters")
 
-    def __init__(self, now: int, reporter: int, min_timeout_us: int, stretch: float, size: int) -> None:
-        """`stretch` is the ratio of the greatest time-out to the least; `size` that of the cluster."""
+    def __init__(self, now: int, reporter: int, min_timeout_us: int, timeout_ratio: float, size: int) -> None:
+        """`timeout_ratio` is the greatest time-out divided by the least; `size` that of the cluster."""
         self._started_at = now
         self.reporters = {reporter}
         self._min_timeout_us = min_timeout_us
         # There are `size - 3` members besides it, the first reporter and the local one.
         self._needed_confirmations = max(min(_MAX_CONFIRMATIONS, size - 3), 0)
-        self._max_timeout_us = int(min_timeout_us * stretch) if self._needed_confirmations else min_timeout_us
+        self._max_timeout_us = (
+            int(min_timeout_us * timeout_ratio) if self._needed_confirmations else min_timeout_us
+        )
 
     def confirm(self, reporter: int) -> bool:
         """Another member suspects it too; return False if that is known or needs no dissemination."""
--- a/sidecar/cluster/update_processing.py
+++ b/sidecar/cluster/update_processing.py
@@ -115,6 +115,6 @@
                 now,
                 update.reported_by,
                 self._context.min_suspicion_timeout_us(now),
-                self._context.settings.suspicion_stretch,
+                self._context.settings.suspicion_timeout_ratio,
                 len(self._context.table),
             )
--- a/sidecar/configuration_rollout.py
+++ b/sidecar/configuration_rollout.py
@@ -162,8 +162,10 @@
         case AmbiguousVersion(version, low, high):
             return f"configuration: two contents go by version {version}: digests {low:08x} and {high:08x}"
         case VersionMissing(version, by, after_us):
-            told = f"configuration: version {version}, first said by {by}, is not in the file of this sidecar"
-            return f"{told} after {after_us / 1e6:.0f} s: it looks once a minute from now on"
+            line = (
+                f"configuration: version {version}, first said by {by}, is not in the file of this sidecar"
+            )
+            return f"{line} after {after_us / 1e6:.0f} s: it looks once a minute from now on"
         case VersionForgotten(version, by):
             return f"configuration: version {version}, first said by {by}, is in force nowhere any more"
     return None
--- a/tests/test_cluster_membership.py
+++ b/tests/test_cluster_membership.py
@@ -15,7 +15,7 @@
 from sidecar.peers import Peers
 from sidecar.upstream.client import Address
 
-QUICK = MembershipSettings(least_period_ms=200)
+QUICK = MembershipSettings(min_period_ms=200)
 
 
 @dataclass
--- a/tests/test_membership_settings.py
+++ b/tests/test_membership_settings.py
@@ -1,10 +1,10 @@
-"""Settings of membership as they are read from the configuration."""
+"""Settings of membership and of the rollout as they are read from the configuration."""
 
 from __future__ import annotations
 
 import pytest
 
-from sidecar.cluster.settings import MembershipSettings
+from sidecar.cluster.settings import MembershipSettings, RolloutSettings
 
 
 @pytest.mark.parametrize(
@@ -32,3 +32,43 @@
 
 def test_missing_settings_are_defaults() -> None:
     assert MembershipSettings.from_mapping(None) == MembershipSettings()
+
+
+@pytest.mark.parametrize(
+    ("given", "settings"),
+    [
+        ({"on": False}, MembershipSettings(on=False)),
+        ({"informs": False}, MembershipSettings(informs=False)),
+        ({"datagrams_per_s": 0.5}, MembershipSettings(datagrams_per_s=0.5)),
+        ({"datagrams_per_request": 0}, MembershipSettings(datagrams_per_request=0.0)),
+        ({"least_period_ms": 200}, MembershipSettings(min_period_ms=200)),
+        ({"relays": 2.0}, MembershipSettings(relays=2)),
+        ({"suspicion_periods": 20}, MembershipSettings(suspicion_periods=20.0)),
+        ({"suspicion_stretch": 1}, MembershipSettings(suspicion_timeout_ratio=1.0)),
+    ],
+    ids=str,
+)
+def test_key_sets_its_field(given: dict[str, object], settings: MembershipSettings) -> None:
+    assert MembershipSettings.from_mapping(given) == settings
+
+
+@pytest.mark.parametrize(
+    ("given", "settings"),
+    [
+        ({"on": False}, RolloutSettings(on=False)),
+        ({"datagrams_per_s": 5}, RolloutSettings(datagrams_per_s=5.0)),
+        ({"fanout": 8}, RolloutSettings(fanout=8)),
+        ({"wave_s": 5}, RolloutSettings(round_interval_s=5.0)),
+        ({"spread_s": 0}, RolloutSettings(file_read_spread_s=0.0)),
+        ({"digest_of": ["rollout", "peers"]}, RolloutSettings(digest_of=("peers", "rollout"))),
+    ],
+    ids=str,
+)
+def test_rollout_key_sets_its_field(given: dict[str, object], settings: RolloutSettings) -> None:
+    assert RolloutSettings.from_mapping(given) == settings
+
+
+def test_unknown_key_is_answered_with_the_known_ones() -> None:
+    known = "on, datagrams_per_s, fanout, wave_s, spread_s, digest_of are known"
+    with pytest.raises(ValueError, match=f"speed: no such key: {known}"):
+        RolloutSettings.from_mapping({"speed": 1})
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -456,7 +456,7 @@
 
 
 def test_tick_is_scheduled_before_the_file_is_read() -> None:
-    cluster = at_rest(3, rollout=RolloutSettings(spread_s=0.0))
+    cluster = at_rest(3, rollout=RolloutSettings(file_read_spread_s=0.0))
     rollout = cluster.versioned(0).rollout
     now = cluster.queue.now
     news = AggregationRound(9, 1, 2, now, 1, 1, member_bit(2))
