--- a/sidecar/configuration_rollout.py
+++ b/sidecar/configuration_rollout.py
@@ -18,6 +18,7 @@
     ReadConfiguration,
     RolloutAction,
     RolloutConcluded,
+    RolloutReport,
     VersionForgotten,
     VersionMissing,
 )
@@ -150,25 +151,22 @@
         if isinstance(action, ReadConfiguration):
             self._read_configuration()
             return
-        line = _log_line(action)
-        if line is not None and self._log_limiter.try_acquire(self._clock.now()):
-            self._log(line)
+        if isinstance(action, RolloutReport) and self._log_limiter.try_acquire(self._clock.now()):
+            self._log(log_line(action))
 
 
-def _log_line(action: RolloutAction) -> str | None:
-    match action:
+def log_line(report: RolloutReport) -> str:
+    """A report as operators read it."""
+    match report:
         case RolloutConcluded(after_us, status):
             return _conclusion_line(after_us / 1e6, status)
         case AmbiguousVersion(version, low, high):
             return f"configuration: two contents go by version {version}: digests {low:08x} and {high:08x}"
         case VersionMissing(version, by, after_us):
-            line = (
-                f"configuration: version {version}, first said by {by}, is not in the file of this sidecar"
-            )
+            line = f"configuration: version {version}, first said by {by}, is not in the file of this sidecar"
             return f"{line} after {after_us / 1e6:.0f} s: it looks once a minute from now on"
         case VersionForgotten(version, by):
             return f"configuration: version {version}, first said by {by}, is in force nowhere any more"
-    return None
 
 
 def _conclusion_line(after_s: float, status: RolloutStatus) -> str:
--- a/tests/test_configuration_rollout.py
+++ b/tests/test_configuration_rollout.py
@@ -11,6 +11,7 @@
 import sys
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
@@ -22,9 +23,18 @@
 
 from sidecar.cluster.aggregation import AggregationRound
 from sidecar.cluster.message import DropReason, cluster_id
+from sidecar.cluster.rollout_actions import (
+    AmbiguousVersion,
+    RolloutConcluded,
+    RolloutReport,
+    VersionForgotten,
+    VersionMissing,
+)
 from sidecar.cluster.rollout_message import ExchangeKind, encode
+from sidecar.cluster.rollout_status import RolloutStatus
 from sidecar.cluster.settings import RolloutSettings
 from sidecar.config import Config, ConfigError, parse
+from sidecar.configuration_rollout import log_line
 from sidecar.sidecar import Sidecar
 from sidecar.upstream.client import Address
 from testbed import events as log
@@ -347,3 +357,49 @@
     for text in written:
         fixed = max(re.split(r"\{[^}]*\}", text), key=len).strip(" :")
         assert fixed and fixed in page, text
+
+
+STATUS = RolloutStatus(9, True, 5, 5, (), 0, (), 0, 1, 1, 3, 0)
+
+
+@pytest.mark.parametrize(
+    ("report", "line"),
+    [
+        (
+            RolloutConcluded(2_500_000, STATUS),
+            "configuration: version 9 in force here; everywhere after 2.5 s (5 of 5)",
+        ),
+        (
+            RolloutConcluded(
+                60_000_000,
+                replace(
+                    STATUS,
+                    is_in_force_everywhere=False,
+                    in_force_count=2,
+                    behind=(3,),
+                    behind_count=2,
+                    missing=(4,),
+                    missing_count=1,
+                ),
+            ),
+            "configuration: version 9 not known to be everywhere after 60.0 s (2 of 5)"
+            "; behind: 3 and 1 more; unheard: 4",
+        ),
+        (
+            AmbiguousVersion(9, 10, 255),
+            "configuration: two contents go by version 9: digests 0000000a and 000000ff",
+        ),
+        (
+            VersionMissing(9, 4, 60_000_000),
+            "configuration: version 9, first said by 4, is not in the file of this sidecar after 60 s:"
+            " it looks once a minute from now on",
+        ),
+        (
+            VersionForgotten(9, 4),
+            "configuration: version 9, first said by 4, is in force nowhere any more",
+        ),
+    ],
+    ids=["in force", "late", "ambiguous", "missing", "forgotten"],
+)
+def test_report_is_logged_in_these_words(report: RolloutReport, line: str) -> None:
+    assert log_line(report) == line
