--- a/Makefile
+++ b/Makefile
@@ -87,7 +87,7 @@
 
 # How soon all sidecars have an answer again after discovery was down, by their number: data of docs/CAPACITY.md.
 line: setup
-	$(BIN)/python -m testbed.cluster_simulation.line
+	$(BIN)/python -m testbed.cluster_simulation.discovery_queue
 
 # docs/CAPACITY.md and its plots, from the runs in docs/capacity/ and testbed/capacity/rows.toml.
 capacity: setup
--- a/bench/member.py
+++ b/bench/member.py
@@ -74,14 +74,14 @@
         self.member = member(size)
         self._now = 0
         self._wake = 0
-        self._questions: list[tuple[int, int]] = []  # whom it asked last, and by which number
+        self._pings: list[tuple[int, int]] = []  # the last receivers and sequence numbers
         self._random = random.Random(size)
 
     def word(
         self,
         sender: int,
         kind: MessageKind,
-        question: int,
+        sequence_number: int,
         updates: list[MembershipUpdate],
         differs: bool = False,
     ) -> bytes:
@@ -94,7 +94,7 @@
             sender,
             LIFE,
             kind,
-            question,
+            sequence_number,
             NO_TARGET,
             digest,
             0,
@@ -110,21 +110,21 @@
         actions = self.member.tick(self._now)
         took = time.perf_counter_ns() - began
         self._take(actions)
-        for receiver, question in self._questions:
-            payload = self.word(receiver, MessageKind.ACK, question, [])
+        for receiver, sequence_number in self._pings:
+            payload = self.word(receiver, MessageKind.ACK, sequence_number, [])
             self._take(self.member.datagram_received(self._now, receiver, payload))
-        self._questions = []
+        self._pings = []
         return took / 1e3
 
     def heard_us(self, updates: list[MembershipUpdate], differs: bool) -> float:
-        """One question of another member."""
+        """One ping of another member."""
         sender = self._random.randrange(1, len(self.member.table))
         payload = self.word(sender, MessageKind.PING, self._random.randrange(1 << 16), updates, differs)
         began = time.perf_counter_ns()
         actions = self.member.datagram_received(self._now, sender, payload)
         took = time.perf_counter_ns() - began
         self._take(actions)
-        self._questions = []
+        self._pings = []
         return took / 1e3
 
     def _take(self, actions: list[MembershipAction]) -> None:
@@ -134,10 +134,10 @@
             elif isinstance(action, SendDatagram) and action.receiver is not None:
                 asked = self._asked(action)
                 if asked is not None:
-                    self._questions.append((action.receiver, asked))
+                    self._pings.append((action.receiver, asked))
 
     def _asked(self, action: SendDatagram) -> int | None:
-        """The number of the question that is out, where this datagram asks it."""
+        """The sequence number of the pending ping, where this datagram is it."""
         own = self.member._failure_detector.pings.own
         return own.sequence_number if own is not None and own.target == action.receiver else None
 
--- a/testbed/cluster_simulation/discovery_queue.py
+++ b/testbed/cluster_simulation/discovery_queue.py
@@ -1,11 +1,10 @@
-"""DiscoveryMode's line after an outage: how soon all of a cluster have an answer again; `make line`, as data.
-
-The sidecars' waits are those of the module itself (`balancer.Balancer`), their calls those of
-`sidecar.discovery.discovery`: a watch that broke is called anew when the module says so, and keeps its place
-in the line when it is asked for again.  Modelled is discovery: it refuses while it is down; later it serves
-calls one after another, each for so long, and gives up (an answer without a list) what has stood in line
-for 3 s.
-Times are microseconds.
+"""Discovery's queue after an outage: how soon all sidecars of a cluster have an answer; `make line`, as data.
+
+The sidecars' waits are those of `balancer.Balancer`, their calls those of `sidecar.discovery.discovery`: a
+watch that broke is called anew when the balancer says so, and keeps its place in the queue when it is asked
+for again.  Discovery is modelled: it rejects calls while it is down; later it serves them one after another,
+each for a fixed time, and gives up on a call that has waited for 3 s (an answer without a list).  Times are
+microseconds.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 TOLD_WITHIN_S = 6.0  # a change counts as told so long after discovery could be reached
 S = 1_000_000
 _ONE_WAY_US = 500
-_WAITS_US = 3 * S  # a call in discovery's line
+_WAITS_US = 3 * S  # a call in the queue
 _STEP_US = S // 4
 _MOST_US = 600 * S  # that answers are waited for
 _WARM_US = 5 * S
@@ -38,7 +37,7 @@
     """Some had no answer within the bound."""
 
 
-class Line:
+class DiscoveryQueue:
     """DiscoveryMode: one call at a time, first come first served."""
 
     def __init__(self, queue: Queue, call_us: int) -> None:
@@ -61,8 +60,8 @@
 class Caller:
     """One sidecar: its module, and its one call to discovery."""
 
-    def __init__(self, line: Line, settings: Settings, seed: int) -> None:
-        self._line, self._queue = line, line.queue
+    def __init__(self, discovery: DiscoveryQueue, settings: Settings, seed: int) -> None:
+        self._discovery, self._queue = discovery, discovery.queue
         self._balancer = Balancer(settings, seed)
         self._is_calling = False
         self.answered_at: int | None = None
@@ -83,7 +82,7 @@
                     self._queue.after(_ONE_WAY_US, self._arrive)
 
     def _arrive(self) -> None:
-        at, is_list = self._line.takes_until()
+        at, is_list = self._discovery.takes_until()
         self._queue.at(at + _ONE_WAY_US, self._answered if is_list else self._fail)
 
     def _answered(self) -> None:
@@ -105,15 +104,15 @@
 def returned(size: int, call_ms: float, down_s: float, seed: int) -> list[float]:
     """All watches break as discovery goes down; seconds from its return until each has an answer."""
     queue = Queue()
-    line = Line(queue, int(call_ms * 1_000))
+    discovery = DiscoveryQueue(queue, int(call_ms * 1_000))
     settings = _settings(size)
-    callers = [Caller(line, settings, seed * 10_000 + number) for number in range(size)]
+    callers = [Caller(discovery, settings, seed * 10_000 + number) for number in range(size)]
     queue.run(_WARM_US)
-    line.is_down = True
+    discovery.is_down = True
     for each in callers:
         each.broken()
     queue.run(_WARM_US + int(down_s * S))
-    line.is_down = False
+    discovery.is_down = False
     back = queue.now
     while any(each.answered_at is None for each in callers):
         if queue.now - back > _MOST_US:
--- a/testbed/cluster_simulation/explore.py
+++ b/testbed/cluster_simulation/explore.py
@@ -1,6 +1,6 @@
 """Every order of events among a few members, to a bounded depth, on the lines that the sidecar runs.
 
-A step delivers, loses or doubles a datagram, lets one member's clock go on to its next tick, or kills a
+A step delivers, loses or duplicates a datagram, lets one member's clock go on to its next tick, or kills a
 process or starts one anew.  Clocks are independent, so pauses and cuts are among the orders: a member that
 does not tick is paused, a link that loses everything is cut.  From what is reached the network heals, and
 all have to agree.
@@ -56,7 +56,7 @@
     membership: Membership | None
     now: int = 0
     wake: int = 0
-    ended: set[tuple[int, int]] = field(default_factory=set)  # (member, life)
+    ended: set[tuple[int, int]] = field(default_factory=set)  # (member, incarnation)
 
     def copied(self) -> Member:
         return Member(copy.deepcopy(self.membership), self.now, self.wake, set(self.ended))
@@ -111,7 +111,7 @@
                 yield "deliver", one, other
                 yield "lose", one, other
                 if self.faults < most_faults:
-                    yield "double", one, other
+                    yield "duplicate", one, other
         for number, own in enumerate(self.members):
             if own.membership is not None:
                 yield "tick", number, 0
@@ -123,11 +123,11 @@
 
     def step(self, what: str, one: int, other: int) -> None:
         own = self.members[one]
-        if what in ("deliver", "double", "lose"):
+        if what in ("deliver", "duplicate", "lose"):
             payload = self.links[one, other].popleft()
             if what != "lose":
                 self._deliver(one, other, payload)
-            if what == "double":
+            if what == "duplicate":
                 self.faults += 1
                 self._deliver(one, other, payload)
         elif what == "tick":
@@ -156,7 +156,7 @@
     # What has to hold
 
     def _check(self, number: int) -> None:
-        """A life once ended does not come back, not even one's own; the table is as large as the cluster."""
+        """An incarnation that ended does not come back, not even one's own; the table has every member."""
         own = self.members[number]
         membership = own.membership
         if membership is None:
@@ -164,13 +164,13 @@
         if len(membership.table) != MEMBERS:
             raise Broken(f"the table of {number} holds {len(membership.table)}")
         for of, member in enumerate(membership.table.records):
-            life = of, member.update.incarnation
+            incarnation = of, member.update.incarnation
             if member.state >= MemberState.DEAD:
-                own.ended.add(life)
-            elif life in own.ended:
-                raise Broken(f"to {number}, life {life[1]} of {of} came back")
+                own.ended.add(incarnation)
+            elif incarnation in own.ended:
+                raise Broken(f"to {number}, incarnation {incarnation[1]} of {of} came back")
         if (number, membership.incarnation) in own.ended and not membership.is_duplicate:
-            raise Broken(f"{number} goes on with a life that it knows to be over")
+            raise Broken(f"{number} goes on with an incarnation that it knows to be over")
 
     def heal(self) -> int:
         """Let every datagram through and every clock run; give the time till all agree, or raise Broken."""
@@ -207,8 +207,10 @@
             if membership is None:
                 out.append(own.now)
                 continue
-            claims = tuple((each.update.incarnation, each.update.status) for each in membership.table.records)
-            out.append((own.now, own.wake, membership.incarnation, membership.health.score, claims))
+            beliefs = tuple(
+                (each.update.incarnation, each.update.status) for each in membership.table.records
+            )
+            out.append((own.now, own.wake, membership.incarnation, membership.health.score, beliefs))
         return tuple(out)
 
 
--- a/testbed/cluster_simulation/rollouts.py
+++ b/testbed/cluster_simulation/rollouts.py
@@ -69,7 +69,7 @@
 
 
 def _at_rest(size: int, seed: int, loss: float, is_on: bool) -> VersionedCluster:
-    """A cluster that knows its version, at some moment of its wave."""
+    """A cluster that knows its version, at some moment of an aggregation round."""
     settings = RolloutSettings(on=is_on)
     cluster = VersionedCluster(size, seed, rollout=settings, is_membership_on=False)
     cluster.run(30.0 + 60.0 * random.Random(seed).random())
@@ -169,7 +169,7 @@
 
 def alone(size: int) -> tuple[float, float]:
     """Bytes that a member holds for it, and processor microseconds for a datagram heard and answered."""
-    table, payloads = MemberTable(size, 0), [_payload(size, 1, wave) for wave in range(1, _EVENTS + 1)]
+    table, payloads = MemberTable(size, 0), [_payload(size, 1, number) for number in range(1, _EVENTS + 1)]
     _member(table, payloads)  # what is made once for all
     tracemalloc.start()
     rollout = _member(table, payloads)
@@ -182,7 +182,7 @@
 
 
 def _member(table: MemberTable, payloads: Sequence[bytes]) -> Rollout:
-    """A member that has heard of some waves."""
+    """A member that has heard of some rounds."""
     rollout = Rollout(0, "a", table, RolloutSettings(), random.Random(1), 0, 1, 5)
     rollout.start(0)
     for number, payload in enumerate(payloads[:3]):
@@ -190,10 +190,10 @@
     return rollout
 
 
-def _payload(size: int, sender: int, wave: int) -> bytes:
-    """A question with news in it: the next wave, all members but the hearer in it."""
-    tally = AggregationRound(1, wave, sender, wave * 150_000, 5, 5, (1 << size) - 2)
-    return encode(cluster_id("a"), sender, ExchangeKind.PUSH_PULL, tally, 0, wave * 150_000)
+def _payload(size: int, sender: int, number: int) -> bytes:
+    """A push-pull message with news: the next round, with all members but the receiver in it."""
+    round_ = AggregationRound(1, number, sender, number * 150_000, 5, 5, (1 << size) - 2)
+    return encode(cluster_id("a"), sender, ExchangeKind.PUSH_PULL, round_, 0, number * 150_000)
 
 
 # Figures
--- a/testbed/cluster_simulation/trial.py
+++ b/testbed/cluster_simulation/trial.py
@@ -34,7 +34,7 @@
         self._born = {number: self.cluster.of(number).incarnation for number in range(size)}
         self._killed: dict[int, int] = {}  # when
         self._known: dict[int, dict[int, int]] = {}  # of a killed one: who knew when
-        self._wrong: set[tuple[int, int]] = set()  # member and life
+        self._wrong: set[tuple[int, int]] = set()  # member and incarnation
         self._has_been_cut = False
         self._ended = {number: dict.fromkeys(_COUNTS, 0) for number in range(size)}  # by earlier processes
         self._began_at = 0
@@ -150,7 +150,7 @@
         self.add("member.death_known", max(waits), "s", case, "max")
 
     def _told(self, told: Report) -> None:
-        """Deaths alone: of who was killed, when each knew; of who lives, which life was called dead.
+        """Deaths alone: of who was killed, when each knew; of who lives, which incarnation was called dead.
 
         Across a cut that is no error, also where it is told later.
         """
--- a/testbed/cluster_simulation/virtual.py
+++ b/testbed/cluster_simulation/virtual.py
@@ -143,9 +143,9 @@
         """Have everybody know everybody, as after a long rest; what was to be told of it is told."""
         first, *others = [each[0].membership for each in self.processes.values()]
         for number in self.alive:
-            life = self.of(number).incarnation
+            incarnation = self.of(number).incarnation
             first.table.apply(
-                MembershipUpdate.create(number, life, MemberState.PRESENT, 0, number), self.queue.now
+                MembershipUpdate.create(number, incarnation, MemberState.PRESENT, 0, number), self.queue.now
             )
         for each in others:
             each.table.copy_beliefs(first.table)
--- a/tests/test_discovery_queue.py
+++ b/tests/test_discovery_queue.py
@@ -1,34 +1,34 @@
-"""Discovery's line: one call after another, given up after three seconds; waits are the module's own."""
+"""Discovery's queue: one call after another, given up after three seconds; waits are the balancer's."""
 
 from __future__ import annotations
 
 import pytest
 
-from testbed.cluster_simulation.line import Line, S, returned
+from testbed.cluster_simulation.discovery_queue import DiscoveryQueue, S, returned
 from testbed.model.queue import Queue
 
 
 def test_queue_serves_calls_one_after_another() -> None:
-    line = Line(Queue(), 1_000)
-    assert [line.takes_until() for _ in range(3)] == [(1_000, True), (2_000, True), (3_000, True)]
+    discovery = DiscoveryQueue(Queue(), 1_000)
+    assert [discovery.takes_until() for _ in range(3)] == [(1_000, True), (2_000, True), (3_000, True)]
 
 
 def test_call_waiting_over_three_seconds_is_given_up_and_takes_no_time() -> None:
-    line = Line(Queue(), 2 * S)
-    assert [line.takes_until() for _ in range(4)] == [
+    discovery = DiscoveryQueue(Queue(), 2 * S)
+    assert [discovery.takes_until() for _ in range(4)] == [
         (2 * S, True),
         (4 * S, True),
         (3 * S, False),
         (3 * S, False),
     ]
-    line.queue.run(2 * S)
-    assert line.takes_until() == (6 * S, True)
+    discovery.queue.run(2 * S)
+    assert discovery.takes_until() == (6 * S, True)
 
 
 def test_call_while_down_is_rejected_at_once() -> None:
-    line = Line(Queue(), 1_000)
-    line.is_down = True
-    assert line.takes_until() == (0, False)
+    discovery = DiscoveryQueue(Queue(), 1_000)
+    discovery.is_down = True
+    assert discovery.takes_until() == (0, False)
 
 
 def test_all_return_and_a_seed_repeats_the_run() -> None:
