--- a/sidecar/configuration_rollout.py
+++ b/sidecar/configuration_rollout.py
@@ -18,6 +18,7 @@
     ReadConfiguration,
     RolloutAction,
     RolloutConcluded,
+    RolloutReport,
     VersionForgotten,
     VersionMissing,
 )
@@ -161,13 +162,13 @@
         if isinstance(action, ReadConfiguration):
             self._read_configuration()
             return
-        event = _log_event(action)
-        if event is not None and self._log_limiter.try_acquire(self._clock.now()):
-            self._log(event)
+        if isinstance(action, RolloutReport) and self._log_limiter.try_acquire(self._clock.now()):
+            self._log(log_event(action))
 
 
-def _log_event(action: RolloutAction) -> LogEvent | None:
-    match action:
+def log_event(report: RolloutReport) -> LogEvent:
+    """The event that tells operators of a report."""
+    match report:
         case RolloutConcluded(after_us, status):
             return _conclusion_event(after_us / 1e6, status)
         case AmbiguousVersion(version, min_digest, max_digest):
@@ -176,7 +177,6 @@
             return ConfigurationMissing(version, first_reported_by, after_us / 1e6)
         case VersionForgotten(version, first_reported_by):
             return ConfigurationWithdrawn(version, first_reported_by)
-    return None
 
 
 def _conclusion_event(after_s: float, status: RolloutStatus) -> LogEvent:
--- a/tests/cluster_vocabulary.py
+++ b/tests/cluster_vocabulary.py
@@ -39,7 +39,7 @@
     def __init__(self, me: int, size: int, seed: int, now: int, unix_s: float, version: int) -> None:
         settings = MembershipSettings()
         self._membership = Membership(me, size, "cluster", settings, random.Random(seed), now, unix_s)
-        self._settings = RolloutSettings(wave_s=10.0)
+        self._settings = RolloutSettings(round_interval_s=10.0)
         table, rng = self._membership.table, random.Random(seed + 1)
         self._rollout = Rollout(me, "cluster", table, self._settings, rng, now, version, 1_000 + version)
 
