--- a/fuzz/fuzz_codec.py
+++ b/fuzz/fuzz_codec.py
@@ -13,7 +13,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
 with atheris.instrument_imports(include=["sidecar.http"]):
-    from oracle import disagreement, ours
+    from oracle import disagreement, read_by_codec
 
 
 def one(data: bytes) -> None:
@@ -25,9 +25,9 @@
     if wrong is not None:
         raise AssertionError(wrong)
     at = 1 + (data[0] >> 1) % (len(raw) - 1)
-    whole = ours([raw], is_request=is_request)
+    whole = read_by_codec([raw], is_request=is_request)
     for parts in ([raw[:at], raw[at:]], [raw[each : each + 1] for each in range(len(raw))]):
-        if ours(parts, is_request=is_request) != whole:
+        if read_by_codec(parts, is_request=is_request) != whole:
             raise AssertionError(f"cut as {parts!r:.300} it is something else")
 
 
--- a/tests/oracle.py
+++ b/tests/oracle.py
@@ -1,8 +1,8 @@
-"""The codec held against h11: the same bytes to both, whole and in cuts.
+"""Compares the codec with h11: both read the same bytes, in one piece and in several.
 
-Both verdicts are reduced to what matters here: was a message taken, with which body, and did more come with
-it.  Where they differ, the codec has to be the stricter one, and for a reason that stands in `STRICTER`; what
-it takes and h11 does not would stand in `LOOSER`.
+Verdicts hold what matters here: whether a message was accepted, with which body, and whether more followed.
+Where they differ, the codec must be the stricter one, for a reason listed in `STRICTER`; what it accepts and
+h11 rejects would be listed in `MORE_LENIENT`.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 from sidecar.http import MalformedMessage, RequestHead, RequestReader, ResponseHead, ResponseReader, Signal
 
-_ENDED = (h11.DONE, h11._state.MIGHT_SWITCH_PROTOCOL)
+_COMPLETE_STATES = (h11.DONE, h11._state.MIGHT_SWITCH_PROTOCOL)
 
 
 @dataclass(frozen=True)
 class Verdict:
-    """What one reader made of some bytes."""
+    """The result of reading some bytes."""
 
-    is_refused: bool = False
+    is_rejected: bool = False
     first: tuple[bytes, ...] = ()  # method and target, or the status
     headers: tuple[tuple[bytes, bytes], ...] = ()
     body: bytes = b""
@@ -30,16 +30,16 @@
     is_reusable: bool = False  # nothing more came, and a further message may
 
 
-REFUSED = Verdict(is_refused=True)
+REJECTED = Verdict(is_rejected=True)
 
 
-def _plain(headers: Iterable[tuple[bytes, bytes]]) -> tuple[tuple[bytes, bytes], ...]:
-    """As h11 gives them: it writes a transfer coding in lower case."""
+def _normalized(headers: Iterable[tuple[bytes, bytes]]) -> tuple[tuple[bytes, bytes], ...]:
+    """Return headers as h11 does: it writes a transfer coding in lower case."""
     return tuple((name, value.lower() if name == b"transfer-encoding" else value) for name, value in headers)
 
 
-def ours(parts: Iterable[bytes], *, is_request: bool) -> Verdict:
-    """What the codec makes of bytes that come in these parts, up to the end of one message."""
+def read_by_codec(parts: Iterable[bytes], *, is_request: bool) -> Verdict:
+    """Read bytes that arrive in these parts by the codec, up to the end of one message."""
     reader: RequestReader | ResponseReader = RequestReader() if is_request else ResponseReader()
     first: tuple[bytes, ...] = ()
     headers: tuple[tuple[bytes, bytes], ...] = ()
@@ -50,22 +50,22 @@
             reader.receive(part)
             while (event := reader.next_event()) is not Signal.NEED_DATA and event is not Signal.PAUSED:
                 if isinstance(event, RequestHead):
-                    first, headers = (event.method, event.target), _plain(event.headers)
+                    first, headers = (event.method, event.target), _normalized(event.headers)
                 elif isinstance(event, ResponseHead):
-                    first, headers = (b"%d" % event.status,), _plain(event.headers)
+                    first, headers = (b"%d" % event.status,), _normalized(event.headers)
                 elif isinstance(event, bytes):
                     body += event
                 else:
                     is_complete = True
     except MalformedMessage:
-        return REFUSED
+        return REJECTED
     return Verdict(
         False, first, headers, body, is_complete, reader.is_reusable and not reader.has_trailing_data
     )
 
 
-def theirs(raw: bytes, *, is_request: bool) -> Verdict:
-    """What h11 makes of the same bytes."""
+def read_by_h11(raw: bytes, *, is_request: bool) -> Verdict:
+    """Read the same bytes by h11."""
     reader = h11.Connection(h11.SERVER if is_request else h11.CLIENT)
     if not is_request:
         reader.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
@@ -78,22 +78,22 @@
         reader.receive_data(raw)
         while (event := reader.next_event()) is not h11.NEED_DATA and event is not h11.PAUSED:
             if isinstance(event, h11.Request):
-                first, headers = (event.method, event.target), _plain(event.headers)
+                first, headers = (event.method, event.target), _normalized(event.headers)
             elif isinstance(event, h11.Response):
-                first, headers = (b"%d" % event.status_code,), _plain(event.headers)
+                first, headers = (b"%d" % event.status_code,), _normalized(event.headers)
             elif isinstance(event, h11.Data):
                 body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 is_complete = True
                 break
     except h11.RemoteProtocolError:
-        return REFUSED
-    is_reusable = reader.their_state in _ENDED and not reader.trailing_data[0]
+        return REJECTED
+    is_reusable = reader.their_state in _COMPLETE_STATES and not reader.trailing_data[0]
     return Verdict(False, first, headers, body, is_complete, is_reusable)
 
 
 def cuts(raw: bytes) -> Iterable[list[bytes]]:
-    """The bytes whole, in two at every place, and one by one."""
+    """Yield the bytes in one piece, cut in two at every place, and one by one."""
     yield [raw]
     for at in range(1, len(raw)):
         yield [raw[:at], raw[at:]]
@@ -102,18 +102,18 @@
 
 @dataclass(frozen=True)
 class Reason:
-    """Why the codec refuses what h11 takes: how such bytes look, and one case of it."""
+    """Why the codec rejects what h11 accepts: a pattern of such bytes, and one example."""
 
-    looks: re.Pattern[bytes]
-    case: bytes
+    pattern: re.Pattern[bytes]
+    example: bytes
     is_request: bool = True
 
     def covers(self, raw: bytes) -> bool:
-        return self.looks.search(raw) is not None
+        return self.pattern.search(raw) is not None
 
 
-def _reason(looks: bytes, case: bytes, *, is_request: bool = True) -> Reason:
-    return Reason(re.compile(looks, re.DOTALL), case, is_request)
+def _reason(pattern: bytes, example: bytes, *, is_request: bool = True) -> Reason:
+    return Reason(re.compile(pattern, re.DOTALL), example, is_request)
 
 
 def _get(fields: bytes = b"", first: bytes = b"GET / HTTP/1.1") -> bytes:
@@ -126,7 +126,7 @@
 
 _METHODS = rb"DELETE|GET|HEAD|POST|PUT|OPTIONS|TRACE|PATCH"
 
-# What h11 takes and the codec refuses.
+# What h11 accepts and the codec rejects.
 STRICTER = {
     "a bare LF ends no line: others may see one line there": _reason(rb"(?<!\r)\n", _get(b"A: b\n")),
     "a folded line is one line to some and two to others": _reason(rb"\r\n[ \t]", _get(b"A: b\r\n c\r\n")),
@@ -167,23 +167,23 @@
     ),
 }
 
-# What h11 refuses and the codec takes.
-LOOSER: dict[str, Reason] = {}
+# What h11 rejects and the codec accepts.
+MORE_LENIENT: dict[str, Reason] = {}
 
 
 def disagreement(raw: bytes, *, is_request: bool) -> str | None:
-    """What is wrong between the two on these bytes; None if all is well."""
-    mine, other = ours([raw], is_request=is_request), theirs(raw, is_request=is_request)
-    if mine == other:
+    """Describe an unexpected difference between the two on these bytes; None if there is none."""
+    own, other = read_by_codec([raw], is_request=is_request), read_by_h11(raw, is_request=is_request)
+    if own == other:
         return None
-    if mine.is_refused and not other.is_refused:
-        if not other.is_complete and theirs(raw + b"\r\n", is_request=is_request).is_refused:
+    if own.is_rejected and not other.is_rejected:
+        if not other.is_complete and read_by_h11(raw + b"\r\n", is_request=is_request).is_rejected:
             return None  # h11 waits for the line's end before it says the same
-        return None if any(each.covers(raw) for each in STRICTER.values()) else f"h11 takes it as {other}"
-    if other.is_refused and not mine.is_refused:
-        if not mine.is_complete and not mine.first:
+        is_expected = any(reason.covers(raw) for reason in STRICTER.values())
+        return None if is_expected else f"h11 accepts it as {other}"
+    if other.is_rejected and not own.is_rejected:
+        if not own.is_complete and not own.first:
             return None  # it waits for the rest of a head; the client's time to send it is bounded
-        return (
-            None if any(each.covers(raw) for each in LOOSER.values()) else f"h11 refuses it, taken as {mine}"
-        )
-    return f"h11 has {other}, not {mine}"
+        is_expected = any(reason.covers(raw) for reason in MORE_LENIENT.values())
+        return None if is_expected else f"h11 rejects it, accepted as {own}"
+    return f"h11 has {other}, not {own}"
--- a/tests/test_http_oracle.py
+++ b/tests/test_http_oracle.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
-from oracle import LOOSER, STRICTER, Reason, cuts, disagreement, ours, theirs
+from oracle import MORE_LENIENT, STRICTER, Reason, cuts, disagreement, read_by_codec, read_by_h11
 
 HOST = b"Host: x\r\n"
 FIELDS = [
@@ -142,16 +142,18 @@
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
     @given(message(REQUESTS if is_request else ANSWERS))
     def every_cut(raw: bytes) -> None:
-        whole = ours([raw], is_request=is_request)
+        whole = read_by_codec([raw], is_request=is_request)
         for parts in cuts(raw):
-            assert ours(parts, is_request=is_request) == whole, parts
+            assert read_by_codec(parts, is_request=is_request) == whole, parts
 
     every_cut()
 
 
-@pytest.mark.parametrize("reason", [*STRICTER.values(), *LOOSER.values()], ids=[*STRICTER, *LOOSER])
+@pytest.mark.parametrize(
+    "reason", [*STRICTER.values(), *MORE_LENIENT.values()], ids=[*STRICTER, *MORE_LENIENT]
+)
 def test_reason_to_differ_from_h11_covers_its_example(reason: Reason) -> None:
-    mine = ours([reason.case], is_request=reason.is_request)
-    other = theirs(reason.case, is_request=reason.is_request)
-    assert reason.covers(reason.case)
-    assert mine.is_refused != other.is_refused
+    own = read_by_codec([reason.example], is_request=reason.is_request)
+    other = read_by_h11(reason.example, is_request=reason.is_request)
+    assert reason.covers(reason.example)
+    assert own.is_rejected != other.is_rejected
