--- a/Makefile
+++ b/Makefile
@@ -81,15 +81,15 @@
 membership: setup
 	$(BIN)/python -m testbed.cluster_simulation.measure
 
-# What membership costs a member by the tier's size, in peace and in each event: data of docs/CAPACITY.md.
+# What membership costs a member by the tier's size, in peace and in each event: data of docs/capacity.md.
 slopes: setup
 	$(BIN)/python -m testbed.cluster_simulation.slopes $(CASES)
 
-# How soon all sidecars have an answer again after discovery was down, by their number: data of docs/CAPACITY.md.
+# How soon all sidecars have an answer again after discovery was down, by their number: data of docs/capacity.md.
 line: setup
 	$(BIN)/python -m testbed.cluster_simulation.discovery_queue
 
-# docs/CAPACITY.md and its plots, from the runs in docs/capacity/ and testbed/capacity/rows.toml.
+# docs/capacity.md and its plots, from the runs in docs/capacity/ and testbed/capacity/rows.toml.
 capacity: setup
 	$(BIN)/python -m testbed.capacity
 
--- a/testbed/capacity/__main__.py
+++ b/testbed/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""Make docs/CAPACITY.md and its plots from the committed runs: `make capacity`."""
+"""Make docs/capacity.md and its plots from the committed runs: `make capacity`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from testbed.capacity.rows import fill, read_table
 from testbed.capacity.samples import FOLDER, ROOT, load_all
 
-PAGE = ROOT / "docs" / "CAPACITY.md"
+PAGE = ROOT / "docs" / "capacity.md"
 
 
 def main() -> None:
--- a/testbed/capacity/page.py
+++ b/testbed/capacity/page.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md and its plots from the runs below docs/capacity/ and the rows of rows.toml."""
+"""docs/capacity.md and its plots from the runs below docs/capacity/ and the rows of rows.toml."""
 
 from __future__ import annotations
 
