--- a/sidecar/admin_interface.py
+++ b/sidecar/admin_interface.py
@@ -17,7 +17,7 @@
 
 from sidecar.address import Address
 from sidecar.errors import SidecarError
-from sidecar.http import CONTINUE, MalformedMessage, RequestHead, RequestReader, Signal, response_head
+from sidecar.http import CONTINUE, MalformedMessageError, RequestHead, RequestReader, Signal, response_head
 
 MAX_CONNECTIONS = 16  # at once; each takes a descriptor
 _MAX_BODY_BYTES = 4 << 10
@@ -180,7 +180,7 @@
         self._http.receive(data)
         try:
             self._read_request()
-        except MalformedMessage as error:
+        except MalformedMessageError as error:
             self._respond(AdminResponse(error.status, {"error": f"this is no HTTP/1.1: {error}"}))
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/sidecar/cluster/membership.py
+++ b/sidecar/cluster/membership.py
@@ -23,7 +23,7 @@
 from sidecar.cluster.member_table import MemberTable
 from sidecar.cluster.message import (
     DropReason,
-    InvalidDatagram,
+    InvalidDatagramError,
     MembershipUpdate,
     MemberState,
     Message,
@@ -85,7 +85,7 @@
             return []
         try:
             message = self._decode(sender, payload)
-        except InvalidDatagram as invalid:
+        except InvalidDatagramError as invalid:
             self.dropped[invalid.reason] += 1
             return []
         self._check_stall(now)
@@ -166,7 +166,7 @@
 
     def _decode(self, sender: int, payload: bytes) -> Message:
         if not 0 <= sender < len(self.table) or sender == self.number:
-            raise InvalidDatagram(DropReason.UNKNOWN_SENDER)
+            raise InvalidDatagramError(DropReason.UNKNOWN_SENDER)
         return decode(payload, self._cluster, sender)
 
     def _process_updates(self, now: int, message: Message) -> None:
--- a/sidecar/cluster/message.py
+++ b/sidecar/cluster/message.py
@@ -142,7 +142,7 @@
     cluster: int
 
 
-class InvalidDatagram(Exception):
+class InvalidDatagramError(Exception):
     """A datagram that is not taken."""
 
     def __init__(self, reason: DropReason) -> None:
@@ -161,17 +161,17 @@
 
 
 def decode(data: bytes, cluster: int, sender: int) -> Message:
-    """Decode what came from the address of `sender`; raise InvalidDatagram on anything not of this form."""
+    """Decode what came from the address of `sender`; raise InvalidDatagramError on any other form."""
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise InvalidDatagram(DropReason.TOO_LONG)
+        raise InvalidDatagramError(DropReason.TOO_LONG)
     try:
         message = _DECODER.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError):
-        raise InvalidDatagram(_decode_failure(data)) from None
+        raise InvalidDatagramError(_decode_failure(data)) from None
     if message.cluster != cluster:
-        raise InvalidDatagram(DropReason.OTHER_CLUSTER)
+        raise InvalidDatagramError(DropReason.OTHER_CLUSTER)
     if message.sender != sender:
-        raise InvalidDatagram(DropReason.WRONG_SENDER)
+        raise InvalidDatagramError(DropReason.WRONG_SENDER)
     return message
 
 
--- a/sidecar/cluster/rollout.py
+++ b/sidecar/cluster/rollout.py
@@ -15,7 +15,7 @@
 from sidecar.cluster.configuration_file_checks import ConfigurationFileChecks
 from sidecar.cluster.member_set import member_bit
 from sidecar.cluster.member_table import MemberTable
-from sidecar.cluster.message import DropReason, InvalidDatagram, cluster_id
+from sidecar.cluster.message import DropReason, InvalidDatagramError, cluster_id
 from sidecar.cluster.rollout_actions import ReadConfiguration, RolloutAction, VersionForgotten, VersionMissing
 from sidecar.cluster.rollout_exchanges import RolloutExchanges
 from sidecar.cluster.rollout_message import MAX_ROUND_NUMBER, ExchangeKind, RolloutMessage, decode
@@ -67,7 +67,7 @@
         """A datagram came from the address of the member `sender`."""
         try:
             message = self._decode(sender, payload)
-        except InvalidDatagram as invalid:
+        except InvalidDatagramError as invalid:
             self.dropped[invalid.reason] += 1
             return []
         remote = message.aggregation_round(now)
@@ -236,7 +236,7 @@
 
     def _decode(self, sender: int, payload: bytes) -> RolloutMessage:
         if not 0 <= sender < len(self._state.table) or sender == self._state.number:
-            raise InvalidDatagram(DropReason.UNKNOWN_SENDER)
+            raise InvalidDatagramError(DropReason.UNKNOWN_SENDER)
         return decode(payload, self._cluster, sender)
 
     def _begin_exchange(self, now: int) -> None:
--- a/sidecar/cluster/rollout_message.py
+++ b/sidecar/cluster/rollout_message.py
@@ -15,7 +15,7 @@
 from sidecar.cluster.aggregation import NO_DIGESTS, AggregationRound
 from sidecar.cluster.limits import MAX_CONFIGURATION_VERSION, MAX_DATAGRAM_BYTES
 from sidecar.cluster.member_set import CHUNK_BYTES, chunk_of, decode_chunk
-from sidecar.cluster.message import MAX_MEMBERS, MAX_UINT32, DropReason, InvalidDatagram, MemberNumber
+from sidecar.cluster.message import MAX_MEMBERS, MAX_UINT32, DropReason, InvalidDatagramError, MemberNumber
 
 FORMAT_VERSION = 2
 _FORMAT_VERSION_BYTE = bytes([FORMAT_VERSION])
@@ -82,22 +82,22 @@
 
 
 def decode(payload: bytes, cluster: int, sender: int) -> RolloutMessage:
-    """Decode what came from the address of `sender`; raise InvalidDatagram on anything not of this form."""
+    """Decode what came from the address of `sender`; raise InvalidDatagramError on any other form."""
     if len(payload) > MAX_DATAGRAM_BYTES:
-        raise InvalidDatagram(DropReason.TOO_LONG)
+        raise InvalidDatagramError(DropReason.TOO_LONG)
     try:
         message = _DECODER.decode(payload)
     except (msgspec.DecodeError, ValueError, RecursionError):
-        raise InvalidDatagram(DropReason.MALFORMED) from None
+        raise InvalidDatagramError(DropReason.MALFORMED) from None
     if message.cluster != cluster:
-        raise InvalidDatagram(DropReason.OTHER_CLUSTER)
+        raise InvalidDatagramError(DropReason.OTHER_CLUSTER)
     if message.sender != sender:
-        raise InvalidDatagram(DropReason.WRONG_SENDER)
+        raise InvalidDatagramError(DropReason.WRONG_SENDER)
     digests = (message.min_digest, message.max_digest)
     if message.min_digest > message.max_digest and digests != NO_DIGESTS:
-        raise InvalidDatagram(DropReason.MALFORMED)
+        raise InvalidDatagramError(DropReason.MALFORMED)
     if message.in_force.endswith(b"\0") or message.behind.endswith(b"\0"):
-        raise InvalidDatagram(DropReason.MALFORMED)
+        raise InvalidDatagramError(DropReason.MALFORMED)
     return message
 
 
--- a/sidecar/downstream/connection.py
+++ b/sidecar/downstream/connection.py
@@ -19,12 +19,12 @@
     ReceiveProgress,
 )
 from sidecar.downstream.request_parsing import CHUNKED
-from sidecar.downstream.request_validation import InvalidRequest
+from sidecar.downstream.request_validation import InvalidRequestError
 from sidecar.http import (
     CONTINUE,
     LAST_CHUNK,
     Headers,
-    MalformedMessage,
+    MalformedMessageError,
     RequestHead,
     RequestReader,
     Signal,
@@ -250,7 +250,7 @@
                 return  # guards against a client that sends request after request and reads no response
             try:
                 event = self._reader.next_event()
-            except MalformedMessage as error:
+            except MalformedMessageError as error:
                 self._reject(error.status, f"{error}\n".encode())
                 return
             if isinstance(event, bytes):
@@ -308,7 +308,7 @@
             return
         try:
             incoming = self._owner.parse(self._head, bytes(self._body))
-        except InvalidRequest as error:
+        except InvalidRequestError as error:
             self._reject(400, f"{error}\n".encode())
             return
         # The client's time runs from when it sent the request, not from when that was read.
@@ -355,7 +355,7 @@
         upload = Upload(length, self._pause_upload, self._resume_upload)
         try:
             incoming = self._owner.parse(self._head, upload)
-        except InvalidRequest as error:
+        except InvalidRequestError as error:
             self._reject(400, f"{error}\n".encode())
             return
         buffered, self._body = bytes(self._body), bytearray()
--- a/sidecar/downstream/downstream.py
+++ b/sidecar/downstream/downstream.py
@@ -121,7 +121,7 @@
     # Called by connections
 
     def parse(self, head: RequestHead, body: bytes | Upload) -> IncomingRequest:
-        """Parse a request as the settings demand; raise InvalidRequest."""
+        """Parse a request as the settings demand; raise InvalidRequestError."""
         return parse_request(head, body, self._classes, self._tenants)
 
     def add(self, connection: DownstreamConnection) -> None:
--- a/sidecar/downstream/request_parsing.py
+++ b/sidecar/downstream/request_parsing.py
@@ -12,7 +12,7 @@
 from balancer.settings import ServiceClass
 from sidecar.downstream.body_streaming import Upload
 from sidecar.downstream.request_validation import (
-    InvalidRequest,
+    InvalidRequestError,
     requested_class,
     requested_timeout_us,
     requested_work_us,
@@ -66,7 +66,7 @@
     classes: Mapping[str, ServiceClass],
     tenants: frozenset[str],
 ) -> IncomingRequest:
-    """Validate a request and prepare it for forwarding; raise InvalidRequest on what no server must see."""
+    """Validate a request and prepare it for forwarding; raise InvalidRequestError if it must not be."""
     protocol_headers: dict[bytes, bytes] = {}
     headers = _forwarded_headers(head, protocol_headers)
     required_header(protocol_headers, b"host")  # optional in HTTP/1.0, but not towards servers
@@ -75,7 +75,7 @@
     remaining_us = requested_timeout_us(protocol_headers)
     validate_idempotency(head, protocol_headers, service_class)
     if not head.target.startswith(b"/"):
-        raise InvalidRequest("the target is no path")
+        raise InvalidRequestError("the target is no path")
     cost_us = requested_work_us(protocol_headers)
     length = len(body) if isinstance(body, bytes) else body.length
     if length is None:
@@ -106,7 +106,7 @@
         name, value = header
         if name in _PROTOCOL_HEADERS:
             if name in protocol_headers:
-                raise InvalidRequest(f"{name.decode()} stands twice")
+                raise InvalidRequestError(f"{name.decode()} stands twice")
             protocol_headers[name] = value
         if name not in _NOT_FORWARDED:
             headers.append(header)
--- a/sidecar/downstream/request_validation.py
+++ b/sidecar/downstream/request_validation.py
@@ -16,62 +16,62 @@
 _WORK_HINT_US = re.compile(rb"[0-9]{1,15}")
 
 
-class InvalidRequest(Exception):
+class InvalidRequestError(Exception):
     """A request that is HTTP, but violates the platform's protocol; the message is for its client."""
 
 
 def required_header(protocol_headers: Mapping[bytes, bytes], name: bytes) -> bytes:
-    """Return the value of a header; raise InvalidRequest if it is missing."""
+    """Return the value of a header; raise InvalidRequestError if it is missing."""
     value = protocol_headers.get(name)
     if value is None:
-        raise InvalidRequest(f"{name.decode()} is missing")
+        raise InvalidRequestError(f"{name.decode()} is missing")
     return value
 
 
 def requested_class(
     protocol_headers: Mapping[bytes, bytes], classes: Mapping[str, ServiceClass]
 ) -> ServiceClass:
-    """Return the service class of a request; raise InvalidRequest if there is none of that name."""
+    """Return the service class of a request; raise InvalidRequestError if there is none of that name."""
     name = required_header(protocol_headers, b"request-class").decode("latin-1")
     service_class = classes.get(name)
     if service_class is None:
-        raise InvalidRequest("request-class is unknown")
+        raise InvalidRequestError("request-class is unknown")
     return service_class
 
 
 def requested_timeout_us(protocol_headers: Mapping[bytes, bytes]) -> int:
-    """Return how long the client waits, in microseconds; raise InvalidRequest unless that is positive."""
+    """Return how long the client waits, in microseconds; raise InvalidRequestError unless positive."""
     text = required_header(protocol_headers, b"request-timeout")
     timeout_us = round(float(text) * 1e6) if _TIMEOUT_S.fullmatch(text) else 0
     if timeout_us <= 0:
-        raise InvalidRequest("request-timeout is nonsense")
+        raise InvalidRequestError("request-timeout is nonsense")
     return timeout_us
 
 
 def requested_work_us(protocol_headers: Mapping[bytes, bytes]) -> int | None:
-    """Return the client's estimate of a server's work, if it gave one; raise InvalidRequest on nonsense."""
+    """Return the client's estimate of a server's work, if any; raise InvalidRequestError if invalid."""
     hint = protocol_headers.get(b"work-hint")
     if hint is None:
         return None
     if not _WORK_HINT_US.fullmatch(hint):
-        raise InvalidRequest("work-hint is nonsense")
+        raise InvalidRequestError("work-hint is nonsense")
     return int(hint)
 
 
 def validate_request_id(protocol_headers: Mapping[bytes, bytes]) -> None:
-    """Raise InvalidRequest unless there is a request ID of 1 to 128 printable characters."""
+    """Raise InvalidRequestError unless there is a request ID of 1 to 128 printable characters."""
     if not _REQUEST_ID.fullmatch(required_header(protocol_headers, b"request-id")):
-        raise InvalidRequest("request-id is nonsense")
+        raise InvalidRequestError("request-id is nonsense")
 
 
 def validate_idempotency(
     head: RequestHead, protocol_headers: Mapping[bytes, bytes], service_class: ServiceClass
 ) -> None:
-    """Raise InvalidRequest unless method and idempotency key are those of the service class."""
+    """Raise InvalidRequestError unless method and idempotency key are those of the service class."""
     idempotency = service_class.idempotency
     is_get = head.method == b"GET"
     if (head.method not in (b"GET", b"POST")) or is_get != (idempotency is Idempotency.IDEMPOTENT):
-        raise InvalidRequest("the method is not that of the class")
+        raise InvalidRequestError("the method is not that of the class")
     key = protocol_headers.get(b"idempotency-key")
     if (key is not None) != (idempotency is Idempotency.WITH_KEY) or key == b"":
-        raise InvalidRequest("idempotency-key does not go with the class")
+        raise InvalidRequestError("idempotency-key does not go with the class")
--- a/sidecar/http/__init__.py
+++ b/sidecar/http/__init__.py
@@ -4,7 +4,7 @@
 transfer coding; `reader` turns bytes into events; `writer` turns messages into bytes.
 """
 
-from sidecar.http.grammar import Headers, MalformedMessage, RequestHead, ResponseHead
+from sidecar.http.grammar import Headers, MalformedMessageError, RequestHead, ResponseHead
 from sidecar.http.reader import RequestReader, ResponseReader, Signal
 from sidecar.http.writer import CONTINUE, LAST_CHUNK, chunk, request_head, response_head
 
@@ -12,7 +12,7 @@
     "CONTINUE",
     "LAST_CHUNK",
     "Headers",
-    "MalformedMessage",
+    "MalformedMessageError",
     "RequestHead",
     "RequestReader",
     "ResponseHead",
--- a/sidecar/http/chunked.py
+++ b/sidecar/http/chunked.py
@@ -10,7 +10,7 @@
 
 from httptools import HttpParserError, HttpRequestParser
 
-from sidecar.http.grammar import MAX_HEAD_BYTES, MalformedMessage
+from sidecar.http.grammar import MAX_HEAD_BYTES, MalformedMessageError
 
 MAX_FRAMING_BYTES = MAX_HEAD_BYTES  # bytes of chunk extensions and trailers in one body
 _FRAMING_BYTES_PER_CHUNK = 32  # allowed beyond that: the size, line ends, a short extension
@@ -32,18 +32,18 @@
         self._parser.feed_data(_PARSER_HEAD)
 
     def feed(self, data: bytes) -> bytes:
-        """Return the part of the body that is in these bytes; raise MalformedMessage on broken framing."""
+        """Return the part of the body in these bytes; raise MalformedMessageError on broken framing."""
         try:
             self._parser.feed_data(data)
         except HttpParserError as error:
             if not self.is_complete:
-                raise MalformedMessage(f"chunks: {error}") from None
+                raise MalformedMessageError(f"chunks: {error}") from None
             self.has_trailing_data = True
         pieces, self._pieces = self._pieces, []
         body = pieces[0] if len(pieces) == 1 else b"".join(pieces)
         self._framing_bytes += len(data) - len(body)
         if self._framing_bytes > MAX_FRAMING_BYTES + _FRAMING_BYTES_PER_CHUNK * self._chunks:
-            raise MalformedMessage("chunks: too much beside the body")
+            raise MalformedMessageError("chunks: too much beside the body")
         self._last_bytes = (self._last_bytes + data[-5:])[-5:]
         if self.is_complete and not _LAST_LINE_AND_EMPTY_LINE.fullmatch(self._last_bytes):
             self.has_trailing_data = True  # line ends, which llhttp skips before a message
--- a/sidecar/http/grammar.py
+++ b/sidecar/http/grammar.py
@@ -28,7 +28,7 @@
 _FIRST_BYTE = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]")  # methods and `HTTP/` alike
 
 
-class MalformedMessage(Exception):
+class MalformedMessageError(Exception):
     """A message that is not HTTP/1.1, or that is rejected because parsers may differ on it.
 
     `status` is the status of the response that a client gets for it.
@@ -118,15 +118,15 @@
 def check_beginning(part: bytes | bytearray, start: int) -> None:
     """Reject what can't become a head any more, before its end has arrived; new bytes begin at `start`."""
     if not _FIRST_BYTE.match(part):
-        raise MalformedMessage("a first line of another form")
+        raise MalformedMessageError("a first line of another form")
     if _BARE_LF.search(part, max(start - 1, 0)) and not part.startswith(b"\n"):
-        raise MalformedMessage("a line ends with a bare LF")
+        raise MalformedMessageError("a line ends with a bare LF")
     if len(part) > MAX_HEAD_BYTES:
-        raise MalformedMessage("the head is too long", 431)
+        raise MalformedMessageError("the head is too long", 431)
 
 
 def read_request_head(head: bytes) -> RequestHead:
-    """Parse a head from its first byte to its empty line; raise MalformedMessage if it is none."""
+    """Parse a head from its first byte to its empty line; raise MalformedMessageError if it is none."""
     fields = _FieldCollector()
     parser = HttpRequestParser(fields)
     _parse(parser, head, _REQUEST)
@@ -146,14 +146,14 @@
 
 
 def read_response_head(head: bytes) -> ResponseHead:
-    """Parse a head from its first byte to its empty line; raise MalformedMessage if it is none."""
+    """Parse a head from its first byte to its empty line; raise MalformedMessageError if it is none."""
     fields = _FieldCollector()
     parser = HttpResponseParser(fields)
     _parse(parser, head, _RESPONSE)
     framing = _Framing(fields.headers, is_http_1_0=head[7] == 0x30)
     status = parser.get_status_code()
     if status == 101:
-        raise MalformedMessage("another protocol, which nobody asked for")
+        raise MalformedMessageError("another protocol, which nobody asked for")
     is_empty = status < 200 or status in (204, 304)
     return ResponseHead(
         status,
@@ -166,18 +166,18 @@
 
 def _parse(parser: HttpRequestParser | HttpResponseParser, head: bytes, pattern: re.Pattern[bytes]) -> None:
     if len(head) > MAX_HEAD_BYTES:
-        raise MalformedMessage("the head is too long", 431)
+        raise MalformedMessageError("the head is too long", 431)
     if pattern.fullmatch(head) is None:
         rule = next(rule for rule in HEAD_RULES if rule.is_broken_by(head))
-        raise MalformedMessage(rule.name, rule.status)
+        raise MalformedMessageError(rule.name, rule.status)
     if head.count(b"\n") > MAX_FIELDS + 2:
-        raise MalformedMessage("too many fields", 431)
+        raise MalformedMessageError("too many fields", 431)
     try:
         parser.feed_data(head)
     except HttpParserUpgrade:
         pass  # an upgrade is offered and not accepted
     except HttpParserError as error:
-        raise MalformedMessage(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
 
 
 class _Framing:
@@ -201,25 +201,25 @@
             if handle is not None:
                 handle(self, value)
         if self.is_chunked and (self.length is not None or is_http_1_0):
-            raise MalformedMessage("a transfer coding beside a length or in HTTP/1.0")
+            raise MalformedMessageError("a transfer coding beside a length or in HTTP/1.0")
 
     def check_host(self) -> None:
-        """Raise MalformedMessage unless there is one `Host`; HTTP/1.0 may do without."""
+        """Raise MalformedMessageError unless there is one `Host`; HTTP/1.0 may do without."""
         if self._hosts != 1 and not (self.is_http_1_0 and not self._hosts):
-            raise MalformedMessage("host is missing or stands twice")
+            raise MalformedMessageError("host is missing or stands twice")
 
     def _content_length(self, value: bytes) -> None:
         if self.length is not None:
-            raise MalformedMessage("content-length stands twice")
+            raise MalformedMessageError("content-length stands twice")
         if not _LENGTH.fullmatch(value):
-            raise MalformedMessage("content-length is no plain number")
+            raise MalformedMessageError("content-length is no plain number")
         if len(value) > _MAX_LENGTH_DIGITS:
-            raise MalformedMessage("content-length is too long", 413)
+            raise MalformedMessageError("content-length is too long", 413)
         self.length = int(value)
 
     def _transfer_encoding(self, value: bytes) -> None:
         if self.is_chunked or value.lower() != b"chunked":
-            raise MalformedMessage("a transfer coding other than one chunked", 501)
+            raise MalformedMessageError("a transfer coding other than one chunked", 501)
         self.is_chunked = True
 
     def _connection(self, value: bytes) -> None:
--- a/sidecar/http/reader.py
+++ b/sidecar/http/reader.py
@@ -12,7 +12,7 @@
 
 from sidecar.http.chunked import ChunkedBody
 from sidecar.http.grammar import (
-    MalformedMessage,
+    MalformedMessageError,
     RequestHead,
     ResponseHead,
     check_beginning,
@@ -59,7 +59,7 @@
     def next_event(self) -> Head | bytes | Signal:
         """Return a head, a piece of its body or a signal.
 
-        Raise MalformedMessage, after which the reader can't be used any more.
+        Raise MalformedMessageError, after which the reader can't be used any more.
         """
         return self._step()
 
@@ -194,7 +194,7 @@
         if read.status < 200:
             self._interim += 1
             if self._interim > _MAX_INTERIM_RESPONSES:
-                raise MalformedMessage("too many answers before the final one")
+                raise MalformedMessageError("too many answers before the final one")
             return None
         self._expect_body(read.length, read.is_chunked, read.keeps_alive)
         return read
--- a/sidecar/upstream/http_exchange.py
+++ b/sidecar/upstream/http_exchange.py
@@ -18,7 +18,7 @@
 from sidecar.http import (
     LAST_CHUNK,
     Headers,
-    MalformedMessage,
+    MalformedMessageError,
     ResponseHead,
     ResponseReader,
     Signal,
@@ -264,7 +264,7 @@
                     return
                 else:
                     return
-        except MalformedMessage:
+        except MalformedMessageError:
             self._fail(ExchangeFailure.MALFORMED_RESPONSE)
 
     def _head_received(self, head: ResponseHead) -> None:
--- a/tests/oracle.py
+++ b/tests/oracle.py
@@ -13,7 +13,14 @@
 
 import h11
 
-from sidecar.http import MalformedMessage, RequestHead, RequestReader, ResponseHead, ResponseReader, Signal
+from sidecar.http import (
+    MalformedMessageError,
+    RequestHead,
+    RequestReader,
+    ResponseHead,
+    ResponseReader,
+    Signal,
+)
 
 _COMPLETE_STATES = (h11.DONE, h11._state.MIGHT_SWITCH_PROTOCOL)
 
@@ -57,7 +64,7 @@
                     body += event
                 else:
                     is_complete = True
-    except MalformedMessage:
+    except MalformedMessageError:
         return REJECTED
     return Verdict(
         False, first, headers, body, is_complete, reader.is_reusable and not reader.has_trailing_data
--- a/tests/test_http_codec.py
+++ b/tests/test_http_codec.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sidecar.http import (
-    MalformedMessage,
+    MalformedMessageError,
     RequestHead,
     RequestReader,
     ResponseHead,
@@ -23,7 +23,7 @@
 
 def refusal(raw: bytes) -> tuple[str, int]:
     reader = RequestReader()
-    with pytest.raises(MalformedMessage) as caught:
+    with pytest.raises(MalformedMessageError) as caught:
         reader.receive(raw)
         while reader.next_event() not in (Signal.NEED_DATA, Signal.PAUSED):
             pass
@@ -118,7 +118,7 @@
     head = reader.next_event()
     assert isinstance(head, RequestHead) and head.length is None
     more = b"a" * 100 if endless.startswith(b"5") else b"A: b\r\n" * 16
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         for _ in range(MAX_FRAMING_BYTES // len(more) + 2):
             assert reader.next_event() is Signal.NEED_DATA
             reader.receive(more)
@@ -197,7 +197,7 @@
 def test_malformed_response_is_rejected(raw: bytes) -> None:
     reader = ResponseReader()
     reader.receive(raw)
-    with pytest.raises(MalformedMessage):
+    with pytest.raises(MalformedMessageError):
         reader.next_event()
 
 
--- a/tests/test_request_parsing.py
+++ b/tests/test_request_parsing.py
@@ -7,7 +7,7 @@
 from balancer.settings import Idempotency, ServiceClass
 from sidecar.downstream.body_streaming import Upload
 from sidecar.downstream.request_parsing import IncomingRequest, parse_request
-from sidecar.downstream.request_validation import InvalidRequest
+from sidecar.downstream.request_validation import InvalidRequestError
 from sidecar.http import Headers, RequestHead
 
 CLASSES = {
@@ -37,7 +37,7 @@
 
 
 def test_request_header_of_the_protocol_that_occurs_twice_is_invalid() -> None:
-    with pytest.raises(InvalidRequest, match="request-id stands twice"):
+    with pytest.raises(InvalidRequestError, match="request-id stands twice"):
         parse((b"request-id", b"9b20"))
 
 
--- a/tests/test_rollout_message.py
+++ b/tests/test_rollout_message.py
@@ -17,7 +17,7 @@
 from sidecar.cluster.limits import MAX_CONFIGURATION_VERSION, MAX_DATAGRAM_BYTES
 from sidecar.cluster.member_set import CHUNK_MEMBERS
 from sidecar.cluster.member_table import MemberTable
-from sidecar.cluster.message import MAX_MEMBERS, DropReason, InvalidDatagram, cluster_id
+from sidecar.cluster.message import MAX_MEMBERS, DropReason, InvalidDatagramError, cluster_id
 from sidecar.cluster.rollout import Rollout
 from sidecar.cluster.rollout_message import (
     MAX_ROUND_AGE,
@@ -74,7 +74,7 @@
 
 def test_membership_drops_rollout_message_as_other_format_version() -> None:
     payload = encode(CLUSTER, 1, ExchangeKind.PUSH_PULL, AggregationRound(1, 1, 1, 0), 0, 0)
-    with pytest.raises(InvalidDatagram, match="another version"):
+    with pytest.raises(InvalidDatagramError, match="another version"):
         message.decode(payload, CLUSTER, 1)
     own = message.Message(1, CLUSTER, 1, 7, message.MessageKind.PING, 0, -1, 0, 0, b"", [])
     assert not is_rollout_message(message.encode(own))
