--- a/sidecar/cluster/aggregation.py
+++ b/sidecar/cluster/aggregation.py
@@ -28,10 +28,12 @@
 
     @property
     def key(self) -> tuple[int, int]:
+        """The version and the number of the round, by which rounds are ordered."""
         return self.version, self.number
 
     @property
     def behind(self) -> int:
+        """Bit set of the members that reported an earlier version and none in force since."""
         return self.reported_behind & ~self.in_force
 
     @property
--- a/sidecar/cluster/configuration_file_checks.py
+++ b/sidecar/cluster/configuration_file_checks.py
@@ -28,9 +28,11 @@
         self.next_at = max(now + spread_us, self._last_at + _FIRST_INTERVAL_US)
 
     def stop(self) -> None:
+        """Schedule no more checks, because the newest version is in force here."""
         self.next_at = None
 
     def is_due(self, now: int) -> bool:
+        """Whether the time of the next check has come; `now` in microseconds."""
         return self.next_at is not None and self.next_at <= now
 
     def becomes_missing(self, now: int) -> bool:
--- a/sidecar/cluster/failure_detector.py
+++ b/sidecar/cluster/failure_detector.py
@@ -31,6 +31,7 @@
 
     @property
     def deadlines(self) -> list[int]:
+        """Clock times in microseconds at which this is to be called again."""
         pending = self.pings.next_deadline
         return [self._next_ping_at] if pending is None else [self._next_ping_at, pending]
 
@@ -43,10 +44,12 @@
         self._next_ping_at = now + int(self._context.period_us(now) * self._context.random.random())
 
     def table_resized(self) -> None:
+        """Discard the pings of members that are no longer in the table, and draw a new order of targets."""
         self.pings.discard_from(len(self._context.table))
         self._targets.reset()
 
     def process_stalled(self) -> None:
+        """Discard all pending pings: their acknowledgements may have been missed."""
         self.pings.discard_from(0)
 
     # Time
--- a/sidecar/cluster/local_health.py
+++ b/sidecar/cluster/local_health.py
@@ -13,10 +13,12 @@
 
     @property
     def multiplier(self) -> int:
+        """The factor by which timeouts and periods are extended."""
         return self.score + 1
 
     @property
     def is_worst(self) -> bool:
+        """Whether the score has reached its maximum."""
         return self.score == _MAX_SCORE
 
     def ping_acknowledged(self) -> None:
--- a/sidecar/cluster/local_member.py
+++ b/sidecar/cluster/local_member.py
@@ -29,4 +29,5 @@
         )
 
     def begin_incarnation(self, incarnation: int) -> None:
+        """Continue as this incarnation, at most the greatest one, with no refutations."""
         self.incarnation, self.refutations = min(incarnation, MAX_INCARNATION), 0
--- a/sidecar/cluster/member_context.py
+++ b/sidecar/cluster/member_context.py
@@ -34,4 +34,5 @@
         return max(allowed_us, self.settings.min_period_ms * 1_000) * self.health.multiplier
 
     def min_suspicion_timeout_us(self, now: int) -> int:
+        """The shortest time in microseconds from a suspicion to the death of a member."""
         return min_timeout_us(len(self.table), self.period_us(now), self.settings.suspicion_periods)
--- a/sidecar/cluster/member_table.py
+++ b/sidecar/cluster/member_table.py
@@ -23,6 +23,7 @@
 
     @property
     def state(self) -> MemberState:
+        """The state according to the update in force."""
         return self.update.state
 
     @property
@@ -32,6 +33,7 @@
 
     @property
     def has_ended(self) -> bool:
+        """Whether this incarnation is dead or has left."""
         return self.update.has_ended
 
 
--- a/sidecar/cluster/membership.py
+++ b/sidecar/cluster/membership.py
@@ -143,6 +143,7 @@
 
     @property
     def incarnation(self) -> int:
+        """The incarnation of the local member."""
         return self._local.incarnation
 
     @property
@@ -156,6 +157,7 @@
         return self._failure_detector.period_us
 
     def size(self) -> ClusterSize:
+        """The numbers of members by their state."""
         return self.table.size()
 
     def silence_us(self, now: int) -> int:
--- a/sidecar/cluster/message.py
+++ b/sidecar/cluster/message.py
@@ -88,14 +88,17 @@
     def create(
         member: int, incarnation: int, state: MemberState, refutations: int, reported_by: int
     ) -> MembershipUpdate:
+        """Make an update from its parts; state and refutations share one field."""
         return MembershipUpdate(member, incarnation, (refutations << _STATE_BITS) | state, reported_by)
 
     @property
     def state(self) -> MemberState:
+        """The state of the member."""
         return _STATES[self.status & _STATE_MASK]
 
     @property
     def refutations(self) -> int:
+        """How many suspicions this incarnation has refuted."""
         return self.status >> _STATE_BITS
 
     @property
@@ -105,6 +108,7 @@
 
     @property
     def has_ended(self) -> bool:
+        """Whether the incarnation is dead or has left."""
         return self.status & _STATE_MASK >= MemberState.DEAD
 
     @property
--- a/sidecar/cluster/outbox.py
+++ b/sidecar/cluster/outbox.py
@@ -33,6 +33,7 @@
         self._actions: list[MembershipAction] = []
 
     def add(self, action: MembershipAction) -> None:
+        """Collect an action for the next `drain`."""
         self._actions.append(action)
 
     def drain(self) -> list[MembershipAction]:
@@ -78,6 +79,7 @@
         self._actions.append(SendDatagram(receiver, encode(message)))
 
     def table_resized(self) -> None:
+        """Discard updates about members that are no longer in the table."""
         self.dissemination.discard_from(len(self._table))
         self._sketch_first = 0
 
--- a/sidecar/cluster/pings.py
+++ b/sidecar/cluster/pings.py
@@ -25,6 +25,7 @@
 
     @property
     def next_deadline(self) -> int:
+        """Clock time in microseconds at which this ping is relayed or has failed."""
         return self.relays_due_at if self.is_direct else self.fails_at
 
 
@@ -48,6 +49,7 @@
 
     @property
     def relayed_count(self) -> int:
+        """The number of pending pings that other members requested."""
         return len(self._relayed)
 
     def next_sequence_number(self) -> int:
@@ -77,6 +79,7 @@
 
     @property
     def next_deadline(self) -> int | None:
+        """The earliest clock time in microseconds at which a ping is due; None without pending pings."""
         deadlines = [relayed.nack_due_at for relayed in self._relayed.values()]
         if self.own is not None:
             deadlines.append(self.own.next_deadline)
--- a/sidecar/cluster/refutation.py
+++ b/sidecar/cluster/refutation.py
@@ -25,6 +25,7 @@
 
     @property
     def next_deadline(self) -> int | None:
+        """Clock time in microseconds at which yielding ends; None while it does not yield."""
         return self._yields_until
 
     def member_heard(self, now: int) -> None:
--- a/sidecar/cluster/rollout.py
+++ b/sidecar/cluster/rollout.py
@@ -139,10 +139,12 @@
 
     @property
     def newest_heard_at(self) -> int:
+        """Clock time in microseconds at which the newest version was heard of."""
         return self._state.newest_heard_at
 
     @property
     def newest_heard_from(self) -> int:
+        """The number of the member from which the newest version was heard."""
         return self._state.newest_heard_from
 
     @property
--- a/sidecar/cluster/rollout_state.py
+++ b/sidecar/cluster/rollout_state.py
@@ -41,10 +41,12 @@
 
     @property
     def exchange_period_us(self) -> int:
+        """The time between two exchanges in microseconds."""
         return int(1e6 / self.settings.datagrams_per_s)
 
     @property
     def chunk_count(self) -> int:
+        """The number of chunks into which the members are divided."""
         return chunk_count(len(self.table))
 
     @property
@@ -59,4 +61,5 @@
         return max(int(self.settings.round_interval_s * 1e6), 2 * self.round_fill_us)
 
     def jittered(self, interval_us: int) -> int:
+        """The interval in microseconds times a random factor from 0.8 to 1.2."""
         return int(interval_us * (0.8 + 0.4 * self.random.random()))
--- a/sidecar/cluster/update_processing.py
+++ b/sidecar/cluster/update_processing.py
@@ -17,10 +17,12 @@
 
     @property
     def suspicion_count(self) -> int:
+        """The number of members that are suspected at present."""
         return len(self._suspicions)
 
     @property
     def suspicion_deadlines(self) -> list[int]:
+        """Clock times in microseconds at which the suspicions expire."""
         return [suspicion.expires_at for suspicion in self._suspicions.values()]
 
     def update_received(self, now: int, update: MembershipUpdate) -> None:
@@ -59,6 +61,7 @@
                 self._declare_dead(now, number)
 
     def restart_suspicions(self, now: int) -> None:
+        """Start the timeouts of all suspicions again from `now`, in microseconds."""
         for suspicion in self._suspicions.values():
             suspicion.restart(now)
 
--- a/sidecar/downstream/client_transport.py
+++ b/sidecar/downstream/client_transport.py
@@ -88,6 +88,7 @@
     # What the client has taken
 
     def pause_writing(self) -> None:
+        """Called by the event loop: the write buffer has exceeded its limit."""
         self._is_writing_paused = True
         self._writing.restart()
         self._owner.watch_progress(self)
--- a/sidecar/downstream/connection.py
+++ b/sidecar/downstream/connection.py
@@ -184,6 +184,7 @@
     # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop: a client has connected."""
         # The event loop's own class is none of asyncio's, so there is nothing to check.
         self._transport = cast(Transport, transport)
         self.receiving.started_at = asyncio.get_running_loop().time()
@@ -191,6 +192,7 @@
         self._owner.add(self)
 
     def data_received(self, data: bytes) -> None:
+        """Called by the event loop: the client sent these bytes."""
         if self._is_reading_ended:
             return
         if self._pending_request is not None and self._upload is None:
@@ -208,6 +210,7 @@
         self._read()
 
     def resume_writing(self) -> None:
+        """Called by the event loop: the write buffer has drained."""
         self._is_writing_paused = False
         if self._transport is None or self._transport.is_closing():
             return
@@ -224,9 +227,11 @@
             self._read()
 
     def eof_received(self) -> None:
+        """Called by the event loop: the client closed its sending side."""
         self._client_disconnected()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Called by the event loop: the connection is closed."""
         self._client_disconnected()
         self._enter(ConnectionState.CLOSED)
         self._is_reading_ended = True
--- a/sidecar/downstream/flow_control.py
+++ b/sidecar/downstream/flow_control.py
@@ -31,9 +31,11 @@
     """A protocol that reads a bounded piece at a time, whatever the system holds."""
 
     def get_buffer(self, sizehint: int) -> bytearray:
+        """Called by the event loop: return the buffer that the next piece is received into."""
         return _RECEIVE_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
+        """Called by the event loop: the buffer holds `nbytes` of new data."""
         self.data_received(bytes(_RECEIVE_VIEW[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
--- a/sidecar/http/chunked.py
+++ b/sidecar/http/chunked.py
@@ -52,14 +52,18 @@
     # Called by llhttp
 
     def on_message_begin(self) -> None:
+        """Called by the parser: a message begins; after a complete body it is trailing data."""
         self.has_trailing_data = self.is_complete
 
     def on_chunk_header(self) -> None:
+        """Called by the parser: a chunk begins."""
         self._chunks += 1
 
     def on_body(self, body: bytes) -> None:
+        """Called by the parser: a piece of the body."""
         if not self.is_complete:
             self._pieces.append(body)
 
     def on_message_complete(self) -> None:
+        """Called by the parser: the body has ended."""
         self.is_complete = True
--- a/sidecar/http/reader.py
+++ b/sidecar/http/reader.py
@@ -186,6 +186,7 @@
         self._interim = 0
 
     def start_next(self) -> None:
+        """Read the next response, which may have interim responses of its own."""
         super().start_next()
         self._interim = 0
 
--- a/sidecar/interfaces.py
+++ b/sidecar/interfaces.py
@@ -11,29 +11,41 @@
 class Transport(Protocol):
     """The part of asyncio.Transport that is used here."""
 
-    def write(self, data: bytes) -> None: ...
+    def write(self, data: bytes) -> None:
+        """Write or buffer these bytes."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close after the buffered bytes are sent."""
 
-    def abort(self) -> None: ...
+    def abort(self) -> None:
+        """Close at once; buffered bytes are discarded."""
 
-    def is_closing(self) -> bool: ...
+    def is_closing(self) -> bool:
+        """Whether it is closed or about to be."""
 
-    def is_reading(self) -> bool: ...
+    def is_reading(self) -> bool:
+        """Whether received data is delivered at present."""
 
-    def pause_reading(self) -> None: ...
+    def pause_reading(self) -> None:
+        """Deliver no received data until `resume_reading`."""
 
-    def resume_reading(self) -> None: ...
+    def resume_reading(self) -> None:
+        """Deliver received data again."""
 
-    def can_write_eof(self) -> bool: ...
+    def can_write_eof(self) -> bool:
+        """Whether `write_eof` is supported."""
 
-    def write_eof(self) -> None: ...
+    def write_eof(self) -> None:
+        """Close the sending side after the buffered bytes are sent."""
 
-    def get_write_buffer_size(self) -> int: ...
+    def get_write_buffer_size(self) -> int:
+        """Return the number of bytes that are buffered for sending."""
 
-    def set_write_buffer_limits(self, high: int) -> None: ...
+    def set_write_buffer_limits(self, high: int) -> None:
+        """Call `pause_writing` of the protocol above `high` buffered bytes."""
 
-    def get_extra_info(self, name: str) -> Any: ...
+    def get_extra_info(self, name: str) -> Any:
+        """Return a property of the connection by its name, or None."""
 
 
 class ResponseSource(Protocol):
--- a/sidecar/peers.py
+++ b/sidecar/peers.py
@@ -32,6 +32,7 @@
 
     @property
     def is_listening(self) -> bool:
+        """Whether datagrams are received at present."""
         return self._transport is not None
 
     @property
@@ -67,15 +68,18 @@
         return True
 
     def close(self) -> None:
+        """Close the socket; it may listen again."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop: the socket is open."""
         # uvloop's class does not derive from DatagramTransport, so there is nothing to check.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
+        """Called by the event loop: a datagram came from this address."""
         number = self._numbers.get((addr[0], addr[1]))
         if number is None or number == self._own_number or len(data) > MAX_DATAGRAM_BYTES:
             self.unknown_sender_count += 1
--- a/sidecar/upstream/http_exchange.py
+++ b/sidecar/upstream/http_exchange.py
@@ -215,15 +215,18 @@
     # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop: the connection to the server is established."""
         # The event loop's own class is none of asyncio's, so there is nothing to check.
         self._transport = cast(Transport, transport)
         self._transport.set_write_buffer_limits(high=0)  # pause_writing then means: something is unwritten
         self._socket = ConnectionSocket(self._transport)
 
     def pause_writing(self) -> None:
+        """Called by the event loop: bytes wait in the write buffer."""
         self._is_writing_paused = True
 
     def resume_writing(self) -> None:
+        """Called by the event loop: the write buffer is empty."""
         self._is_writing_paused = False
         if self._upload is not None:
             self._upload.resume()
@@ -231,18 +234,21 @@
             self._notify_written()
 
     def data_received(self, data: bytes) -> None:
+        """Called by the event loop: the server sent these bytes."""
         if self._on_result is None:
             self.close()  # unsolicited
             return
         self._read(data)
 
     def eof_received(self) -> None:
+        """Called by the event loop: the server closed its sending side."""
         if self._on_result is not None:
             self._reader.receive_end()
             self._read(b"")  # the end may be what frames the response
         self._fail(self._lost_connection())
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Called by the event loop: the connection is closed."""
         self._fail(self._lost_connection())
         if self._socket is not None:
             self._socket.release()
