--- a/balancer/attempt_timeouts.py
+++ b/balancer/attempt_timeouts.py
@@ -114,9 +114,12 @@
         if self._context.now - attempt.sent_at < enough_us:
             due = attempt.sent_at + enough_us
             self._scheduler.schedule_attempt(due, request.request_id, attempt.index)
-        elif endpoint.ejected_until is None and self._did_others_respond(attempt):
-            if not self._connections.record_silence(attempt):
-                self._outliers.eject(endpoint, EjectionReason.SILENT)
+        elif (
+            endpoint.ejected_until is None
+            and self._did_others_respond(attempt)
+            and not self._connections.record_silence(attempt)
+        ):
+            self._outliers.eject(endpoint, EjectionReason.SILENT)
         return endpoint.ejected_until is not None or attempt.is_blamed_on_idle_connection
 
     def _did_others_respond(self, attempt: Attempt) -> bool:
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -134,7 +134,9 @@
         self._outliers.record_arrival()
         cost = self._latency.relative_cost(service_class, event.cost_us)
         deadline = self._context.now + MAX_BODY_ARRIVAL_US
-        request = Request(event.request, service_class, deadline, cost, event.is_body_streaming)
+        request = Request(
+            event.request, service_class, deadline, cost, has_streamed_body=event.is_body_streaming
+        )
         self._requests[event.request] = request
         if not event.is_body_streaming:
             self._start_deadline(request, event.remaining_us)
@@ -168,9 +170,9 @@
     def _attempt(self, request: Request) -> None:
         """Send the request to a selected endpoint, or finish it where nothing is left to try."""
         endpoint = self._select(request)
-        if endpoint is None or not self._send(request, endpoint):
-            if not request.has_pending_attempt():
-                self._finish(request)
+        is_sent = endpoint is not None and self._send(request, endpoint)
+        if not is_sent and not request.has_pending_attempt():
+            self._finish(request)
 
     def _select(self, request: Request) -> Endpoint | None:
         endpoint = self._outliers.endpoint_for_trial(request)
@@ -195,7 +197,7 @@
         attempt.idle_us = self._connections.use_connection(endpoint)
         request.attempts.append(attempt)
         self._updates.record_attempt(endpoint)
-        self._slow_start.record_attempt(endpoint, request.relative_cost, attempt.index == 0)
+        self._slow_start.record_attempt(endpoint, request.relative_cost, is_first=attempt.index == 0)
         self._outliers.record_attempt(attempt)
         if not request.is_body_arriving:
             self._start_attempt(request, attempt)
@@ -280,7 +282,7 @@
         request.is_body_consumed |= event.is_body_consumed
         was_in_flight = self._in_flight.finish(attempt)
         self._updates.close_idle_if_unavailable(attempt.endpoint)
-        self._record_outcome(request, attempt, event, was_in_flight)
+        self._record_outcome(request, attempt, event, was_in_flight=was_in_flight)
         if event.is_request_answered:
             if not request.is_answered:
                 self._close(request)
@@ -289,7 +291,7 @@
         self._forget_if_over(request)
 
     def _record_outcome(
-        self, request: Request, attempt: Attempt, event: AttemptEnded, was_in_flight: bool
+        self, request: Request, attempt: Attempt, event: AttemptEnded, *, was_in_flight: bool
     ) -> None:
         """Let the mechanisms learn from the end of an attempt."""
         endpoint, outcome = attempt.endpoint, event.outcome
--- a/balancer/discovery_polling.py
+++ b/balancer/discovery_polling.py
@@ -39,7 +39,7 @@
         """Watch the endpoint list, and poll again if there is no answer."""
         settings = self._context.settings
         if settings.discovery is DiscoveryMode.ON_REQUEST:
-            self._context.actions.append(WatchEndpoints(True))
+            self._context.actions.append(WatchEndpoints(is_enabled=True))
             self._schedule(MAX_BACKOFF * settings.guarantees.max_poll_interval_us)
 
     def poll_if_due(self) -> None:
--- a/balancer/mapping_reader.py
+++ b/balancer/mapping_reader.py
@@ -20,7 +20,7 @@
 
     def __init__(self, given: object, path: str = "") -> None:
         if not isinstance(given, Mapping):
-            raise ValueError(f"{path}: a mapping is needed")
+            raise ValueError(f"{path}: a mapping is needed")  # noqa: TRY004 - callers catch ValueError for any invalid input
         self._given = given
         self._prefix = f"{path}." if path else ""
 
@@ -58,7 +58,7 @@
             raise self._error(key, "a list of texts")
         return tuple(value)
 
-    def boolean(self, key: str, default: bool) -> bool:
+    def boolean(self, key: str, *, default: bool) -> bool:
         """Read true or false."""
         value = self._value(key)
         if value is None:
--- a/balancer/outlier_detection.py
+++ b/balancer/outlier_detection.py
@@ -94,7 +94,7 @@
         if outcome is Outcome.DELIVERED:
             self._record_response(attempt)
         elif outcome in FAILURES:
-            self._record_failure(attempt, outcome, was_trial)
+            self._record_failure(attempt, outcome, was_trial=was_trial)
 
     def _record_response(self, attempt: Attempt) -> None:
         endpoint = attempt.endpoint
@@ -106,13 +106,13 @@
         if endpoint.ejected_until is not None:
             self.readmit(endpoint)
 
-    def _record_failure(self, attempt: Attempt, outcome: Outcome, was_trial: bool) -> None:
+    def _record_failure(self, attempt: Attempt, outcome: Outcome, *, was_trial: bool) -> None:
         endpoint = attempt.endpoint
         if outcome is Outcome.TIMED_OUT and endpoint.last_response_at > attempt.sent_at:
             return  # it is slow, but answered others meanwhile
-        if outcome in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST):
-            if self._connections.record_silence(attempt) and not was_trial:
-                return
+        may_be_idle_connection = outcome in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
+        if may_be_idle_connection and self._connections.record_silence(attempt) and not was_trial:
+            return
         endpoint.consecutive_failures += 1
         has_failed_often = endpoint.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
         if was_trial or (has_failed_often and endpoint.ejected_until is None):
--- a/balancer/requests.py
+++ b/balancer/requests.py
@@ -77,6 +77,7 @@
         service_class: ServiceClass,
         deadline: int,
         relative_cost: float,
+        *,
         has_streamed_body: bool,
     ) -> None:
         self.request_id = request_id
--- a/balancer/settings_wire.py
+++ b/balancer/settings_wire.py
@@ -47,7 +47,7 @@
 def settings_from_wire(given: object) -> Settings:
     """Translate a settings object; raise ValueError, beginning with the path of the key, on nonsense."""
     if not isinstance(given, Mapping):
-        raise ValueError("settings: an object is needed")
+        raise ValueError("settings: an object is needed")  # noqa: TRY004 - callers catch ValueError for any invalid input
     top = MappingReader(given)
     classes = tuple(_service_class(section) for section in top.sections("lanes"))
     if not classes:
@@ -74,8 +74,8 @@
         costs=_costs(top.section("prices")),
         objective=_objective(top.section("goal")),
         machine_types=top.texts("kinds"),
-        clients_mark_retries=top.section("clientHabits").boolean("marksRetry", False),
-        warm_keys=top.section("domain").boolean("warmKeys", False),
+        clients_mark_retries=top.section("clientHabits").boolean("marksRetry", default=False),
+        warm_keys=top.section("domain").boolean("warmKeys", default=False),
     )
 
 
@@ -95,7 +95,7 @@
         idempotency=lane.word("repeat", _IDEMPOTENCY_WORDS, Idempotency.NOT_IDEMPOTENT),
         idempotency_scope=lane.choice("group", IdempotencyScope, IdempotencyScope.CELL),
         idempotency_window_us=lane.integer("memorySpanUs", 0),
-        streaming=lane.boolean("streaming", False),
+        streaming=lane.boolean("streaming", default=False),
         latency_objective_stretch=lane.number("aimStretch", 0.0),
     )
 
@@ -111,11 +111,11 @@
 def _limits(bounds: MappingReader) -> Limits:
     return Limits(
         max_attempts=bounds.integer("sendCap", 1),
-        hedged_requests=bounds.boolean("secondCopies", False),
-        may_cancel_attempts=bounds.boolean("mayCancel", False),
-        may_health_check=bounds.boolean("probing", False),
-        may_message_peers=bounds.boolean("mayTell", False),
-        retry_after=bounds.boolean("retryAfter", False),
+        hedged_requests=bounds.boolean("secondCopies", default=False),
+        may_cancel_attempts=bounds.boolean("mayCancel", default=False),
+        may_health_check=bounds.boolean("probing", default=False),
+        may_message_peers=bounds.boolean("mayTell", default=False),
+        retry_after=bounds.boolean("retryAfter", default=False),
         max_retry_after_us=bounds.integer("maxRetryAfterUs", 0),
         connect_timeout_us=bounds.integer("dialTimeoutUs", 250_000),
         idle_timeout_us=bounds.integer("idleCloseUs", 15_000_000),
@@ -135,7 +135,7 @@
         slow_start_us=guarantees.integer("coldUs", 30_000_000),
         overload_multiple=guarantees.number("fallMultiple", 1.0, low=_MIN_FRACTION),
         overload_window_us=guarantees.integer("fallUs", 2_000_000, low=1),
-        full_may_have_executed=guarantees.boolean("lateShedding", False),
+        full_may_have_executed=guarantees.boolean("lateShedding", default=False),
         close_idle_within_us=guarantees.optional_integer("letGoInUs"),
     )
 
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -9,7 +9,7 @@
 import json
 import sys
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any, TextIO, TypeVar
+from typing import Any, TextIO, TypeVar, assert_never
 
 from balancer.actions import (
     Action,
@@ -222,30 +222,34 @@
 
 def _action_message(action: Action) -> tuple[str, list[Any]]:
     """The name of an action's message and its values after the instance's name."""
+    message: tuple[str, list[Any]]
     match action:
         case SendAttempt():
-            return "ASSIGN", [action.request, action.server, action.deadline]
+            message = "ASSIGN", [action.request, action.server, action.deadline]
         case Reject():
-            return "NOT_NOW", [action.request, action.retry_after_us]
+            message = "NOT_NOW", [action.request, action.retry_after_us]
         case Fail():
-            return "SURRENDER", [action.request]
+            message = "SURRENDER", [action.request]
         case CancelAttempt():
-            return "ABORT_ATTEMPT", [action.request, action.attempt]
+            message = "ABORT_ATTEMPT", [action.request, action.attempt]
         case SetTimer():
-            return "REMIND", [action.delay_us, action.token]
+            message = "REMIND", [action.delay_us, action.token]
         case HealthCheck():
-            return "CHECK", [action.server]
+            message = "CHECK", [action.server]
         case CloseIdleConnections():
-            return "SHUT_IDLE", [action.server]
+            message = "SHUT_IDLE", [action.server]
         case SendPeerMessage():
             receiver = _ALL_PEERS if action.receiver is None else action.receiver
-            return "POST", [receiver, action.payload.hex()]
+            message = "POST", [receiver, action.payload.hex()]
         case WatchEndpoints():
-            return "FOLLOW", [action.is_enabled]
+            message = "FOLLOW", [action.is_enabled]
         case PollEndpoints():
-            return "REFRESH", []
+            message = "REFRESH", []
         case Log():
-            return "REMARK", [action.text]
+            message = "REMARK", [action.text]
+        case _:
+            assert_never(action)
+    return message
 
 
 def _encode_action(instance: str, action: Action) -> str:
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -48,7 +48,7 @@
         if not self.is_warming_up(endpoint):
             self._warm_responses.add(self._context.now, 1.0)
 
-    def record_attempt(self, endpoint: Endpoint, relative_cost: float, is_first: bool) -> None:
+    def record_attempt(self, endpoint: Endpoint, relative_cost: float, *, is_first: bool) -> None:
         """Take a sent attempt from the endpoint's budget.
 
         Retries are no evidence of capacity: they would make budgets of what servers reject.
--- a/bench/load.py
+++ b/bench/load.py
@@ -52,7 +52,7 @@
             due, self.due = self.due, None
             self._load.answered(self, time.monotonic() - due, self._answer.startswith(b"HTTP/1.1 200"))
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         self._load.lost(self)
 
 
--- a/bench/member.py
+++ b/bench/member.py
@@ -173,7 +173,7 @@
 
 def figures(size: int, rounds: int = 50) -> list[Sample]:
     """The operators' figures of a tier in which everybody else is dead: the longest that they get."""
-    peers = Peers((), None, 0, lambda sender, data: None)
+    peers = Peers((), None, 0, lambda _sender, _data: None)
     own = ClusterMembership(0, TIER, 1, Clock(), peers, _silent, _silent)
     own.protocol = member(size)
     for number in range(1, size):
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -38,7 +38,7 @@
         else:
             self.other.transport.write(data)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         if self.other is not None and self.other.transport is not None:
             self.other.transport.close()
 
--- a/bench/stages.py
+++ b/bench/stages.py
@@ -80,9 +80,10 @@
     while time.monotonic() < until:
         try:
             socket.create_connection((HOST, port)).close()
-            return
         except OSError:
             time.sleep(0.01)
+        else:
+            return
     raise TimeoutError(f"nobody listens at port {port}")
 
 
--- a/sidecar/action_executor.py
+++ b/sidecar/action_executor.py
@@ -74,17 +74,20 @@
             case CloseIdleConnections():
                 self._upstream.close_idle(action.server)
             case WatchEndpoints():
-                self._discovery.watch(action.is_enabled)
+                self._discovery.watch(is_enabled=action.is_enabled)
             case PollEndpoints():
                 self._discovery.poll()
             case HealthCheck():
                 self._attempts.send_health_check(action.server)
             case SendPeerMessage():
-                if not self._peers.send(action.receiver, action.payload):
-                    self._log(PeerMessageNotSent(MAX_DATAGRAM_BYTES))
+                self._send_peer_message(action)
             case Log():
                 self._log(BalancerLine(action.text))
 
+    def _send_peer_message(self, action: SendPeerMessage) -> None:
+        if not self._peers.send(action.receiver, action.payload):
+            self._log(PeerMessageNotSent(MAX_DATAGRAM_BYTES))
+
     def _reject(self, action: Reject) -> None:
         headers: Headers = []
         if action.retry_after_us > 0 and self._sends_retry_after:
--- a/sidecar/address.py
+++ b/sidecar/address.py
@@ -15,7 +15,7 @@
     There is no DNS, so names are rejected.  Raise ValueError on anything else.
     """
     if not isinstance(value, str):
-        raise ValueError(f"address:port is needed, not {value!r:.60}")
+        raise ValueError(f"address:port is needed, not {value!r:.60}")  # noqa: TRY004 - as for other text
     host, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
--- a/sidecar/admin_interface.py
+++ b/sidecar/admin_interface.py
@@ -97,22 +97,26 @@
             return AdminResponse(400, {"error": str(error)})
 
     def _ready(self, _: bytes) -> AdminResponse:
-        return _confirm(self._operations.is_ready(), 503, "it takes no clients now")
+        return _confirm(503, "it takes no clients now", is_done=self._operations.is_ready())
 
     def _metrics(self, _: bytes) -> AdminResponse:
         return AdminResponse(200, self._operations.metrics())
 
     def _exclude(self, body: bytes) -> AdminResponse:
-        return _confirm(self._operations.exclude(_server(body)), 404, "no server of this id was ever listed")
+        return _confirm(
+            404, "no server of this id was ever listed", is_done=self._operations.exclude(_server(body))
+        )
 
     def _include(self, body: bytes) -> AdminResponse:
-        return _confirm(self._operations.include(_server(body)), 404, "no server of this id was ever listed")
+        return _confirm(
+            404, "no server of this id was ever listed", is_done=self._operations.include(_server(body))
+        )
 
     def _drain_clients(self, _: bytes) -> AdminResponse:
-        return _confirm(self._operations.drain_clients(), 409, "it is about to end")
+        return _confirm(409, "it is about to end", is_done=self._operations.drain_clients())
 
     def _resume_clients(self, _: bytes) -> AdminResponse:
-        return _confirm(self._operations.resume_clients(), 409, "it is about to end")
+        return _confirm(409, "it is about to end", is_done=self._operations.resume_clients())
 
 
 class AdminInterface:
@@ -183,7 +187,7 @@
         except MalformedMessageError as error:
             self._respond(AdminResponse(error.status, {"error": f"this is no HTTP/1.1: {error}"}))
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         self._has_responded = True
         if self._timeout is not None:
             self._timeout.cancel()
@@ -249,7 +253,7 @@
     return request.target.partition(b"?")[0]
 
 
-def _confirm(is_done: bool, error_status: int, error: str) -> AdminResponse:
+def _confirm(error_status: int, error: str, *, is_done: bool) -> AdminResponse:
     return AdminResponse(200, {"ok": True}) if is_done else AdminResponse(error_status, {"error": error})
 
 
--- a/sidecar/administration.py
+++ b/sidecar/administration.py
@@ -39,13 +39,13 @@
         if watch:
             self._persisted.watch(self._apply_all)
 
-    def set_excluded(self, server: str, is_excluded: bool) -> bool:
+    def set_excluded(self, server: str, *, is_excluded: bool) -> bool:
         """Exclude or include a server, as an operator asked; False if it was never listed."""
         if not self._balancer.knows_endpoint(server):
             return False
         if self._persisted is not None:
-            self._persisted.record(server, is_excluded, self._upstream.excluded)
-        self._apply(server, is_excluded)
+            self._persisted.record(server, self._upstream.excluded, is_excluded=is_excluded)
+        self._apply(server, is_excluded=is_excluded)
         return True
 
     def close(self) -> None:
@@ -53,7 +53,7 @@
         if self._persisted is not None:
             self._persisted.close()
 
-    def _apply(self, server: str, is_excluded: bool) -> None:
+    def _apply(self, server: str, *, is_excluded: bool) -> None:
         if is_excluded:
             self._upstream.exclude(server)
             self._dispatch(EndpointExcluded(server))
@@ -63,7 +63,7 @@
 
     def _apply_all(self, excluded: frozenset[str]) -> None:
         for server in sorted(self._upstream.excluded ^ excluded):
-            self._apply(server, server in excluded)
+            self._apply(server, is_excluded=server in excluded)
 
 
 class Administration:
@@ -101,11 +101,11 @@
 
     def exclude(self, server: str) -> bool:
         """Send nothing more to a server; False if it was never listed."""
-        return self._exclusions.set_excluded(server, True)
+        return self._exclusions.set_excluded(server, is_excluded=True)
 
     def include(self, server: str) -> bool:
         """Use a server again; False if it was never listed."""
-        return self._exclusions.set_excluded(server, False)
+        return self._exclusions.set_excluded(server, is_excluded=False)
 
     def drain_clients(self) -> bool:
         """Send clients away, as at an end, and keep running; False during the graceful shutdown."""
--- a/sidecar/attempts.py
+++ b/sidecar/attempts.py
@@ -85,7 +85,7 @@
         path = b"/_load" if is_report_in_body else b"/ping"
         health_check = OutgoingRequest(b"GET", path, [(b"host", server.encode())])
         self._upstream.start(
-            Attempt(server, sent_at + _HEALTH_CHECK_TIMEOUT_US, lambda left_us: health_check, on_ended)
+            Attempt(server, sent_at + _HEALTH_CHECK_TIMEOUT_US, lambda _left_us: health_check, on_ended)
         )
 
     def _response_started(
--- a/sidecar/cluster/membership.py
+++ b/sidecar/cluster/membership.py
@@ -113,7 +113,7 @@
         if requests:
             self._limiter.add_requests(now, requests)
 
-    def leave(self, now: int, has_successor: bool = False) -> list[MembershipAction]:
+    def leave(self, *, has_successor: bool = False) -> list[MembershipAction]:
         """This incarnation ends as planned: all hear of it, unless another process continues its number."""
         if self._has_left:
             return []
--- a/sidecar/cluster/rate_limiter.py
+++ b/sidecar/cluster/rate_limiter.py
@@ -33,7 +33,7 @@
         self._fill(now)
         return self.per_s + self.per_request * self._recent_requests / (_REQUEST_DECAY_US / 1e6)
 
-    def try_acquire(self, now: int, is_reply: bool = False) -> bool:
+    def try_acquire(self, now: int, *, is_reply: bool = False) -> bool:
         """Take the token of one datagram or line; return False if there is none."""
         self._fill(now)
         if self._tokens - 1 < (-_REPLY_OVERDRAFT if is_reply else 0.0):
--- a/sidecar/cluster/rollout_exchanges.py
+++ b/sidecar/cluster/rollout_exchanges.py
@@ -98,8 +98,8 @@
         return local_head != remote_head or local.chunk(chunk) != remote.chunk(chunk)
 
     def _send(
-        self, now: int, receiver: int | None, kind: ExchangeKind, chunk: int, is_reply: bool = False
+        self, now: int, receiver: int | None, kind: ExchangeKind, chunk: int, *, is_reply: bool = False
     ) -> None:
-        if receiver is not None and self._limiter.try_acquire(now, is_reply):
+        if receiver is not None and self._limiter.try_acquire(now, is_reply=is_reply):
             payload = encode(self._cluster, self._state.number, kind, self._state.round, chunk, now)
             self._datagrams.append(SendDatagram(receiver, payload))
--- a/sidecar/cluster/settings.py
+++ b/sidecar/cluster/settings.py
@@ -65,7 +65,7 @@
     if given is None:
         return {}
     if not isinstance(given, Mapping):
-        raise ValueError("an object is needed")
+        raise ValueError("an object is needed")  # noqa: TRY004 - callers catch ValueError for any invalid input
     by_key = {setting.metadata.get(_KEY, setting.name): setting for setting in settings}
     values: dict[str, Any] = {}
     for key, value in given.items():
@@ -80,12 +80,13 @@
         return _checked_boolean(key, value)
     if isinstance(setting.default, tuple):
         return _checked_choices(key, value, setting.default)
-    return _checked_number(key, value, isinstance(setting.default, int), setting.metadata[_BOUNDS])
+    is_integer = isinstance(setting.default, int)
+    return _checked_number(key, value, setting.metadata[_BOUNDS], is_integer=is_integer)
 
 
 def _checked_boolean(key: str, value: object) -> bool:
     if not isinstance(value, bool):
-        raise ValueError(f"{key}: true or false is needed, not {value!r:.60}")
+        raise ValueError(f"{key}: true or false is needed, not {value!r:.60}")  # noqa: TRY004 - as above
     return value
 
 
@@ -95,7 +96,7 @@
     return tuple(choice for choice in choices if choice in value)
 
 
-def _checked_number(key: str, value: object, is_integer: bool, bounds: tuple[float, float]) -> float:
+def _checked_number(key: str, value: object, bounds: tuple[float, float], *, is_integer: bool) -> float:
     minimum, maximum = bounds
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if is_number and minimum <= value <= maximum:  # type: ignore[operator]
--- a/sidecar/cluster_membership.py
+++ b/sidecar/cluster_membership.py
@@ -89,12 +89,12 @@
         """The sidecar took a request; membership hears of it at its next event."""
         self._requests += 1
 
-    def leave(self, has_successor: bool = False) -> None:
+    def leave(self, *, has_successor: bool = False) -> None:
         """This process ends: announce it, unless another continues as this member."""
         membership, self.protocol = self.protocol, None
         self._timer.cancel()
         if membership is not None:
-            self._carry_out(membership.leave(self._clock.now(), has_successor))
+            self._carry_out(membership.leave(has_successor=has_successor))
 
     def close(self) -> None:
         """Hold no timer any more."""
--- a/sidecar/cluster_service.py
+++ b/sidecar/cluster_service.py
@@ -126,7 +126,7 @@
         if self.versions is not None:
             self.versions.close()
         if self.members is not None:
-            self.members.leave(has_successor)
+            self.members.leave(has_successor=has_successor)
         if has_successor:
             self.peers.close()
 
@@ -152,7 +152,7 @@
             if is_off or membership is None:
                 return
             self.versions = self._create_versions()
-        self.versions.configure(membership, configuration, is_complete)
+        self.versions.configure(membership, configuration, is_complete=is_complete)
 
     def _create_versions(self) -> ConfigurationRollout:
         from sidecar.configuration_rollout import ConfigurationRollout
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -154,7 +154,7 @@
 
 def _known_endpoints(value: object) -> EndpointList:
     if value is None:
-        return EndpointList(0, True, ())
+        return EndpointList(0, is_complete=True, endpoints=())
     try:
         return parse_endpoint_list(value)
     except EndpointListError as error:
--- a/sidecar/configuration_rollout.py
+++ b/sidecar/configuration_rollout.py
@@ -80,15 +80,15 @@
         return f"version: {config.version} is older than {self.protocol.version}, which is in force"
 
     def configure(
-        self, membership: Membership | None, config: Configuration, is_complete: bool = True
+        self, membership: Membership | None, config: Configuration, *, is_complete: bool = True
     ) -> None:
         """This configuration is in force from now on; not `is_complete`: some of it after a restart only."""
         if membership is None or config.version is None or not config.rollout.on:
             self.close()
         elif self.protocol is None or self._table is not membership.table:
-            self._start(membership, config, config.version, is_complete)
+            self._start(membership, config, config.version, is_complete=is_complete)
         else:
-            self._reconfigure(self.protocol, config, config.version, is_complete)
+            self._reconfigure(self.protocol, config, config.version, is_complete=is_complete)
 
     def datagram_received(self, sender: int, payload: bytes) -> bool:
         """Take a datagram from a member; return False if it is not about versions, or this is off."""
@@ -132,7 +132,9 @@
             "dropped": {reason.value: count for reason, count in rollout.dropped.items()},
         }
 
-    def _start(self, membership: Membership, config: Configuration, version: int, is_complete: bool) -> None:
+    def _start(
+        self, membership: Membership, config: Configuration, version: int, *, is_complete: bool
+    ) -> None:
         digest = config.digest
         if not is_complete:
             if self.protocol is None:
@@ -146,7 +148,9 @@
         )
         self._carry_out(self.protocol.start(now))
 
-    def _reconfigure(self, rollout: Rollout, config: Configuration, version: int, is_complete: bool) -> None:
+    def _reconfigure(
+        self, rollout: Rollout, config: Configuration, version: int, *, is_complete: bool
+    ) -> None:
         now = self._clock.now()
         actions = rollout.configure(now, config.rollout)
         if is_complete:
--- a/sidecar/connection_socket.py
+++ b/sidecar/connection_socket.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import fcntl
 import select
 import socket
@@ -69,7 +70,5 @@
 
     def shut_down(self, how: int = socket.SHUT_WR) -> None:
         """Shut down sending (or both ways) within this call, whatever the transport does later."""
-        try:
+        with contextlib.suppress(OSError):  # the peer was faster, or it was released
             self._socket.shutdown(how)
-        except OSError:
-            pass  # the peer was faster, or it was released
--- a/sidecar/discovery/discovery.py
+++ b/sidecar/discovery/discovery.py
@@ -29,10 +29,11 @@
         self,
         address: Address,
         known: EndpointList,
-        is_pushed: bool,
         seed: int,
         on_list: Callable[[EndpointList], None],
         on_failed: Callable[[], None],
+        *,
+        is_pushed: bool,
     ) -> None:
         """`is_pushed`: an agent pushes its lists, which are watched whatever the balancer asks for."""
         self._address = address
@@ -79,7 +80,7 @@
         if self._is_watching:
             self._start_watch()
 
-    def watch(self, is_enabled: bool) -> None:
+    def watch(self, *, is_enabled: bool) -> None:
         """Watch the list from now on, or no longer.
 
         A watch that is enabled again before its first response continues as it is: a new one would give up
@@ -155,7 +156,7 @@
         except (PollFailedError, InconsistentChangesError):
             self._poll_failed()
         else:
-            self._on_list(news or EndpointList(self._tracker.version, False, ()))
+            self._on_list(news or EndpointList(self._tracker.version, is_complete=False, endpoints=()))
 
     def _poll_failed(self) -> None:
         self._tracker.poll_failed()
--- a/sidecar/discovery/watcher.py
+++ b/sidecar/discovery/watcher.py
@@ -65,7 +65,11 @@
         except InconsistentChangesError as error:
             raise PollFailedError(str(error)) from None
         if news is None or not (news.is_complete or news.endpoints):
-            news = None if self.has_response else EndpointList(self._tracker.version, False, ())
+            news = (
+                None
+                if self.has_response
+                else EndpointList(self._tracker.version, is_complete=False, endpoints=())
+            )
         self.has_response = True
         self._on_first_response()
         if news is not None:
--- a/sidecar/downstream/client_transport.py
+++ b/sidecar/downstream/client_transport.py
@@ -116,5 +116,6 @@
 
     def _untaken_bytes(self) -> int:
         """Return how much was written for the client and not taken by its machine."""
-        assert self._transport is not None and self._socket is not None
+        assert self._transport is not None
+        assert self._socket is not None
         return self._transport.get_write_buffer_size() + self._socket.unsent_bytes()
--- a/sidecar/downstream/connection.py
+++ b/sidecar/downstream/connection.py
@@ -78,7 +78,7 @@
             body = b""  # the method allows none, not even with an error
         head = response_head(status, [*headers, (b"content-length", b"%d" % len(body))])
         self._transport.write(head + body)
-        self._response_written(is_last)
+        self._response_written(is_last=is_last)
 
     def start_streaming(
         self, headers: Headers, length: int | None, first: bytes, source: ResponseSource
@@ -124,7 +124,7 @@
         if self._is_response_chunked:
             self._transport.write(LAST_CHUNK)
         is_unframed = self._response_bytes_left is None and not self._is_response_chunked
-        self._response_written(self._is_last_response or is_unframed)
+        self._response_written(is_last=self._is_last_response or is_unframed)
 
     # Timeouts
 
@@ -181,12 +181,9 @@
             return self.has_disconnected() or now - self.receiving.paused_since > 2 * STALL_TIMEOUT_S
         return self.receiving.lag_s(now) > _BODY_TIMEOUT_S
 
-    # Called by the event loop
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the event loop: a client has connected."""
-        # The event loop's own class is none of asyncio's, so there is nothing to check.
-        self._transport = cast(Transport, transport)
+        self._transport = cast(Transport, transport)  # uvloop's class derives from none of asyncio's
         self.receiving.started_at = asyncio.get_running_loop().time()
         self._socket = ConnectionSocket(self._transport)
         self._owner.add(self)
@@ -230,7 +227,7 @@
         """Called by the event loop: the client closed its sending side."""
         self._client_disconnected()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """Called by the event loop: the connection is closed."""
         self._client_disconnected()
         self._enter(ConnectionState.CLOSED)
@@ -328,12 +325,10 @@
         self._reject(400, b"more came than one request\n")
 
     def _answer_health_check(self) -> None:
-        if self._owner.fails_health_checks:
-            self.respond(503, [], b"evacuated\n")
-        else:
-            self.respond(200, [], b"ready\n")
+        status, body = (503, b"evacuated\n") if self._owner.fails_health_checks else (200, b"ready\n")
+        self.respond(status, [], body)
 
-    def _response_written(self, is_last: bool) -> None:
+    def _response_written(self, *, is_last: bool) -> None:
         assert self._transport is not None
         if not self._reader.is_reusable or is_last or self._is_reading_ended:
             self._linger()
@@ -373,12 +368,13 @@
             self._enter(ConnectionState.AWAITING_RESPONSE)
 
     def _upload_completed(self) -> None:
-        upload, self._upload = self._upload, None
-        assert upload is not None and self._pending_request is not None
+        upload = self._upload
+        assert upload is not None
+        assert self._pending_request is not None
         if self._reader.has_trailing_data:
-            self._upload = upload
             self._reject_pipelined()
             return
+        self._upload = None
         self._owner.stop_awaiting(self)
         self._resume_upload()
         upload.end()
--- a/sidecar/downstream/flow_control.py
+++ b/sidecar/downstream/flow_control.py
@@ -30,7 +30,7 @@
 class BoundedReader(asyncio.BufferedProtocol):
     """A protocol that reads a bounded piece at a time, whatever the system holds."""
 
-    def get_buffer(self, sizehint: int) -> bytearray:
+    def get_buffer(self, _sizehint: int) -> bytearray:
         """Called by the event loop: return the buffer that the next piece is received into."""
         return _RECEIVE_BUFFER
 
--- a/sidecar/downstream/listener.py
+++ b/sidecar/downstream/listener.py
@@ -63,7 +63,7 @@
         self._make_room = make_room
         self._tasks: set[asyncio.Task[object]] = set()
         self._retry_timer: asyncio.TimerHandle | None = None
-        listening.setblocking(False)
+        listening.setblocking(False)  # noqa: FBT003 - has no keyword
         self._loop = asyncio.get_running_loop()
         self._resume()
 
@@ -123,7 +123,7 @@
             # Guards against collapse: in a rush many clients give up in the queue, and cost no less.
             connection.close()
             return True
-        connection.setblocking(False)
+        connection.setblocking(False)  # noqa: FBT003 - has no keyword
         task: asyncio.Task[object] = self._loop.create_task(
             self._loop.connect_accepted_socket(self._create_protocol, connection)
         )
--- a/sidecar/event_dispatcher.py
+++ b/sidecar/event_dispatcher.py
@@ -26,7 +26,7 @@
         self._log = log
         self._events: deque[Event] = deque()
         self._is_handling = False
-        self.execute: Callable[[Action], None] = lambda action: None
+        self.execute: Callable[[Action], None] = lambda _action: None
 
     def dispatch(self, event: Event) -> None:
         """Handle an event at once; from within the handling of another, right after it and in order."""
--- a/sidecar/http/grammar.py
+++ b/sidecar/http/grammar.py
@@ -189,7 +189,7 @@
 
     __slots__ = ("_hosts", "expects_continue", "is_chunked", "is_http_1_0", "keeps_alive", "length")
 
-    def __init__(self, headers: Headers, is_http_1_0: bool) -> None:
+    def __init__(self, headers: Headers, *, is_http_1_0: bool) -> None:
         self.is_http_1_0 = is_http_1_0
         self.is_chunked = False
         self.length: int | None = None
--- a/sidecar/http/reader.py
+++ b/sidecar/http/reader.py
@@ -119,7 +119,7 @@
         self._partial_head = bytearray()
         return head
 
-    def _expect_body(self, length: int | None, is_chunked: bool, keeps_alive: bool) -> None:
+    def _expect_body(self, length: int | None, *, is_chunked: bool, keeps_alive: bool) -> None:
         self._chunked = ChunkedBody() if is_chunked else None
         self.is_in_body = True
         self._keeps_alive = keeps_alive and (is_chunked or length is not None)
@@ -174,7 +174,7 @@
 
     def _head_received(self, head: bytes) -> RequestHead:
         read = read_request_head(head)
-        self._expect_body(read.length, read.length is None, read.keeps_alive)
+        self._expect_body(read.length, is_chunked=read.length is None, keeps_alive=read.keeps_alive)
         return read
 
 
@@ -197,5 +197,5 @@
             if self._interim > _MAX_INTERIM_RESPONSES:
                 raise MalformedMessageError("too many answers before the final one")
             return None
-        self._expect_body(read.length, read.is_chunked, read.keeps_alive)
+        self._expect_body(read.length, is_chunked=read.is_chunked, keeps_alive=read.keeps_alive)
         return read
--- a/sidecar/peers.py
+++ b/sidecar/peers.py
@@ -45,7 +45,7 @@
         self._peers, self._broadcast_address = peers, broadcast_address
         self._numbers = {address: number for number, address in enumerate(peers)}
 
-    async def listen(self, address: Address, shared: bool = False) -> None:
+    async def listen(self, address: Address, *, shared: bool = False) -> None:
         """Receive at this address, `shared` with another process of this sidecar; raise OSError."""
         await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, local_addr=address, reuse_port=shared or None
--- a/sidecar/persisted_exclusions.py
+++ b/sidecar/persisted_exclusions.py
@@ -52,7 +52,7 @@
             self._log(ExclusionsFileIgnored(str(error)))
             return None
 
-    def record(self, server: str, is_excluded: bool, known_exclusions: frozenset[str]) -> None:
+    def record(self, server: str, known_exclusions: frozenset[str], *, is_excluded: bool) -> None:
         """Store that a server is excluded or included again; a failure to write is logged.
 
         `known_exclusions`, as far as this process knows, stand in for a file that is missing or invalid.
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -197,10 +197,10 @@
         return Discovery(
             self._configuration.discovery_address,
             self._configuration.known_endpoints,
-            self._configuration.settings.discovery is DiscoveryMode.PUSHED,
             self._configuration.seed,
             self._endpoint_list_received,
             self._endpoint_list_failed,
+            is_pushed=self._configuration.settings.discovery is DiscoveryMode.PUSHED,
         )
 
     def _create_executor(self) -> ActionExecutor:
--- a/sidecar/upstream/connection_pool.py
+++ b/sidecar/upstream/connection_pool.py
@@ -35,7 +35,7 @@
 
     __slots__ = ("address", "idle", "is_draining", "is_excluded", "locality", "started_at")
 
-    def __init__(self, address: Address, entry: EndpointEntry, is_excluded: bool) -> None:
+    def __init__(self, address: Address, entry: EndpointEntry, *, is_excluded: bool) -> None:
         self.address = address
         self.started_at = entry.started_at
         self.locality = entry.zone, entry.cell
@@ -97,7 +97,7 @@
             # left the zone or cell by which a retry was chosen.
             if endpoint is None or not endpoint.is_same(address, listed.entry):
                 self._remove_endpoint(name)
-                endpoint = PooledEndpoint(address, listed.entry, name in self.excluded)
+                endpoint = PooledEndpoint(address, listed.entry, is_excluded=name in self.excluded)
                 self.endpoints[name] = endpoint
             endpoint.is_draining = listed.entry.state is not EndpointState.READY
             if endpoint.is_draining:
--- a/sidecar/upstream/http_exchange.py
+++ b/sidecar/upstream/http_exchange.py
@@ -134,7 +134,8 @@
         `on_written` is called at most once, when the last byte was handed to the system.  Without
         `on_streaming_response`, a response that is too long to be buffered counts as malformed.
         """
-        assert self._transport is not None and self._on_result is None
+        assert self._transport is not None
+        assert self._on_result is None
         self._on_result = on_result
         self._head = None
         self._body = bytearray()
@@ -247,7 +248,7 @@
             self._read(b"")  # the end may be what frames the response
         self._fail(self._lost_connection())
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """Called by the event loop: the connection is closed."""
         self._fail(self._lost_connection())
         if self._socket is not None:
@@ -322,7 +323,8 @@
     # Ending an exchange
 
     def _response_completed(self) -> None:
-        assert self._head is not None and self._socket is not None
+        assert self._head is not None
+        assert self._socket is not None
         unread_us = self._socket.unread_us()
         response = Response(self._head.status, self._head.headers, bytes(self._body), unread_us)
         self._body = bytearray()
--- a/testbed/cluster_simulation/explore.py
+++ b/testbed/cluster_simulation/explore.py
@@ -139,7 +139,7 @@
         else:
             self.faults += 1
             if what == "leave" and own.membership is not None:
-                self._carry_out(one, own.membership.leave(own.now))
+                self._carry_out(one, own.membership.leave())
             own.membership = None
 
     def _deliver(self, source: int, target: int, payload: bytes) -> None:
--- a/testbed/cluster_simulation/virtual.py
+++ b/testbed/cluster_simulation/virtual.py
@@ -89,8 +89,8 @@
     def kill(self) -> None:
         self.is_alive = False
 
-    def leave(self, has_successor: bool = False) -> None:
-        self.carry_out(self.membership.leave(self._cluster.queue.now, has_successor))
+    def leave(self, *, has_successor: bool = False) -> None:
+        self.carry_out(self.membership.leave(has_successor=has_successor))
         self.is_alive = False
 
     def pause(self) -> None:
--- a/tests/cluster_vocabulary.py
+++ b/tests/cluster_vocabulary.py
@@ -69,7 +69,7 @@
                 steps = membership.configure(now, size, MembershipSettings())
                 return self._rendered(steps, rollout.configure(now, self._settings))
             case ["leave", has_successor]:
-                return self._rendered(membership.leave(now, has_successor), [])
+                return self._rendered(membership.leave(has_successor=has_successor), [])
         raise ValueError(f"unknown event {event!r}")
 
     def belief(self, now: int) -> Output:
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -95,14 +95,14 @@
             sidecar = Sidecar(config, print, listener_from_descriptor(os.dup(held.fileno())))
             await sidecar.start()
             other = PersistedExclusions(tmp_path, print)
-            other.record("s-0", True, frozenset())
+            other.record("s-0", frozenset(), is_excluded=True)
             reader, writer = await asyncio.open_connection(*held.getsockname())
             for _ in range(10):
                 writer.write(request("lodge"))
                 assert (await soon(reader.readuntil(b"served"))).startswith(b"HTTP/1.1 200")
             assert [len(each.heard) for each in servers] == [0, 10]
-            other.record("s-0", False, frozenset())
-            other.record("s-1", True, frozenset())
+            other.record("s-0", frozenset(), is_excluded=False)
+            other.record("s-1", frozenset(), is_excluded=True)
             writer.write(request("lodge"))
             await soon(reader.readuntil(b"HTTP/1.1 "))
             assert len(servers[1].heard) == 10
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -35,10 +35,10 @@
         self.discovery = Discovery(
             parse_address(server.address),
             EndpointList(version, True, ()),
-            pushed,
             7,
             self.events.put_nowait,
             lambda: self.events.put_nowait(None),
+            is_pushed=pushed,
         )
 
     async def next(self) -> EndpointList | None:
@@ -51,7 +51,7 @@
         server.servers = [line("s-1", "127.0.0.2:80")]
         await server.start()
         recorded = RecordedDiscovery(server)
-        recorded.discovery.watch(True)
+        recorded.discovery.watch(is_enabled=True)
         first = await recorded.next()
         assert first is not None and first.is_complete and first.version == 1
         await until(lambda: len(server.heard) == 2)
@@ -62,7 +62,7 @@
         news = await recorded.next()
         assert news is not None and not news.is_complete and news.version == 2
         await until(lambda: len(server.heard) == 3)
-        recorded.discovery.watch(False)
+        recorded.discovery.watch(is_enabled=False)
         await until(lambda: len(server.closed) == 0 or server.closed == [0])
         recorded.discovery.close()
         server.stop()
@@ -79,7 +79,7 @@
         if not answered:
             old.script = None  # slow as it is, the call is owed one answer
         recorded = RecordedDiscovery(old)
-        recorded.discovery.watch(True)
+        recorded.discovery.watch(is_enabled=True)
         if answered:
             assert await recorded.next() is not None
         await until(lambda: len(old.heard) == (2 if answered else 1))
@@ -134,7 +134,7 @@
 
         def call() -> None:
             if how == "watch":
-                recorded.discovery.watch(True)
+                recorded.discovery.watch(is_enabled=True)
             else:
                 recorded.discovery.poll()
 
@@ -155,7 +155,7 @@
         server = await ScriptedServer(None).start()
         recorded = RecordedDiscovery(server)
         server.stop()
-        recorded.discovery.watch(True)
+        recorded.discovery.watch(is_enabled=True)
         assert await recorded.next() is None
         recorded.discovery.poll()
         assert await recorded.next() is None
@@ -175,9 +175,9 @@
         server = await ScriptedServer(slow).start()
         recorded = RecordedDiscovery(server)
         for _ in range(3):
-            recorded.discovery.watch(True)
+            recorded.discovery.watch(is_enabled=True)
         await until(lambda: len(server.heard) == 1)
-        recorded.discovery.watch(True)
+        recorded.discovery.watch(is_enabled=True)
         release.set()
         assert await recorded.next() is not None
         assert server.connections == 1
@@ -253,7 +253,7 @@
 
         server = await Scripted(answers).start()
         recorded = RecordedDiscovery(server, 0, pushed)
-        recorded.discovery.start() if pushed else recorded.discovery.watch(True)
+        recorded.discovery.start() if pushed else recorded.discovery.watch(is_enabled=True)
         assert (first := await recorded.next()) is not None and first.version == 1
         assert (news := await recorded.next()) is not None and news.version == 2
         watch, beside = after_first[0], after_first[silent]
@@ -272,7 +272,7 @@
             lambda number, _: None if number == 0 else complete_list(3, s="active")
         ).start()
         recorded = RecordedDiscovery(server)
-        recorded.discovery.watch(True)
+        recorded.discovery.watch(is_enabled=True)
         assert (first := await recorded.next()) is not None and first.version == 3
         recorded.discovery.close()
         server.stop()
@@ -287,11 +287,11 @@
             lambda number, _: busy if number < 2 else complete_list(4, s="active")
         ).start()
         recorded = RecordedDiscovery(server)
-        recorded.discovery.watch(True)
+        recorded.discovery.watch(is_enabled=True)
         recorded.discovery.poll()
         assert [await recorded.next(), await recorded.next()] == [None, None]
         assert recorded.events.empty()
-        recorded.discovery.watch(True)
+        recorded.discovery.watch(is_enabled=True)
         assert (heard := await recorded.next()) is not None and heard.version == 4
         recorded.discovery.close()
         server.stop()
@@ -314,7 +314,7 @@
 
         server = await Scripted(answers).start()
         recorded = RecordedDiscovery(server)
-        recorded.discovery.watch(True)
+        recorded.discovery.watch(is_enabled=True)
         assert await recorded.next() is not None
         assert (news := await recorded.next()) is not None and news.version == 2
         recorded.discovery.close()
@@ -330,7 +330,7 @@
         monkeypatch.setattr("sidecar.discovery.hedged_poll.POLL_TIMEOUT_S", 0.1)
         server = await Scripted(lambda number, _: complete_list(1) if number == 0 else None).start()
         recorded = RecordedDiscovery(server)
-        recorded.discovery.watch(True)
+        recorded.discovery.watch(is_enabled=True)
         assert await recorded.next() is not None
         assert await recorded.next() is None
         await until(lambda: len(server.closed) == server.connections)
@@ -347,7 +347,7 @@
 
         server = await Scripted(answers).start()
         recorded = RecordedDiscovery(server)
-        recorded.discovery.watch(True)
+        recorded.discovery.watch(is_enabled=True)
         assert await recorded.next() is not None
         assert await recorded.next() is None
         assert len(server.heard) == 4 and recorded.events.empty()
@@ -371,7 +371,7 @@
         recorded = RecordedDiscovery(server, 3)
         recorded.discovery.poll()
         await until(lambda: len(server.heard) == 1)
-        recorded.discovery.watch(True)
+        recorded.discovery.watch(is_enabled=True)
         assert (news := await recorded.next()) is not None and news.version == 9
         release.set()
         answer = await recorded.next()
@@ -414,11 +414,11 @@
         old, new = ScriptedDiscovery(), await ScriptedServer(None).start()
         await old.start()
         recorded = RecordedDiscovery(old)
-        recorded.discovery.watch(True)
+        recorded.discovery.watch(is_enabled=True)
         assert await recorded.next() is not None
         recorded.discovery.move(parse_address(new.address))
         await until(lambda: len(new.heard) == 1)
-        recorded.discovery.watch(True)
+        recorded.discovery.watch(is_enabled=True)
         recorded.discovery.poll()  # comes after whatever a new watch would have asked
         await until(lambda: len(new.heard) == 2)
         assert "?" not in new.heard[1].target and new.closed == []
--- a/tests/test_recorded_samples.py
+++ b/tests/test_recorded_samples.py
@@ -173,10 +173,10 @@
 
 def test_excluded_servers_are_written_as_recorded(tmp_path: Path) -> None:
     handover = PersistedExclusions(tmp_path, _unexpected)
-    handover.record("10.0.0.7:8080", True, frozenset({"10.0.0.9:8080"}))
-    handover.record("bücher:80", True, frozenset())
-    handover.record("gone:1", True, frozenset())
-    handover.record("gone:1", False, frozenset())
+    handover.record("10.0.0.7:8080", frozenset({"10.0.0.9:8080"}), is_excluded=True)
+    handover.record("bücher:80", frozenset(), is_excluded=True)
+    handover.record("gone:1", frozenset(), is_excluded=True)
+    handover.record("gone:1", frozenset(), is_excluded=False)
     assert (tmp_path / "excluded.json").read_bytes() == (RECORDED / "excluded.json").read_bytes()
     assert sorted(path.name for path in tmp_path.iterdir()) == ["excluded.json", "excluded.lock"]
 
