--- a/balancer/selection.py
+++ b/balancer/selection.py
@@ -121,8 +121,8 @@
         size = subset_size(self._in_flight.mean)
         local_size = remote_size = size
         if self._context.settings.costs.cross_zone > 0.0:
-            share = self._current_remote_weight() * self._endpoints.remote_fraction
-            remote_size = max(round(size * share), 1)
+            remote_fraction = self._current_remote_weight() * self._endpoints.remote_fraction
+            remote_size = max(round(size * remote_fraction), 1)
             local_size = size - remote_size
         return self._fill_subset(request, size, _Slots(local_size), _Slots(remote_size))
 
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -120,8 +120,8 @@
         return None
     if not isinstance(value, dict):
         raise WireError("a load report must be an object")
-    for figure in value.values():
-        _number(figure, f"a load report holds numbers, not {figure!r:.60}")
+    for number in value.values():
+        _number(number, f"a load report holds numbers, not {number!r:.60}")
     return value
 
 
--- a/bench/member.py
+++ b/bench/member.py
@@ -38,18 +38,18 @@
 
 SIZES = (50, 100, 200, 400, 750, 1_000)
 EVENTS = 2_000  # timed, of each kind
-TIER = "a"
+CLUSTER = "a"
 UNIX_S = 1_800_000_000.0
-LIFE = 1_000_000
+INCARNATION = 1_000_000
 NEWS = 12  # updates that a datagram with news carries here
 
 
 def member(size: int, seed: int = 1) -> Membership:
     """Member 0 as after a long rest: it knows everybody, and has nothing to tell."""
-    own = Membership(0, size, TIER, MembershipSettings(), random.Random(seed), 0, UNIX_S)
+    own = Membership(0, size, CLUSTER, MembershipSettings(), random.Random(seed), 0, UNIX_S)
     own.start(0)
     for number in range(1, size):
-        own.table.apply(MembershipUpdate.create(number, LIFE, MemberState.PRESENT, 0, number), 0)
+        own.table.apply(MembershipUpdate.create(number, INCARNATION, MemberState.PRESENT, 0, number), 0)
     own.mark_all_disseminated()
     return own
 
@@ -90,9 +90,9 @@
         sketch = bytes(100) if differs and kind is MessageKind.PING else b""
         message = Message(
             FORMAT_VERSION,
-            cluster_id(TIER),
+            cluster_id(CLUSTER),
             sender,
-            LIFE,
+            INCARNATION,
             kind,
             sequence_number,
             NO_TARGET,
@@ -145,7 +145,7 @@
 def suspects(size: int, count: int, seed: int = 2) -> Iterator[MembershipUpdate]:
     """Others' word that so many are silent, as when a zone has gone."""
     for number in random.Random(seed).sample(range(2, size), count):
-        yield MembershipUpdate.create(number, LIFE, MemberState.SUSPECTED, 0, 1)
+        yield MembershipUpdate.create(number, INCARNATION, MemberState.SUSPECTED, 0, 1)
 
 
 def times(size: int, events: int = EVENTS) -> list[Sample]:
@@ -156,7 +156,7 @@
     out = spread("member.tick_us", size, [rest.tick_us() for _ in range(events)], "us")
     out += spread("member.heard_us", size, [rest.heard_us([], False) for _ in range(events)], "us")
     news = [
-        MembershipUpdate.create(each, LIFE, MemberState.PRESENT, 0, each)
+        MembershipUpdate.create(each, INCARNATION, MemberState.PRESENT, 0, each)
         for each in range(1, min(NEWS, size))
     ]
     values = [rest.heard_us(news, False) for _ in range(events)]
@@ -174,14 +174,14 @@
 def figures(size: int, rounds: int = 50) -> list[Sample]:
     """The operators' figures of a tier in which everybody else is dead: the longest that they get."""
     peers = Peers((), None, 0, lambda _sender, _data: None)
-    own = ClusterMembership(0, TIER, 1, Clock(), peers, _silent, _silent)
+    own = ClusterMembership(0, CLUSTER, 1, Clock(), peers, _silent, _silent)
     own.protocol = member(size)
     for number in range(1, size):
-        own.protocol.table.apply(MembershipUpdate.create(number, LIFE, MemberState.DEAD, 0, 1), 1)
+        own.protocol.table.apply(MembershipUpdate.create(number, INCARNATION, MemberState.DEAD, 0, 1), 1)
     values, body = [], b""
     for _ in range(rounds):
         began = time.perf_counter_ns()
-        body = json.dumps(own.figures()).encode()
+        body = json.dumps(own.metrics()).encode()
         values.append((time.perf_counter_ns() - began) / 1e3)
     out = spread("telemetry.us", size, values, "us", "members dead")
     return [Sample("telemetry.bytes", size, len(body), "B", "members dead"), *out]
--- a/deploy/native.py
+++ b/deploy/native.py
@@ -16,7 +16,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 NATIVE = ROOT / "build" / "native"
-KEPT = ROOT / "build" / "compiled"
+CACHE = ROOT / "build" / "compiled"
 TOOLS = ROOT / "requirements-build.txt"
 PACKAGES = ("balancer", "sidecar")
 COMPILED = (
@@ -55,10 +55,10 @@
 
 def digest(files: list[Path]) -> str:
     """One name for these files' contents, this interpreter and the tools."""
-    whole = hashlib.sha256(sys.version.encode() + TOOLS.read_bytes())
-    for each in sorted(files):
-        whole.update(str(each.relative_to(ROOT)).encode() + b"\0" + each.read_bytes())
-    return whole.hexdigest()[:16]
+    hasher = hashlib.sha256(sys.version.encode() + TOOLS.read_bytes())
+    for path in sorted(files):
+        hasher.update(str(path.relative_to(ROOT)).encode() + b"\0" + path.read_bytes())
+    return hasher.hexdigest()[:16]
 
 
 def copy_packages(into: Path) -> None:
@@ -67,11 +67,11 @@
         shutil.copytree(ROOT / name, into / name, ignore=skipped)
 
 
-def compile_into(kept: Path) -> None:
+def compile_into(cached: Path) -> None:
     """Compile copies of the sources, and keep the libraries that come of it."""
     wanted = [sys.executable, "-m", "pip", "install", "-q", "--disable-pip-version-check"]
     subprocess.run([*wanted, "-r", str(TOOLS)], check=True)
-    with tempfile.TemporaryDirectory(dir=KEPT.parent) as folder:
+    with tempfile.TemporaryDirectory(dir=CACHE.parent) as folder:
         work = Path(folder)
         copy_packages(work)
         subprocess.run(
@@ -81,38 +81,38 @@
             stdout=subprocess.DEVNULL,
             stderr=subprocess.DEVNULL,
         )
-        libraries = [each for each in work.rglob("*.so") if "build" not in each.relative_to(work).parts]
+        libraries = [path for path in work.rglob("*.so") if "build" not in path.relative_to(work).parts]
         if len(libraries) != len(COMPILED) + 1:
             raise FileNotFoundError(f"{len(libraries)} libraries came of {len(COMPILED)} files")
-        found = work / "found"
-        for each in libraries:
-            target = found / each.relative_to(work)
+        compiled = work / "found"
+        for path in libraries:
+            target = compiled / path.relative_to(work)
             target.parent.mkdir(parents=True, exist_ok=True)
-            shutil.copy2(each, target)
-        shutil.rmtree(KEPT, ignore_errors=True)
-        KEPT.mkdir(parents=True)
-        shutil.move(found, kept)
+            shutil.copy2(path, target)
+        shutil.rmtree(CACHE, ignore_errors=True)
+        CACHE.mkdir(parents=True)
+        shutil.move(compiled, cached)
 
 
 def main() -> int:
     NATIVE.parent.mkdir(exist_ok=True)
     sources = [
-        each for name in PACKAGES for each in (ROOT / name).rglob("*") if each.suffix in (".py", ".typed")
+        path for name in PACKAGES for path in (ROOT / name).rglob("*") if path.suffix in (".py", ".typed")
     ]
     is_new = digest(sources)
     stamp = NATIVE / "stamp"
     if stamp.exists() and stamp.read_text() == is_new:
         return 0
-    kept = KEPT / digest([ROOT / each for each in COMPILED])
+    cached = CACHE / digest([ROOT / path for path in COMPILED])
     try:
-        if not kept.exists():
-            compile_into(kept)
+        if not cached.exists():
+            compile_into(cached)
     except (OSError, subprocess.CalledProcessError) as fault:
         print(f"not compiled, the sources serve as they are: {fault}", file=sys.stderr)
     shutil.rmtree(NATIVE, ignore_errors=True)
     copy_packages(NATIVE)
-    if kept.exists():
-        shutil.copytree(kept, NATIVE, dirs_exist_ok=True)
+    if cached.exists():
+        shutil.copytree(cached, NATIVE, dirs_exist_ok=True)
         stamp.write_text(is_new)
     return 0
 
--- a/fuzz/fuzz_codec.py
+++ b/fuzz/fuzz_codec.py
@@ -25,9 +25,9 @@
     if wrong is not None:
         raise AssertionError(wrong)
     at = 1 + (data[0] >> 1) % (len(raw) - 1)
-    whole = read_by_codec([raw], is_request=is_request)
-    for parts in ([raw[:at], raw[at:]], [raw[each : each + 1] for each in range(len(raw))]):
-        if read_by_codec(parts, is_request=is_request) != whole:
+    expected = read_by_codec([raw], is_request=is_request)
+    for parts in ([raw[:at], raw[at:]], [raw[index : index + 1] for index in range(len(raw))]):
+        if read_by_codec(parts, is_request=is_request) != expected:
             raise AssertionError(f"cut as {parts!r:.300} it is something else")
 
 
--- a/sidecar/cluster/configuration_file_checks.py
+++ b/sidecar/cluster/configuration_file_checks.py
@@ -37,7 +37,7 @@
 
     def becomes_missing(self, now: int) -> bool:
         """Whether the version is to be reported missing now; true once after each `start`."""
-        if self._is_missing or now - self._state.newest_heard_at < _MISSING_AFTER_US:
+        if self._is_missing or now - self._state.newest_received_at < _MISSING_AFTER_US:
             return False
         self._is_missing = True
         return True
--- a/sidecar/cluster/failure_detector.py
+++ b/sidecar/cluster/failure_detector.py
@@ -25,7 +25,7 @@
         self._number = context.local.number
         self.pings = PendingPings(context.random.randrange(_MAX_SEQUENCE_SEED))
         self._targets = TargetSelector(self._number, context.table, context.random)
-        self.last_heard_at = now  # when any other member was heard last
+        self.last_received_at = now  # when any other member was heard last
         self._next_ping_at = now
         self.period_us = context.period_us(now)  # as of the last ping
 
@@ -54,9 +54,9 @@
 
     # Time
 
-    def send_overdue_nacks(self, now: int) -> None:
+    def send_expired_nacks(self, now: int) -> None:
         """Tell those that requested a ping that the target does not answer."""
-        for relayed in self.pings.take_overdue(now):
+        for relayed in self.pings.take_expired(now):
             self._send_reply(
                 now, relayed.origin, MessageKind.NACK, relayed.origin_sequence_number, relayed.target
             )
@@ -171,8 +171,8 @@
         if self._context.table[ping.target].has_ended:
             return
         health = self._context.health
-        has_heard_nobody = self.last_heard_at < ping.sent_at and len(self._context.table) > 2
-        if has_heard_nobody and not health.is_worst:
+        has_received_nothing = self.last_received_at < ping.sent_at and len(self._context.table) > 2
+        if has_received_nothing and not health.is_worst:
             health.degrade(2)  # it is rather the local member that is cut off
             return
         missing_nacks = max(len(ping.relays) - ping.nacks, 0 if ping.relays else 1)
--- a/sidecar/cluster/membership.py
+++ b/sidecar/cluster/membership.py
@@ -89,8 +89,8 @@
             self.dropped[invalid.reason] += 1
             return []
         self._check_stall(now)
-        self._failure_detector.last_heard_at = now
-        self._refutation.member_heard(now)
+        self._failure_detector.last_received_at = now
+        self._refutation.datagram_accepted(now)
         self._process_updates(now, message)
         self._outbox.views_differ = message.digest != self.table.digest
         self._dispatch(now, message)
@@ -101,7 +101,7 @@
         if self._has_left:
             return []
         self._check_stall(now)
-        self._failure_detector.send_overdue_nacks(now)
+        self._failure_detector.send_expired_nacks(now)
         self._failure_detector.check_pending_ping(now)
         self._updates.declare_expired_dead(now)
         self._refutation.tick(now)
@@ -162,7 +162,7 @@
 
     def silence_us(self, now: int) -> int:
         """How long no other member was heard."""
-        return now - self._failure_detector.last_heard_at
+        return now - self._failure_detector.last_received_at
 
     # Datagrams
 
--- a/sidecar/cluster/pings.py
+++ b/sidecar/cluster/pings.py
@@ -72,10 +72,10 @@
             return None
         return self._relayed.pop(sequence_number)
 
-    def take_overdue(self, now: int) -> list[RelayedPing]:
+    def take_expired(self, now: int) -> list[RelayedPing]:
         """Remove and return the relayed pings whose origin is to hear that there was no answer."""
-        overdue = [number for number, relayed in self._relayed.items() if relayed.nack_due_at <= now]
-        return [self._relayed.pop(number) for number in overdue]
+        expired = [number for number, relayed in self._relayed.items() if relayed.nack_due_at <= now]
+        return [self._relayed.pop(number) for number in expired]
 
     @property
     def next_deadline(self) -> int | None:
--- a/sidecar/cluster/rate_limiter.py
+++ b/sidecar/cluster/rate_limiter.py
@@ -24,18 +24,18 @@
 
     def add_requests(self, now: int, requests: int) -> None:
         """The sidecar took this many requests."""
-        self._fill(now)
+        self._refill(now)
         self._recent_requests += requests
         self._tokens = min(self._tokens + requests * self.per_request, self._capacity())
 
     def rate_per_s(self, now: int) -> float:
         """The rate in tokens a second at which the bucket fills at present."""
-        self._fill(now)
+        self._refill(now)
         return self.per_s + self.per_request * self._recent_requests / (_REQUEST_DECAY_US / 1e6)
 
     def try_acquire(self, now: int, *, is_reply: bool = False) -> bool:
         """Take the token of one datagram or line; return False if there is none."""
-        self._fill(now)
+        self._refill(now)
         if self._tokens - 1 < (-_REPLY_OVERDRAFT if is_reply else 0.0):
             return False
         self._tokens -= 1
@@ -44,7 +44,7 @@
     def _capacity(self) -> float:
         return self.per_s * self._capacity_s + self.per_request * self._recent_requests
 
-    def _fill(self, now: int) -> None:
+    def _refill(self, now: int) -> None:
         if now > self._filled_at:
             elapsed_us = now - self._filled_at
             self._recent_requests *= math.exp(-elapsed_us / _REQUEST_DECAY_US)
--- a/sidecar/cluster/refutation.py
+++ b/sidecar/cluster/refutation.py
@@ -28,7 +28,7 @@
         """Clock time in microseconds at which yielding ends; None while it does not yield."""
         return self._yields_until
 
-    def member_heard(self, now: int) -> None:
+    def datagram_accepted(self, now: int) -> None:
         """A valid datagram came from another member."""
         if self._startup_until is None:
             self._startup_until = now + _STARTUP_US
--- a/sidecar/cluster/rollout.py
+++ b/sidecar/cluster/rollout.py
@@ -47,7 +47,7 @@
         self._cluster = cluster_id(cluster)
         first_round = AggregationRound(version, _FIRST_ROUND, number, now).with_in_force(number, digest)
         self._state = RolloutState(
-            number, table, settings, rng, version, digest, now, newest_heard_from=number, round=first_round
+            number, table, settings, rng, version, digest, now, newest_received_from=number, round=first_round
         )
         self._exchanges = RolloutExchanges(self._state, self._cluster, now)
         self._file_checks = ConfigurationFileChecks(self._state, now)
@@ -138,14 +138,14 @@
         return self._state.round
 
     @property
-    def newest_heard_at(self) -> int:
+    def newest_received_at(self) -> int:
         """Clock time in microseconds at which the newest version was heard of."""
-        return self._state.newest_heard_at
+        return self._state.newest_received_at
 
     @property
-    def newest_heard_from(self) -> int:
+    def newest_received_from(self) -> int:
         """The number of the member from which the newest version was heard."""
-        return self._state.newest_heard_from
+        return self._state.newest_received_from
 
     @property
     def round_interval_us(self) -> int:
@@ -159,10 +159,10 @@
     # Rounds
 
     def _own_round(self, version: int, number: int, first_reported_by: int, now: int) -> AggregationRound:
-        """A new round, with this member's own word if it has the version in force."""
-        return self._with_own_word(AggregationRound(version, number, first_reported_by, now))
+        """A new round, with this member's report if it has the version in force."""
+        return self._with_local_report(AggregationRound(version, number, first_reported_by, now))
 
-    def _with_own_word(self, round_: AggregationRound) -> AggregationRound:
+    def _with_local_report(self, round_: AggregationRound) -> AggregationRound:
         if round_.version != self._state.version:
             return round_
         return round_.with_in_force(self._state.number, self._state.digest)
@@ -176,14 +176,14 @@
         if remote.version > state.round.version:
             self._start_newer_version(now, sender, remote)
         elif remote.key >= state.round.key:
-            self._replace_round(now, self._with_own_word(state.round.merged_with(remote)))
+            self._replace_round(now, self._with_local_report(state.round.merged_with(remote)))
         if not state.has_newest and state.round.in_force & member_bit(state.number):
             self._correct(now)
 
     def _start_newer_version(self, now: int, sender: int, round_: AggregationRound) -> None:
         """A version that is news: pushed on to a few members, and looked for in the file."""
         state = self._state
-        state.newest_heard_at, state.newest_heard_from = now, sender
+        state.newest_received_at, state.newest_received_from = now, sender
         state.previous_round = None
         self._replace_round(now, round_)
         self._exchanges.push_newer_version(now, sender)
@@ -197,7 +197,7 @@
         if replaced.says_same_as(round_):
             return
         is_next_round = replaced.version == round_.version and replaced.number != round_.number
-        if is_next_round and now - replaced.started_at >= state.round_fill_us:
+        if is_next_round and now - replaced.started_at >= state.round_completion_us:
             state.previous_round = replaced
         self._exchanges.round_changed(now)
 
@@ -231,7 +231,7 @@
             self._forgotten_version = VersionForgotten(state.round.version, state.round.first_reported_by)
         state.previous_round = None
         self._file_checks.stop()
-        state.newest_heard_at, state.newest_heard_from = now, state.number
+        state.newest_received_at, state.newest_received_from = now, state.number
         self._replace_round(now, self._own_round(state.version, _FIRST_ROUND, state.number, now))
 
     # Datagrams
@@ -262,7 +262,7 @@
         is_check_due = self._file_checks.is_due(now)
         if is_check_due:
             if self._file_checks.becomes_missing(now):
-                round_, elapsed_us = self._state.round, now - self._state.newest_heard_at
+                round_, elapsed_us = self._state.round, now - self._state.newest_received_at
                 actions.append(VersionMissing(round_.version, round_.first_reported_by, elapsed_us))
             self._file_checks.checked(now)
         if self._file_checks.next_at is not None:
--- a/sidecar/cluster/rollout_exchanges.py
+++ b/sidecar/cluster/rollout_exchanges.py
@@ -72,7 +72,7 @@
         """Until the next exchange."""
         state = self._state
         is_quiet = self._quiet_exchanges >= _QUIET_EXCHANGES * state.chunk_count
-        is_recent = now - state.newest_heard_at < _SPREADING_US
+        is_recent = now - state.newest_received_at < _SPREADING_US
         is_concluded = state.reported_in_force == state.round.version
         if is_recent and not (is_concluded and is_quiet):
             return min(_SPREADING_INTERVAL_US, state.exchange_period_us)
--- a/sidecar/cluster/rollout_reports.py
+++ b/sidecar/cluster/rollout_reports.py
@@ -20,7 +20,7 @@
         state = self._state
         if state.round.version in (state.reported_in_force, state.reported_late):
             return None
-        return state.newest_heard_at + state.round_interval_us
+        return state.newest_received_at + state.round_interval_us
 
     def due(self, now: int) -> list[RolloutReport]:
         """What is to be reported now."""
@@ -40,7 +40,7 @@
             return None
         # Counting first is cheap; the status walks over all members.
         may_be_everywhere = state.round.in_force.bit_count() >= state.table.size().at_most
-        elapsed_us = now - state.newest_heard_at
+        elapsed_us = now - state.newest_received_at
         is_late = elapsed_us >= state.round_interval_us and state.reported_late != version
         if not may_be_everywhere and not is_late:
             return None
--- a/sidecar/cluster/rollout_state.py
+++ b/sidecar/cluster/rollout_state.py
@@ -27,8 +27,8 @@
     random: random.Random
     version: int  # in force here
     digest: int
-    newest_heard_at: int
-    newest_heard_from: int
+    newest_received_at: int
+    newest_received_from: int
     round: AggregationRound  # the latest, about the newest version that was heard of
     previous_round: AggregationRound | None = None  # about the same version, and complete
     reported_in_force: int = NO_VERSION  # the version last reported to be in force everywhere, ...
@@ -50,7 +50,7 @@
         return chunk_count(len(self.table))
 
     @property
-    def round_fill_us(self) -> int:
+    def round_completion_us(self) -> int:
         """How long a round takes at rest until what every member says is known to all."""
         exchanges = _EXCHANGES_PER_DOUBLING * math.log2(len(self.table) + 1) + _MORE_EXCHANGES
         return int(exchanges * self.chunk_count * self.exchange_period_us)
@@ -58,7 +58,7 @@
     @property
     def round_interval_us(self) -> int:
         """From the start of a round to that of the next: as set, longer where it could not fill."""
-        return max(int(self.settings.round_interval_s * 1e6), 2 * self.round_fill_us)
+        return max(int(self.settings.round_interval_s * 1e6), 2 * self.round_completion_us)
 
     def jittered(self, interval_us: int) -> int:
         """The interval in microseconds times a random factor from 0.8 to 1.2."""
--- a/sidecar/cluster/rollout_status.py
+++ b/sidecar/cluster/rollout_status.py
@@ -41,8 +41,8 @@
     in_force, behind = round_.in_force, round_.behind
     min_digest, max_digest = round_.min_digest, round_.max_digest
     required = _required_members(state.table)
-    is_filling = now - round_.started_at < state.round_fill_us
-    if state.previous_round is not None and required & ~in_force and is_filling:
+    is_incomplete = now - round_.started_at < state.round_completion_us
+    if state.previous_round is not None and required & ~in_force and is_incomplete:
         # What was said in the latest round takes precedence already.
         round_ = state.previous_round
         in_force |= round_.in_force & ~behind
--- a/sidecar/cluster/update_processing.py
+++ b/sidecar/cluster/update_processing.py
@@ -67,8 +67,8 @@
 
     def discard_from(self, size: int) -> None:
         """Discard the suspicions of members from this number on."""
-        kept = {number: suspicion for number, suspicion in self._suspicions.items() if number < size}
-        self._suspicions = kept
+        remaining = {number: suspicion for number, suspicion in self._suspicions.items() if number < size}
+        self._suspicions = remaining
 
     def _acknowledged_recently(self, now: int, update: MembershipUpdate) -> bool:
         """Whether that incarnation answered the local member of late, so that its death is hearsay."""
--- a/sidecar/cluster_membership.py
+++ b/sidecar/cluster_membership.py
@@ -102,7 +102,7 @@
         if self._log_timer is not None:
             self._log_timer.cancel()
 
-    def figures(self) -> dict[str, object] | None:
+    def metrics(self) -> dict[str, object] | None:
         """The metrics that operators read; None while it is off."""
         membership = self.protocol
         if membership is None:
--- a/sidecar/cluster_service.py
+++ b/sidecar/cluster_service.py
@@ -92,8 +92,8 @@
 
     def metrics(self) -> dict[str, object]:
         """Return the metrics of what is switched on, by name."""
-        membership = None if self.members is None else self.members.figures()
-        versions = None if self.versions is None else self.versions.figures()
+        membership = None if self.members is None else self.members.metrics()
+        versions = None if self.versions is None else self.versions.metrics()
         metrics: dict[str, object] = {}
         if membership is not None:
             metrics["membership"] = membership
--- a/sidecar/configuration_rollout.py
+++ b/sidecar/configuration_rollout.py
@@ -102,7 +102,7 @@
         self.protocol = self._table = None
         self._timer.cancel()
 
-    def figures(self) -> dict[str, object] | None:
+    def metrics(self) -> dict[str, object] | None:
         """The metrics that operators read; None while it is off."""
         rollout = self.protocol
         if rollout is None:
@@ -114,9 +114,9 @@
             "version": rollout.version,
             "digest": f"{rollout.digest:08x}",
             "newest_heard": status.version,
-            "newest_heard_from": rollout.newest_heard_from,
+            "newest_heard_from": rollout.newest_received_from,
             "newest_first_said_by": rollout.round.first_reported_by,
-            "newest_heard_s_ago": round((now - rollout.newest_heard_at) / 1e6, 1),
+            "newest_heard_s_ago": round((now - rollout.newest_received_at) / 1e6, 1),
             "in_force_everywhere": status.is_in_force_everywhere,
             "in_force": status.in_force_count,
             "asked": status.required_count,
--- a/sidecar/discovery/discovery.py
+++ b/sidecar/discovery/discovery.py
@@ -66,7 +66,7 @@
             except TimeoutError:
                 pass
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Send all further polls to this address; a watch continues there at once, from the version it had.
 
         The first poll there does not wait: a change in the meantime must not be delayed until the next one.
@@ -152,11 +152,11 @@
                     endpoint_list = await poll.result()
                 finally:
                     poll.close()
-            news = self._tracker.accept(endpoint_list, position, None)
+            newer_list = self._tracker.accept(endpoint_list, position, None)
         except (PollFailedError, InconsistentChangesError):
             self._poll_failed()
         else:
-            self._on_list(news or EndpointList(self._tracker.version, is_complete=False, endpoints=()))
+            self._on_list(newer_list or EndpointList(self._tracker.version, is_complete=False, endpoints=()))
 
     def _poll_failed(self) -> None:
         self._tracker.poll_failed()
--- a/sidecar/discovery/watcher.py
+++ b/sidecar/discovery/watcher.py
@@ -59,18 +59,18 @@
     def _response_received(
         self, endpoint_list: EndpointList, position: int, after_version: int | None
     ) -> None:
-        """Report a list that is news; the first response is reported whatever it says."""
+        """Report a list that is newer; the first response is reported whatever it says."""
         try:
-            news = self._tracker.accept(endpoint_list, position, after_version)
+            newer_list = self._tracker.accept(endpoint_list, position, after_version)
         except InconsistentChangesError as error:
             raise PollFailedError(str(error)) from None
-        if news is None or not (news.is_complete or news.endpoints):
-            news = (
+        if newer_list is None or not (newer_list.is_complete or newer_list.endpoints):
+            newer_list = (
                 None
                 if self.has_response
                 else EndpointList(self._tracker.version, is_complete=False, endpoints=())
             )
         self.has_response = True
         self._on_first_response()
-        if news is not None:
-            self._on_list(news)
+        if newer_list is not None:
+            self._on_list(newer_list)
--- a/sidecar/downstream/downstream.py
+++ b/sidecar/downstream/downstream.py
@@ -65,7 +65,7 @@
 
     def listen(self, listening: socket.socket) -> None:
         """Accept connections from this socket."""
-        self._listener = Listener(listening, lambda: DownstreamConnection(self), self._make_room)
+        self._listener = Listener(listening, lambda: DownstreamConnection(self), self._evict_connection)
 
     def stop_listening(self, *, accept_the_rest: bool = False) -> None:
         """Accept no more; `accept_the_rest`: except for what the system has accepted already."""
@@ -127,7 +127,7 @@
     def add(self, connection: DownstreamConnection) -> None:
         """Take in a new connection, or close it where there is no room."""
         self.last_opened = asyncio.get_running_loop().time()
-        if len(self._connections) >= self._max_connections and not self._make_room():
+        if len(self._connections) >= self._max_connections and not self._evict_connection():
             connection.close_unused()  # all others await a response
             return
         self._connections[connection] = None
@@ -198,7 +198,7 @@
         if self._connections:
             self._schedule_sweep()
 
-    def _make_room(self) -> bool:
+    def _evict_connection(self) -> bool:
         """Close one connection that loses no request by it; return whether there was one.
 
         Few are considered: with all of them polled for each new one, a rush of connections would leave no
--- a/sidecar/downstream/listener.py
+++ b/sidecar/downstream/listener.py
@@ -15,7 +15,7 @@
 _MAX_ACCEPTS_PER_TURN = 8  # so that connections over the limit are closed before more are accepted
 _RETRY_S = 0.1  # until accepting is tried again when this machine had no room
 _RETRY_AFTER_CLOSE_S = 0.01  # when a connection was closed to make room: its descriptor is free soon
-_NO_ROOM_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+_NO_RESOURCES_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 def listener_from_descriptor(descriptor: int) -> socket.socket:
@@ -55,12 +55,12 @@
         self,
         listening: socket.socket,
         create_protocol: Callable[[], asyncio.BaseProtocol],
-        make_room: Callable[[], bool] = lambda: False,
+        evict_connection: Callable[[], bool] = lambda: False,
     ) -> None:
-        """`make_room` closes a connection that can be spared, and returns whether there was one."""
+        """`evict_connection` closes a connection that can be spared, and returns whether there was one."""
         self._socket = listening
         self._create_protocol = create_protocol
-        self._make_room = make_room
+        self._evict_connection = evict_connection
         self._tasks: set[asyncio.Task[object]] = set()
         self._retry_timer: asyncio.TimerHandle | None = None
         listening.setblocking(False)  # noqa: FBT003 - has no keyword
@@ -115,7 +115,7 @@
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return False  # nobody is there, or another process was quicker
         except OSError as error:
-            if error.errno not in _NO_ROOM_ERRORS:
+            if error.errno not in _NO_RESOURCES_ERRORS:
                 raise
             self._retry_later()
             return False
@@ -138,7 +138,7 @@
         than the settings say: the limit on connections would never close one.
         """
         self._loop.remove_reader(self._socket)
-        delay_s = _RETRY_AFTER_CLOSE_S if self._make_room() else _RETRY_S
+        delay_s = _RETRY_AFTER_CLOSE_S if self._evict_connection() else _RETRY_S
         self._retry_timer = self._loop.call_later(delay_s, self._resume)
 
 
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -91,7 +91,7 @@
         """
         self._cluster.check_version(configuration)
         unchanged_keys = self._configuration.fixed_keys_that_differ(configuration)
-        self._discovery.move(configuration.discovery_address)
+        self._discovery.change_address(configuration.discovery_address)
         self._cluster.reconfigure(configuration, is_complete=not unchanged_keys)
         return unchanged_keys
 
@@ -228,11 +228,11 @@
             self._cluster.request_received,
         )
         # Two processes of a hot restart share the memory of one sidecar.
-        share = 1 if self._listener is None else 2
+        process_count = 1 if self._listener is None else 2
         return Downstream(
             self._configuration.settings,
             self._connection_limits().downstream,
-            self._configuration.memory_mb // share,
+            self._configuration.memory_mb // process_count,
             intake.request_received,
             intake.body_completed,
             intake.client_disconnected,
--- a/sidecar/upstream/connection_pool.py
+++ b/sidecar/upstream/connection_pool.py
@@ -135,7 +135,7 @@
             idle.connection.close()
         return None
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether one more connection may be established; closes the longest idle one if it must."""
         return len(self._endpoint_of) + self._connecting < self._max_connections or self._close_oldest()
 
--- a/sidecar/upstream/load_report.py
+++ b/sidecar/upstream/load_report.py
@@ -13,10 +13,10 @@
 def parse_load_report(
     response: Response | None, columns: tuple[str, ...], *, in_body: bool = False
 ) -> dict[str, float] | None:
-    """Return the figures named in `columns`; None if the response reports none of them.
+    """Return the numbers named in `columns`; None if the response reports none of them.
 
     The report is the value of the `server-load` header or, with `in_body`, the body of a response without
-    that header: `name=figure` pairs, separated by commas.  Malformed pairs and infinite figures are ignored.
+    that header: `name=number` pairs, separated by commas.  Malformed pairs and infinite numbers are ignored.
     """
     if response is None:
         return None
@@ -25,12 +25,12 @@
         return None
     report: dict[str, float] = {}
     for pair in text.decode("latin-1").removeprefix(_FORMAT_PREFIX).split(","):
-        name, _, figure = pair.partition("=")
+        name, _, number = pair.partition("=")
         name = name.strip()
         if name not in columns:
             continue
         try:
-            value = float(figure)
+            value = float(number)
         except ValueError:
             continue
         if math.isfinite(value):
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -83,7 +83,7 @@
         connection = self._pool.take_idle(endpoint)
         if connection is not None:
             self._write(attempt, connection)
-        elif self._pool.has_room():
+        elif self._pool.has_capacity():
             self._pool.connect(attempt, endpoint)
         else:
             loop.call_soon(self._end, attempt, Outcome.NOT_SENT)
--- a/tests/test_cluster_membership.py
+++ b/tests/test_cluster_membership.py
@@ -29,7 +29,7 @@
     sizes: list[ClusterSize] = field(default_factory=list)
 
     def figure(self, name: str) -> object:
-        figures = self.members.figures()
+        figures = self.members.metrics()
         return None if figures is None else figures[name]
 
 
@@ -63,7 +63,7 @@
         await until(lambda: all(each.figure("present") == 3 for each in everybody))
         three.members.leave()
         await until(lambda: one.figure("left") == two.figure("left") == 1)
-        assert three.members.figures() is None
+        assert three.members.metrics() is None
         assert one.sizes[-1].at_most == 2 and one.figure("view") == "ppl"
         assert "member" in str(one.figure("absent"))
         await until(lambda: any("2 left (by 2)" in line for line in one.lines))
@@ -81,7 +81,7 @@
         two.members.leave()
         await until(lambda: one.sizes[-1].at_most == 1)
         one.members.configure(MembershipSettings(on=False))
-        assert one.sizes[-1] == ClusterSize(2, 2, 0, 0, 0, 0) and one.members.figures() is None
+        assert one.sizes[-1] == ClusterSize(2, 2, 0, 0, 0, 0) and one.members.metrics() is None
         for each in (one, two):
             each.members.close()
             each.peers.close()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -85,7 +85,7 @@
         await until(lambda: len(old.heard) == (2 if answered else 1))
         new.version = 9
         new.servers = [line("s-1", "127.0.0.2:80")]
-        recorded.discovery.move(parse_address(new.address))
+        recorded.discovery.change_address(parse_address(new.address))
         told = await recorded.next()
         assert told is not None and told.version == 9
         await until(lambda: len(new.heard) == 2)
@@ -397,7 +397,7 @@
         recorded = RecordedDiscovery(old, 3)
         recorded.discovery.poll()
         await until(lambda: len(old.heard) == 1)
-        recorded.discovery.move(parse_address(new.address))
+        recorded.discovery.change_address(parse_address(new.address))
         release.set()
         answer = await recorded.next()
         assert answer is not None and answer.version == 6 and len(new.heard) == 1
@@ -416,7 +416,7 @@
         recorded = RecordedDiscovery(old)
         recorded.discovery.watch(is_enabled=True)
         assert await recorded.next() is not None
-        recorded.discovery.move(parse_address(new.address))
+        recorded.discovery.change_address(parse_address(new.address))
         await until(lambda: len(new.heard) == 1)
         recorded.discovery.watch(is_enabled=True)
         recorded.discovery.poll()  # comes after whatever a new watch would have asked
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -33,7 +33,7 @@
     module.__dict__.update(
         ROOT=tmp_path,
         NATIVE=tmp_path / "build" / "native",
-        KEPT=tmp_path / "build" / "compiled",
+        CACHE=tmp_path / "build" / "compiled",
         TOOLS=tmp_path / "tools.txt",
         COMPILED=("balancer/one.py",),
     )
--- a/tests/test_recorded_samples.py
+++ b/tests/test_recorded_samples.py
@@ -136,7 +136,7 @@
     others.datagram_received(3, b"\xff")
     versions.datagram_received(1, encode([2, CLUSTER, 1, 0, 6, 1, 10, 1, 0xCD, 0xCD, 0, b"\x02", b""]))
     figures = metrics.snapshot(pending=2, members=7, unavailable=1)
-    figures["membership"], figures["configuration"] = others.figures(), versions.figures()
+    figures["membership"], figures["configuration"] = others.metrics(), versions.metrics()
     others.close()
     versions.close()
     return figures
