--- a/sidecar/cluster/failure_detector.py
+++ b/sidecar/cluster/failure_detector.py
@@ -25,12 +25,13 @@
         self._number = context.local.number
         self.pings = PendingPings(context.random.randrange(_MAX_SEQUENCE_SEED))
         self._targets = TargetSelector(self._number, context.table, context.random)
-        self.last_heard_at = now  # when any other member was heard last
+        self.last_received_at = now  # when any other member was heard last
         self._next_ping_at = now
         self.period_us = context.period_us(now)  # as of the last ping
 
     @property
     def deadlines(self) -> list[int]:
+        """Clock times in microseconds at which this is to be called again."""
         pending = self.pings.next_deadline
         return [self._next_ping_at] if pending is None else [self._next_ping_at, pending]
 
@@ -43,17 +44,19 @@
         self._next_ping_at = now + int(self._context.period_us(now) * self._context.random.random())
 
     def table_resized(self) -> None:
+        """Discard the pings of members that are no longer in the table, and draw a new order of targets."""
         self.pings.discard_from(len(self._context.table))
         self._targets.reset()
 
     def process_stalled(self) -> None:
+        """Discard all pending pings: their acknowledgements may have been missed."""
         self.pings.discard_from(0)
 
     # Time
 
-    def send_overdue_nacks(self, now: int) -> None:
+    def send_expired_nacks(self, now: int) -> None:
         """Tell those that requested a ping that the target does not answer."""
-        for relayed in self.pings.take_overdue(now):
+        for relayed in self.pings.take_expired(now):
             self._send_reply(
                 now, relayed.origin, MessageKind.NACK, relayed.origin_sequence_number, relayed.target
             )
@@ -168,8 +171,8 @@
         if self._context.table[ping.target].has_ended:
             return
         health = self._context.health
-        has_heard_nobody = self.last_heard_at < ping.sent_at and len(self._context.table) > 2
-        if has_heard_nobody and not health.is_worst:
+        has_received_nothing = self.last_received_at < ping.sent_at and len(self._context.table) > 2
+        if has_received_nothing and not health.is_worst:
             health.degrade(2)  # it is rather the local member that is cut off
             return
         missing_nacks = max(len(ping.relays) - ping.nacks, 0 if ping.relays else 1)
--- a/sidecar/cluster/membership.py
+++ b/sidecar/cluster/membership.py
@@ -23,7 +23,7 @@
 from sidecar.cluster.member_table import MemberTable
 from sidecar.cluster.message import (
     DropReason,
-    InvalidDatagram,
+    InvalidDatagramError,
     MembershipUpdate,
     MemberState,
     Message,
@@ -85,12 +85,12 @@
             return []
         try:
             message = self._decode(sender, payload)
-        except InvalidDatagram as invalid:
+        except InvalidDatagramError as invalid:
             self.dropped[invalid.reason] += 1
             return []
         self._check_stall(now)
-        self._failure_detector.last_heard_at = now
-        self._refutation.member_heard(now)
+        self._failure_detector.last_received_at = now
+        self._refutation.datagram_accepted(now)
         self._process_updates(now, message)
         self._outbox.views_differ = message.digest != self.table.digest
         self._dispatch(now, message)
@@ -101,7 +101,7 @@
         if self._has_left:
             return []
         self._check_stall(now)
-        self._failure_detector.send_overdue_nacks(now)
+        self._failure_detector.send_expired_nacks(now)
         self._failure_detector.check_pending_ping(now)
         self._updates.declare_expired_dead(now)
         self._refutation.tick(now)
@@ -113,7 +113,7 @@
         if requests:
             self._limiter.add_requests(now, requests)
 
-    def leave(self, now: int, has_successor: bool = False) -> list[MembershipAction]:
+    def leave(self, *, has_successor: bool = False) -> list[MembershipAction]:
         """This incarnation ends as planned: all hear of it, unless another process continues its number."""
         if self._has_left:
             return []
@@ -143,6 +143,7 @@
 
     @property
     def incarnation(self) -> int:
+        """The incarnation of the local member."""
         return self._local.incarnation
 
     @property
@@ -156,17 +157,18 @@
         return self._failure_detector.period_us
 
     def size(self) -> ClusterSize:
+        """The numbers of members by their state."""
         return self.table.size()
 
     def silence_us(self, now: int) -> int:
         """How long no other member was heard."""
-        return now - self._failure_detector.last_heard_at
+        return now - self._failure_detector.last_received_at
 
     # Datagrams
 
     def _decode(self, sender: int, payload: bytes) -> Message:
         if not 0 <= sender < len(self.table) or sender == self.number:
-            raise InvalidDatagram(DropReason.UNKNOWN_SENDER)
+            raise InvalidDatagramError(DropReason.UNKNOWN_SENDER)
         return decode(payload, self._cluster, sender)
 
     def _process_updates(self, now: int, message: Message) -> None:
--- a/sidecar/cluster/message.py
+++ b/sidecar/cluster/message.py
@@ -88,14 +88,17 @@
     def create(
         member: int, incarnation: int, state: MemberState, refutations: int, reported_by: int
     ) -> MembershipUpdate:
+        """Make an update from its parts; state and refutations share one field."""
         return MembershipUpdate(member, incarnation, (refutations << _STATE_BITS) | state, reported_by)
 
     @property
     def state(self) -> MemberState:
+        """The state of the member."""
         return _STATES[self.status & _STATE_MASK]
 
     @property
     def refutations(self) -> int:
+        """How many suspicions this incarnation has refuted."""
         return self.status >> _STATE_BITS
 
     @property
@@ -105,6 +108,7 @@
 
     @property
     def has_ended(self) -> bool:
+        """Whether the incarnation is dead or has left."""
         return self.status & _STATE_MASK >= MemberState.DEAD
 
     @property
@@ -142,7 +146,7 @@
     cluster: int
 
 
-class InvalidDatagram(Exception):
+class InvalidDatagramError(Exception):
     """A datagram that is not taken."""
 
     def __init__(self, reason: DropReason) -> None:
@@ -161,17 +165,17 @@
 
 
 def decode(data: bytes, cluster: int, sender: int) -> Message:
-    """Decode what came from the address of `sender`; raise InvalidDatagram on anything not of this form."""
+    """Decode what came from the address of `sender`; raise InvalidDatagramError on any other form."""
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise InvalidDatagram(DropReason.TOO_LONG)
+        raise InvalidDatagramError(DropReason.TOO_LONG)
     try:
         message = _DECODER.decode(data)
     except (msgspec.DecodeError, ValueError, RecursionError):
-        raise InvalidDatagram(_decode_failure(data)) from None
+        raise InvalidDatagramError(_decode_failure(data)) from None
     if message.cluster != cluster:
-        raise InvalidDatagram(DropReason.OTHER_CLUSTER)
+        raise InvalidDatagramError(DropReason.OTHER_CLUSTER)
     if message.sender != sender:
-        raise InvalidDatagram(DropReason.WRONG_SENDER)
+        raise InvalidDatagramError(DropReason.WRONG_SENDER)
     return message
 
 
--- a/sidecar/cluster/rollout_exchanges.py
+++ b/sidecar/cluster/rollout_exchanges.py
@@ -72,7 +72,7 @@
         """Until the next exchange."""
         state = self._state
         is_quiet = self._quiet_exchanges >= _QUIET_EXCHANGES * state.chunk_count
-        is_recent = now - state.newest_heard_at < _SPREADING_US
+        is_recent = now - state.newest_received_at < _SPREADING_US
         is_concluded = state.reported_in_force == state.round.version
         if is_recent and not (is_concluded and is_quiet):
             return min(_SPREADING_INTERVAL_US, state.exchange_period_us)
@@ -98,8 +98,8 @@
         return local_head != remote_head or local.chunk(chunk) != remote.chunk(chunk)
 
     def _send(
-        self, now: int, receiver: int | None, kind: ExchangeKind, chunk: int, is_reply: bool = False
+        self, now: int, receiver: int | None, kind: ExchangeKind, chunk: int, *, is_reply: bool = False
     ) -> None:
-        if receiver is not None and self._limiter.try_acquire(now, is_reply):
+        if receiver is not None and self._limiter.try_acquire(now, is_reply=is_reply):
             payload = encode(self._cluster, self._state.number, kind, self._state.round, chunk, now)
             self._datagrams.append(SendDatagram(receiver, payload))
--- a/sidecar/configuration_rollout.py
+++ b/sidecar/configuration_rollout.py
@@ -80,15 +80,15 @@
         return f"version: {config.version} is older than {self.protocol.version}, which is in force"
 
     def configure(
-        self, membership: Membership | None, config: Configuration, is_complete: bool = True
+        self, membership: Membership | None, config: Configuration, *, is_complete: bool = True
     ) -> None:
         """This configuration is in force from now on; not `is_complete`: some of it after a restart only."""
         if membership is None or config.version is None or not config.rollout.on:
             self.close()
         elif self.protocol is None or self._table is not membership.table:
-            self._start(membership, config, config.version, is_complete)
+            self._start(membership, config, config.version, is_complete=is_complete)
         else:
-            self._reconfigure(self.protocol, config, config.version, is_complete)
+            self._reconfigure(self.protocol, config, config.version, is_complete=is_complete)
 
     def datagram_received(self, sender: int, payload: bytes) -> bool:
         """Take a datagram from a member; return False if it is not about versions, or this is off."""
@@ -102,7 +102,7 @@
         self.protocol = self._table = None
         self._timer.cancel()
 
-    def figures(self) -> dict[str, object] | None:
+    def metrics(self) -> dict[str, object] | None:
         """The metrics that operators read; None while it is off."""
         rollout = self.protocol
         if rollout is None:
@@ -114,9 +114,9 @@
             "version": rollout.version,
             "digest": f"{rollout.digest:08x}",
             "newest_heard": status.version,
-            "newest_heard_from": rollout.newest_heard_from,
+            "newest_heard_from": rollout.newest_received_from,
             "newest_first_said_by": rollout.round.first_reported_by,
-            "newest_heard_s_ago": round((now - rollout.newest_heard_at) / 1e6, 1),
+            "newest_heard_s_ago": round((now - rollout.newest_received_at) / 1e6, 1),
             "in_force_everywhere": status.is_in_force_everywhere,
             "in_force": status.in_force_count,
             "asked": status.required_count,
@@ -132,7 +132,9 @@
             "dropped": {reason.value: count for reason, count in rollout.dropped.items()},
         }
 
-    def _start(self, membership: Membership, config: Configuration, version: int, is_complete: bool) -> None:
+    def _start(
+        self, membership: Membership, config: Configuration, version: int, *, is_complete: bool
+    ) -> None:
         digest = config.digest
         if not is_complete:
             if self.protocol is None:
@@ -146,7 +148,9 @@
         )
         self._carry_out(self.protocol.start(now))
 
-    def _reconfigure(self, rollout: Rollout, config: Configuration, version: int, is_complete: bool) -> None:
+    def _reconfigure(
+        self, rollout: Rollout, config: Configuration, version: int, *, is_complete: bool
+    ) -> None:
         now = self._clock.now()
         actions = rollout.configure(now, config.rollout)
         if is_complete:
--- a/sidecar/discovery/discovery.py
+++ b/sidecar/discovery/discovery.py
@@ -29,10 +29,11 @@
         self,
         address: Address,
         known: EndpointList,
-        is_pushed: bool,
         seed: int,
         on_list: Callable[[EndpointList], None],
         on_failed: Callable[[], None],
+        *,
+        is_pushed: bool,
     ) -> None:
         """`is_pushed`: an agent pushes its lists, which are watched whatever the balancer asks for."""
         self._address = address
@@ -65,7 +66,7 @@
             except TimeoutError:
                 pass
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Send all further polls to this address; a watch continues there at once, from the version it had.
 
         The first poll there does not wait: a change in the meantime must not be delayed until the next one.
@@ -79,7 +80,7 @@
         if self._is_watching:
             self._start_watch()
 
-    def watch(self, is_enabled: bool) -> None:
+    def watch(self, *, is_enabled: bool) -> None:
         """Watch the list from now on, or no longer.
 
         A watch that is enabled again before its first response continues as it is: a new one would give up
@@ -151,11 +152,11 @@
                     endpoint_list = await poll.result()
                 finally:
                     poll.close()
-            news = self._tracker.accept(endpoint_list, position, None)
+            newer_list = self._tracker.accept(endpoint_list, position, None)
         except (PollFailedError, InconsistentChangesError):
             self._poll_failed()
         else:
-            self._on_list(news or EndpointList(self._tracker.version, False, ()))
+            self._on_list(newer_list or EndpointList(self._tracker.version, is_complete=False, endpoints=()))
 
     def _poll_failed(self) -> None:
         self._tracker.poll_failed()
--- a/sidecar/downstream/client_transport.py
+++ b/sidecar/downstream/client_transport.py
@@ -88,6 +88,7 @@
     # What the client has taken
 
     def pause_writing(self) -> None:
+        """Called by the event loop: the write buffer has exceeded its limit."""
         self._is_writing_paused = True
         self._writing.restart()
         self._owner.watch_progress(self)
@@ -115,5 +116,6 @@
 
     def _untaken_bytes(self) -> int:
         """Return how much was written for the client and not taken by its machine."""
-        assert self._transport is not None and self._socket is not None
+        assert self._transport is not None
+        assert self._socket is not None
         return self._transport.get_write_buffer_size() + self._socket.unsent_bytes()
--- a/sidecar/downstream/connection.py
+++ b/sidecar/downstream/connection.py
@@ -19,12 +19,12 @@
     ReceiveProgress,
 )
 from sidecar.downstream.request_parsing import CHUNKED
-from sidecar.downstream.request_validation import InvalidRequest
+from sidecar.downstream.request_validation import InvalidRequestError
 from sidecar.http import (
     CONTINUE,
     LAST_CHUNK,
     Headers,
-    MalformedMessage,
+    MalformedMessageError,
     RequestHead,
     RequestReader,
     Signal,
@@ -78,7 +78,7 @@
             body = b""  # the method allows none, not even with an error
         head = response_head(status, [*headers, (b"content-length", b"%d" % len(body))])
         self._transport.write(head + body)
-        self._response_written(is_last)
+        self._response_written(is_last=is_last)
 
     def start_streaming(
         self, headers: Headers, length: int | None, first: bytes, source: ResponseSource
@@ -124,7 +124,7 @@
         if self._is_response_chunked:
             self._transport.write(LAST_CHUNK)
         is_unframed = self._response_bytes_left is None and not self._is_response_chunked
-        self._response_written(self._is_last_response or is_unframed)
+        self._response_written(is_last=self._is_last_response or is_unframed)
 
     # Timeouts
 
@@ -181,16 +181,15 @@
             return self.has_disconnected() or now - self.receiving.paused_since > 2 * STALL_TIMEOUT_S
         return self.receiving.lag_s(now) > _BODY_TIMEOUT_S
 
-    # Called by the event loop
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # The event loop's own class is none of asyncio's, so there is nothing to check.
-        self._transport = cast(Transport, transport)
+        """Called by the event loop: a client has connected."""
+        self._transport = cast(Transport, transport)  # uvloop's class derives from none of asyncio's
         self.receiving.started_at = asyncio.get_running_loop().time()
         self._socket = ConnectionSocket(self._transport)
         self._owner.add(self)
 
     def data_received(self, data: bytes) -> None:
+        """Called by the event loop: the client sent these bytes."""
         if self._is_reading_ended:
             return
         if self._pending_request is not None and self._upload is None:
@@ -208,6 +207,7 @@
         self._read()
 
     def resume_writing(self) -> None:
+        """Called by the event loop: the write buffer has drained."""
         self._is_writing_paused = False
         if self._transport is None or self._transport.is_closing():
             return
@@ -224,9 +224,11 @@
             self._read()
 
     def eof_received(self) -> None:
+        """Called by the event loop: the client closed its sending side."""
         self._client_disconnected()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Called by the event loop: the connection is closed."""
         self._client_disconnected()
         self._enter(ConnectionState.CLOSED)
         self._is_reading_ended = True
@@ -250,7 +252,7 @@
                 return  # guards against a client that sends request after request and reads no response
             try:
                 event = self._reader.next_event()
-            except MalformedMessage as error:
+            except MalformedMessageError as error:
                 self._reject(error.status, f"{error}\n".encode())
                 return
             if isinstance(event, bytes):
@@ -308,7 +310,7 @@
             return
         try:
             incoming = self._owner.parse(self._head, bytes(self._body))
-        except InvalidRequest as error:
+        except InvalidRequestError as error:
             self._reject(400, f"{error}\n".encode())
             return
         # The client's time runs from when it sent the request, not from when that was read.
@@ -323,12 +325,10 @@
         self._reject(400, b"more came than one request\n")
 
     def _answer_health_check(self) -> None:
-        if self._owner.fails_health_checks:
-            self.respond(503, [], b"evacuated\n")
-        else:
-            self.respond(200, [], b"ready\n")
+        status, body = (503, b"evacuated\n") if self._owner.fails_health_checks else (200, b"ready\n")
+        self.respond(status, [], body)
 
-    def _response_written(self, is_last: bool) -> None:
+    def _response_written(self, *, is_last: bool) -> None:
         assert self._transport is not None
         if not self._reader.is_reusable or is_last or self._is_reading_ended:
             self._linger()
@@ -355,7 +355,7 @@
         upload = Upload(length, self._pause_upload, self._resume_upload)
         try:
             incoming = self._owner.parse(self._head, upload)
-        except InvalidRequest as error:
+        except InvalidRequestError as error:
             self._reject(400, f"{error}\n".encode())
             return
         buffered, self._body = bytes(self._body), bytearray()
@@ -368,12 +368,13 @@
             self._enter(ConnectionState.AWAITING_RESPONSE)
 
     def _upload_completed(self) -> None:
-        upload, self._upload = self._upload, None
-        assert upload is not None and self._pending_request is not None
+        upload = self._upload
+        assert upload is not None
+        assert self._pending_request is not None
         if self._reader.has_trailing_data:
-            self._upload = upload
             self._reject_pipelined()
             return
+        self._upload = None
         self._owner.stop_awaiting(self)
         self._resume_upload()
         upload.end()
--- a/sidecar/http/reader.py
+++ b/sidecar/http/reader.py
@@ -12,7 +12,7 @@
 
 from sidecar.http.chunked import ChunkedBody
 from sidecar.http.grammar import (
-    MalformedMessage,
+    MalformedMessageError,
     RequestHead,
     ResponseHead,
     check_beginning,
@@ -59,7 +59,7 @@
     def next_event(self) -> Head | bytes | Signal:
         """Return a head, a piece of its body or a signal.
 
-        Raise MalformedMessage, after which the reader can't be used any more.
+        Raise MalformedMessageError, after which the reader can't be used any more.
         """
         return self._step()
 
@@ -119,7 +119,7 @@
         self._partial_head = bytearray()
         return head
 
-    def _expect_body(self, length: int | None, is_chunked: bool, keeps_alive: bool) -> None:
+    def _expect_body(self, length: int | None, *, is_chunked: bool, keeps_alive: bool) -> None:
         self._chunked = ChunkedBody() if is_chunked else None
         self.is_in_body = True
         self._keeps_alive = keeps_alive and (is_chunked or length is not None)
@@ -174,7 +174,7 @@
 
     def _head_received(self, head: bytes) -> RequestHead:
         read = read_request_head(head)
-        self._expect_body(read.length, read.length is None, read.keeps_alive)
+        self._expect_body(read.length, is_chunked=read.length is None, keeps_alive=read.keeps_alive)
         return read
 
 
@@ -186,6 +186,7 @@
         self._interim = 0
 
     def start_next(self) -> None:
+        """Read the next response, which may have interim responses of its own."""
         super().start_next()
         self._interim = 0
 
@@ -194,7 +195,7 @@
         if read.status < 200:
             self._interim += 1
             if self._interim > _MAX_INTERIM_RESPONSES:
-                raise MalformedMessage("too many answers before the final one")
+                raise MalformedMessageError("too many answers before the final one")
             return None
-        self._expect_body(read.length, read.is_chunked, read.keeps_alive)
+        self._expect_body(read.length, is_chunked=read.is_chunked, keeps_alive=read.keeps_alive)
         return read
--- a/sidecar/upstream/http_exchange.py
+++ b/sidecar/upstream/http_exchange.py
@@ -18,7 +18,7 @@
 from sidecar.http import (
     LAST_CHUNK,
     Headers,
-    MalformedMessage,
+    MalformedMessageError,
     ResponseHead,
     ResponseReader,
     Signal,
@@ -134,7 +134,8 @@
         `on_written` is called at most once, when the last byte was handed to the system.  Without
         `on_streaming_response`, a response that is too long to be buffered counts as malformed.
         """
-        assert self._transport is not None and self._on_result is None
+        assert self._transport is not None
+        assert self._on_result is None
         self._on_result = on_result
         self._head = None
         self._body = bytearray()
@@ -215,15 +216,18 @@
     # Called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Called by the event loop: the connection to the server is established."""
         # The event loop's own class is none of asyncio's, so there is nothing to check.
         self._transport = cast(Transport, transport)
         self._transport.set_write_buffer_limits(high=0)  # pause_writing then means: something is unwritten
         self._socket = ConnectionSocket(self._transport)
 
     def pause_writing(self) -> None:
+        """Called by the event loop: bytes wait in the write buffer."""
         self._is_writing_paused = True
 
     def resume_writing(self) -> None:
+        """Called by the event loop: the write buffer is empty."""
         self._is_writing_paused = False
         if self._upload is not None:
             self._upload.resume()
@@ -231,18 +235,21 @@
             self._notify_written()
 
     def data_received(self, data: bytes) -> None:
+        """Called by the event loop: the server sent these bytes."""
         if self._on_result is None:
             self.close()  # unsolicited
             return
         self._read(data)
 
     def eof_received(self) -> None:
+        """Called by the event loop: the server closed its sending side."""
         if self._on_result is not None:
             self._reader.receive_end()
             self._read(b"")  # the end may be what frames the response
         self._fail(self._lost_connection())
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Called by the event loop: the connection is closed."""
         self._fail(self._lost_connection())
         if self._socket is not None:
             self._socket.release()
@@ -264,7 +271,7 @@
                     return
                 else:
                     return
-        except MalformedMessage:
+        except MalformedMessageError:
             self._fail(ExchangeFailure.MALFORMED_RESPONSE)
 
     def _head_received(self, head: ResponseHead) -> None:
@@ -316,7 +323,8 @@
     # Ending an exchange
 
     def _response_completed(self) -> None:
-        assert self._head is not None and self._socket is not None
+        assert self._head is not None
+        assert self._socket is not None
         unread_us = self._socket.unread_us()
         response = Response(self._head.status, self._head.headers, bytes(self._body), unread_us)
         self._body = bytearray()
--- a/tests/test_recorded_samples.py
+++ b/tests/test_recorded_samples.py
@@ -136,7 +136,7 @@
     others.datagram_received(3, b"\xff")
     versions.datagram_received(1, encode([2, CLUSTER, 1, 0, 6, 1, 10, 1, 0xCD, 0xCD, 0, b"\x02", b""]))
     figures = metrics.snapshot(pending=2, members=7, unavailable=1)
-    figures["membership"], figures["configuration"] = others.figures(), versions.figures()
+    figures["membership"], figures["configuration"] = others.metrics(), versions.metrics()
     others.close()
     versions.close()
     return figures
@@ -173,10 +173,10 @@
 
 def test_excluded_servers_are_written_as_recorded(tmp_path: Path) -> None:
     handover = PersistedExclusions(tmp_path, _unexpected)
-    handover.record("10.0.0.7:8080", True, frozenset({"10.0.0.9:8080"}))
-    handover.record("bücher:80", True, frozenset())
-    handover.record("gone:1", True, frozenset())
-    handover.record("gone:1", False, frozenset())
+    handover.record("10.0.0.7:8080", frozenset({"10.0.0.9:8080"}), is_excluded=True)
+    handover.record("bücher:80", frozenset(), is_excluded=True)
+    handover.record("gone:1", frozenset(), is_excluded=True)
+    handover.record("gone:1", frozenset(), is_excluded=False)
     assert (tmp_path / "excluded.json").read_bytes() == (RECORDED / "excluded.json").read_bytes()
     assert sorted(path.name for path in tmp_path.iterdir()) == ["excluded.json", "excluded.lock"]
 
