--- a/testbed/capacity/feeds.py
+++ b/testbed/capacity/feeds.py
@@ -10,7 +10,7 @@
 from testbed.capacity.samples import Run, Sample
 
 
-class NotMeasured(Exception):
+class NotMeasuredError(Exception):
     """There is no figure; the text says why."""
 
 
@@ -66,13 +66,13 @@
 
 
 def figure(feed: Feed, runs: Sequence[Run]) -> Figure:
-    """The figure of a feed from valid runs alone; raise NotMeasured."""
+    """The figure of a feed from valid runs alone; raise NotMeasuredError."""
     found = [(run, sample) for run in runs for sample in run.samples if feed.takes(sample)]
     if not found:
-        raise NotMeasured("no sample of it")
+        raise NotMeasuredError("no sample of it")
     valid = [(run, sample) for run, sample in found if run.valid]
     if not valid:
-        raise NotMeasured("no valid run")
+        raise NotMeasuredError("no valid run")
     engine = min((sample.engine for _, sample in valid), key=feed.engines.index)
     feed = replace(feed, engine=engine)
     used = [(run, sample) for run, sample in valid if sample.engine == engine]
@@ -103,9 +103,9 @@
     """Through four sizes or more; none where it is not asked for and the size itself was measured."""
     if feed.is_alone:
         if not is_here:
-            raise NotMeasured(f"not at {feed.at:g}")
+            raise NotMeasuredError(f"not at {feed.at:g}")
         return None
     try:
         return fit([(size, value) for size, value in points if size >= 1.0])  # none has no logarithm
     except FitError as fault:
-        raise NotMeasured(str(fault)) from None
+        raise NotMeasuredError(str(fault)) from None
--- a/testbed/capacity/page.py
+++ b/testbed/capacity/page.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import get_args
 
-from testbed.capacity.feeds import Feed, Figure, NotMeasured, figure
+from testbed.capacity.feeds import Feed, Figure, NotMeasuredError, figure
 from testbed.capacity.fit import Fit
 from testbed.capacity.rows import Filled, Kind, Table, Unfilled, fill
 from testbed.capacity.samples import Run
@@ -77,7 +77,7 @@
     for name, text in table.feed.items():
         try:
             out[name] = number(figure(Feed.read(text, table.given["sidecars"]), runs).value)
-        except NotMeasured:
+        except NotMeasuredError:
             out[name] = "(not measured)"
     return out
 
--- a/testbed/capacity/rows.py
+++ b/testbed/capacity/rows.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from testbed.capacity.feeds import Feed, Figure, NotMeasured, figure
+from testbed.capacity.feeds import Feed, Figure, NotMeasuredError, figure
 from testbed.capacity.samples import Run
 
 TABLE = Path(__file__).with_name("rows.toml")
@@ -125,7 +125,7 @@
             continue
         try:
             figures = _figures(row, table, runs)
-        except NotMeasured as why:
+        except NotMeasuredError as why:
             unfilled.append(Unfilled(row, str(why)))
             continue
         known = table.given | {name: each.value for name, each in figures.items()}
@@ -137,14 +137,14 @@
 
 
 def _figures(row: Row, table: Table, runs: Sequence[Run]) -> dict[str, Figure]:
-    """What the row's expression needs; raise NotMeasured, naming the feed."""
+    """What the row's expression needs; raise NotMeasuredError, naming the feed."""
     found = {}
     for name in sorted(names_in(row.figure) & set(table.feed)):
         feed = Feed.read(table.feed[name], table.given["sidecars"])
         try:
             found[name] = figure(feed, runs)
-        except NotMeasured as why:
-            raise NotMeasured(f"{feed.name}: {why}") from None
+        except NotMeasuredError as why:
+            raise NotMeasuredError(f"{feed.name}: {why}") from None
     return found
 
 
--- a/testbed/cluster_simulation/discovery_queue.py
+++ b/testbed/cluster_simulation/discovery_queue.py
@@ -34,7 +34,7 @@
 _WARM_US = 5 * S
 
 
-class Unanswered(Exception):
+class UnansweredError(Exception):
     """Some had no answer within the bound."""
 
 
@@ -117,7 +117,7 @@
     back = queue.now
     while any(each.answered_at is None for each in callers):
         if queue.now - back > _MOST_US:
-            raise Unanswered(f"{size} sidecars, {call_ms:g} ms a call, seed {seed}")
+            raise UnansweredError(f"{size} sidecars, {call_ms:g} ms a call, seed {seed}")
         queue.run(queue.now + _STEP_US)
     return [(each.answered_at - back) / S for each in callers if each.answered_at is not None]
 
@@ -138,7 +138,7 @@
     """The longest and the 99th of a hundred; None if some had no answer."""
     try:
         waits = returned(cell.size, cell.call_ms, cell.down_s, cell.seed)
-    except Unanswered:
+    except UnansweredError:
         return None
     return max(waits), float(np.quantile(waits, 0.99, method="higher"))
 
--- a/testbed/cluster_simulation/explore.py
+++ b/testbed/cluster_simulation/explore.py
@@ -45,7 +45,7 @@
         return Chance(self._at)
 
 
-class Broken(Exception):
+class InvariantError(Exception):
     """A property does not hold; the text names it."""
 
 
@@ -162,18 +162,18 @@
         if membership is None:
             return
         if len(membership.table) != MEMBERS:
-            raise Broken(f"the table of {number} holds {len(membership.table)}")
+            raise InvariantError(f"the table of {number} holds {len(membership.table)}")
         for of, member in enumerate(membership.table.records):
             incarnation = of, member.update.incarnation
             if member.state >= MemberState.DEAD:
                 own.ended.add(incarnation)
             elif incarnation in own.ended:
-                raise Broken(f"to {number}, incarnation {incarnation[1]} of {of} came back")
+                raise InvariantError(f"to {number}, incarnation {incarnation[1]} of {of} came back")
         if (number, membership.incarnation) in own.ended and not membership.is_duplicate:
-            raise Broken(f"{number} goes on with an incarnation that it knows to be over")
+            raise InvariantError(f"{number} goes on with an incarnation that it knows to be over")
 
     def heal(self) -> int:
-        """Let every datagram through and every clock run; give the time till all agree, or raise Broken."""
+        """Let every datagram through and every clock run; give the time till all agree, or raise InvariantError."""
         start = max(each.now for each in self.members)
         for own in self.members:
             own.now = max(own.now, start)  # from here on one clock for all
@@ -190,7 +190,7 @@
             number = min(range(MEMBERS), key=lambda each: self.members[each].wake)
             now = self.members[number].wake
             if now - start > _HEALS_WITHIN_US:
-                raise Broken("no agreement after healing")
+                raise InvariantError("no agreement after healing")
             for own in self.members:
                 own.now = max(own.now, now)
             self._tick(number)
@@ -224,7 +224,7 @@
 
 
 def explore(depth: int, most_faults: int, seed: int = 1, heal_every: int = 1) -> Explored:
-    """Go through every order of steps up to a depth; raise Broken, with the steps, where one does not hold.
+    """Go through every order of steps up to a depth; raise InvariantError, with the steps, where one does not hold.
 
     Worlds that were reached before are not gone through again.  Every `heal_every`-th world is healed.
     """
@@ -248,6 +248,6 @@
                 after = world.copied()
                 after.step(*step)
                 waiting.append((after, (*path, step)))
-        except Broken as broken:
-            raise Broken(f"{broken} after {path}") from None
+        except InvariantError as broken:
+            raise InvariantError(f"{broken} after {path}") from None
     return Explored(states, healed, longest)
--- a/testbed/cluster_simulation/slopes.py
+++ b/testbed/cluster_simulation/slopes.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from testbed.capacity.samples import Sample, save
-from testbed.cluster_simulation.trial import BACK_AFTER_S, REQUESTS_PER_S, Overdue, Trial
+from testbed.cluster_simulation.trial import BACK_AFTER_S, REQUESTS_PER_S, OverdueError, Trial
 
 JOBS = 4
 SIZES = (50, 100, 200, 400, 750)
@@ -161,7 +161,7 @@
 
 
 def played(name: str, size: int, seed: int) -> list[Sample]:
-    """One cell; raise Overdue where what is waited for does not come."""
+    """One cell; raise OverdueError where what is waited for does not come."""
     case = CASES[name]
     trial = Trial(size, seed, loss=case.loss, is_known=case.is_known)
     case.play(trial, name)
@@ -185,7 +185,7 @@
     for (size, seed), future in sorted(futures.items()):
         try:
             samples += future.result()
-        except Overdue as fault:
+        except OverdueError as fault:
             notes.append(f"{size} members, seed {seed}: {fault}")
             valid = False
     path = save(
--- a/testbed/cluster_simulation/trial.py
+++ b/testbed/cluster_simulation/trial.py
@@ -19,7 +19,7 @@
 _UNITS = {"sent": "1/s", "heard": "1/s", "sent_bytes": "B/s", "heard_bytes": "B/s"}
 
 
-class Overdue(Exception):
+class OverdueError(Exception):
     """What was waited for did not come within the bound; the text names it."""
 
 
@@ -93,18 +93,18 @@
     # What is waited for
 
     def until_known(self, within_s: float) -> None:
-        """Run until all that live know of each that was killed; raise Overdue."""
+        """Run until all that live know of each that was killed; raise OverdueError."""
         began, wanted = self.cluster.queue.now, len(self.cluster.processes)
         while any(len(each) < wanted for each in self._known.values()):
             if self.cluster.queue.now - began > within_s * S:
-                raise Overdue(f"deaths not known to all within {within_s:g} s")
+                raise OverdueError(f"deaths not known to all within {within_s:g} s")
             self.cluster.run(_STEP_S)
 
     def until_agreed(self, within_s: float) -> float:
-        """Run until all agree; give the seconds that it took, or raise Overdue."""
+        """Run until all agree; give the seconds that it took, or raise OverdueError."""
         found = self.cluster.until_agreed(within_s, _STEP_S)
         if found is None:
-            raise Overdue(f"no agreement within {within_s:g} s")
+            raise OverdueError(f"no agreement within {within_s:g} s")
         return found
 
     # What is counted
--- a/testbed/emulator/discovery.py
+++ b/testbed/emulator/discovery.py
@@ -11,7 +11,7 @@
 from testbed import events as log
 from testbed.catalog import Catalog, Change
 from testbed.clock import DayClock
-from testbed.emulator.message import Requests, Unreadable, answer
+from testbed.emulator.message import MalformedRequestError, Requests, answer
 from testbed.emulator.switch import Handler, Passage
 from testbed.scenario.day import Day
 
@@ -158,7 +158,7 @@
         try:
             for head, _ in self._reading.feed(data):
                 self._asked(head.partition(b"\r\n")[0])
-        except Unreadable:
+        except MalformedRequestError:
             self.passage.reset()
 
     def _asked(self, line: bytes) -> None:
--- a/testbed/emulator/message.py
+++ b/testbed/emulator/message.py
@@ -9,7 +9,7 @@
 _MOST = 1 << 20  # bytes of one request
 
 
-class Unreadable(Exception):
+class MalformedRequestError(Exception):
     """What came is no request with a length, or too long."""
 
 
@@ -20,18 +20,18 @@
         self._kept = b""
 
     def feed(self, data: bytes) -> Iterator[tuple[bytes, bytes]]:
-        """Head (without the empty line) and body of each request that is whole now; raise Unreadable."""
+        """Head (without the empty line) and body of each request that is whole now; raise MalformedRequestError."""
         self._kept = self._kept + data if self._kept else data
         while True:
             end = self._kept.find(b"\r\n\r\n")
             if end < 0:
                 if len(self._kept) > _MOST:
-                    raise Unreadable
+                    raise MalformedRequestError
                 return
             found = _LENGTH.search(self._kept, 0, end + 2)
             whole = end + 4 + (int(found[1]) if found else 0)
             if whole > _MOST:
-                raise Unreadable
+                raise MalformedRequestError
             if len(self._kept) < whole:
                 return
             head, body = self._kept[:end], self._kept[end + 4 : whole]
--- a/testbed/emulator/servers.py
+++ b/testbed/emulator/servers.py
@@ -9,7 +9,7 @@
 
 from testbed import events as log
 from testbed.clock import DayClock
-from testbed.emulator.message import Requests, Unreadable, answer, header
+from testbed.emulator.message import MalformedRequestError, Requests, answer, header
 from testbed.emulator.switch import Gate, Handler, Passage
 from testbed.scenario.day import Server, Trouble
 from testbed.station import Job, Place, Station
@@ -129,7 +129,7 @@
         try:
             for head, _ in self._reading.feed(data):
                 self._asked(head)
-        except Unreadable:
+        except MalformedRequestError:
             self._passage.reset()
 
     def _asked(self, head: bytes) -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,7 +10,7 @@
 import pytest
 
 from testbed.capacity.__main__ import PAGE
-from testbed.capacity.feeds import Feed, NotMeasured, figure
+from testbed.capacity.feeds import Feed, NotMeasuredError, figure
 from testbed.capacity.fit import LAWS, FitError, fit
 from testbed.capacity.page import number, pictures, render
 from testbed.capacity.rows import (
@@ -120,7 +120,7 @@
     feed = Feed.read(COST, 750)
     good, bad = run(grown("flat", 10.0, 0.0)), run(grown("flat", 99.0, 0.0), valid=False)
     assert figure(feed, [good, bad]).value == 10.0
-    with pytest.raises(NotMeasured, match="no valid run"):
+    with pytest.raises(NotMeasuredError, match="no valid run"):
         figure(feed, [bad])
 
 
@@ -135,7 +135,7 @@
 def test_what_stands_alone_needs_its_very_size() -> None:
     feed = Feed.read("member.cost | rest | mean | virtual | alone at 30", 750)
     assert figure(feed, [run({30: 7.0})]).value == 7.0
-    with pytest.raises(NotMeasured, match="not at 30"):
+    with pytest.raises(NotMeasuredError, match="not at 30"):
         figure(feed, [run({50: 7.0})])
 
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -10,7 +10,7 @@
     MembershipUpdate,
 )
 from sidecar.cluster.refutation import Refutation
-from testbed.cluster_simulation.explore import Broken, World, explore
+from testbed.cluster_simulation.explore import InvariantError, World, explore
 
 
 def explore_at_random(seeds: int) -> None:
@@ -39,11 +39,11 @@
         "precedence",
         property(lambda own: (own.incarnation, 0, own.refutations, -own.state)),
     )
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantError):
         explore_at_random(300)
 
 
 def test_exploration_finds_a_member_that_does_not_refute(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Refutation, "local_update_received", lambda self, now, update: None)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantError):
         explore_at_random(100)
--- a/tests/test_slopes.py
+++ b/tests/test_slopes.py
@@ -6,7 +6,7 @@
 
 from testbed.capacity.samples import Sample
 from testbed.cluster_simulation.slopes import CASES, played
-from testbed.cluster_simulation.trial import Overdue, Trial
+from testbed.cluster_simulation.trial import OverdueError, Trial
 
 SIZE = 20
 
@@ -71,7 +71,7 @@
 def test_overdue_wait_raises() -> None:
     trial = Trial(SIZE, 1)
     trial.kill([1])
-    with pytest.raises(Overdue, match="within 1 s"):
+    with pytest.raises(OverdueError, match="within 1 s"):
         trial.until_known(1.0)
 
 
