--- a/testbed/capacity/feeds.py
+++ b/testbed/capacity/feeds.py
@@ -30,7 +30,7 @@
 
     @staticmethod
     def read(text: str, at: float) -> Feed:
-        """The text "measure | case | part | engine", and perhaps "| at SIZE" or "| alone at SIZE"; else `at`."""
+        """Parse "measure | case | part | engine", and perhaps "| at SIZE" or "| alone at SIZE"; else `at`."""
         measure, case, part, engine, *rest = [each.strip() for each in text.split("|")]
         is_alone = bool(rest) and rest[0].startswith("alone")
         size = float(rest[0].rsplit(" ", 1)[1]) if rest else at
@@ -81,7 +81,7 @@
     used = [(run, sample) for run, sample in valid if sample.engine == engine]
     points = tuple(sorted((sample.size, sample.value) for _, sample in used))
     here = [value for size, value in points if size == feed.at]
-    slope = _slope(feed, points, bool(here))
+    slope = _slope(feed, points, is_here=bool(here))
     if here:
         value, least, most = statistics.fmean(here), min(here), max(here)
     else:
@@ -102,7 +102,7 @@
     )
 
 
-def _slope(feed: Feed, points: Sequence[tuple[float, float]], is_here: bool) -> Fit | None:
+def _slope(feed: Feed, points: Sequence[tuple[float, float]], *, is_here: bool) -> Fit | None:
     """Through four sizes or more; none where it is not asked for and the size itself was measured."""
     if feed.is_alone:
         if not is_here:
--- a/testbed/checker/history.py
+++ b/testbed/checker/history.py
@@ -127,24 +127,8 @@
     def _one(self, event: log.Event) -> None:
         out = self._out
         match event:
-            case log.Taken():
-                request = self._requests[event.request]
-                if request.taken is None:  # else it crossed a close, and was sent once more
-                    out.first_tries[event.first].append(event.request)
-                request.taken = event
-            case log.Unreached():
-                self._requests[event.request].unreached = True
-                out.unreached.setdefault(event.first, event)
-                out.first_tries[event.first].append(event.request)
-            case log.Arrived():
-                attempt = self._attempts[event.attempt] = Attempt(event)
-                self._requests[event.request].attempts.append(attempt)
-            case log.Ended():
-                self._ends.setdefault(event.attempt, event)
-            case log.Answered():
-                request = self._requests[event.request]
-                request.answers += 1
-                request.answered = request.answered or event
+            case log.Taken() | log.Unreached() | log.Arrived() | log.Ended() | log.Answered():
+                self._of_a_request(event)
             case log.Copy():
                 self._copy(event)
             case log.Server(what="up"):
@@ -166,6 +150,30 @@
             case _:
                 pass
 
+    def _of_a_request(
+        self, event: log.Taken | log.Unreached | log.Arrived | log.Ended | log.Answered
+    ) -> None:
+        out = self._out
+        match event:
+            case log.Taken():
+                request = self._requests[event.request]
+                if request.taken is None:  # else it crossed a close, and was sent once more
+                    out.first_tries[event.first].append(event.request)
+                request.taken = event
+            case log.Unreached():
+                self._requests[event.request].unreached = True
+                out.unreached.setdefault(event.first, event)
+                out.first_tries[event.first].append(event.request)
+            case log.Arrived():
+                attempt = self._attempts[event.attempt] = Attempt(event)
+                self._requests[event.request].attempts.append(attempt)
+            case log.Ended():
+                self._ends.setdefault(event.attempt, event)
+            case log.Answered():
+                request = self._requests[event.request]
+                request.answers += 1
+                request.answered = request.answered or event
+
     def _copy(self, event: log.Copy) -> None:
         if event.what == "paused":
             self._paused.setdefault(event.copy, event.at)
--- a/testbed/checker/judge.py
+++ b/testbed/checker/judge.py
@@ -186,7 +186,7 @@
     known: set[int] = set()
     out: dict[int, list[tuple[int, int]]] = {}
 
-    def hears(server: int, at: int, is_out: bool) -> None:
+    def hears(server: int, at: int, *, is_out: bool) -> None:
         if is_out:
             since.setdefault(server, at)
         elif server in since:
@@ -194,11 +194,11 @@
 
     for each in told:
         for server, state, _ in each.lines:
-            hears(server, each.at, state != "active")
+            hears(server, each.at, is_out=state != "active")
         named = {server for server, _, _ in each.lines}
         if each.full:
             for server in known - named:
-                hears(server, each.at, True)
+                hears(server, each.at, is_out=True)
         known |= named
     for server, at in since.items():
         out.setdefault(server, []).append((at, 1 << 62))
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -4,6 +4,9 @@
 (cut off, or the ground itself was late), 130 after Ctrl-C.
 """
 
+# typer passes its commands' flags by keyword.
+# ruff: noqa: FBT002
+
 from __future__ import annotations
 
 import asyncio
@@ -100,7 +103,7 @@
     folder = out or root / "build" / "days" / f"{day.world}-{seed}-{datetime.now(UTC):%Y%m%dT%H%M%S}"
     print(f"plays {day.length_us / 1e6:g} s with {len(day.copies)} copies in {folder}", file=sys.stderr)
     path = asyncio.run(play_real(day, Ground(folder.resolve(), root, shards=shards, workers=workers)))
-    tell(gather(log.load(path)), as_json, path.with_name("report.html"))
+    tell(gather(log.load(path)), path.with_name("report.html"), as_json=as_json)
 
 
 @app.command(epilog="Example: sidecar-testbed model zone-lost --seed 3 --policy best-of-2")
@@ -123,7 +126,7 @@
         with log.Writer(out) as writer:
             for event in events:
                 writer.write(event)
-    tell(gather(events), as_json)
+    tell(gather(events), as_json=as_json)
 
 
 @app.command("judge", epilog="Example: sidecar-testbed judge build/days/three-copies-1-20261201T120000")
@@ -132,7 +135,7 @@
     as_json: AsJson = False,
 ) -> None:
     """Judge a log again, also one of a day that was cut off."""
-    tell(gather(log.load(played)), as_json)
+    tell(gather(log.load(played)), as_json=as_json)
 
 
 Worlds = Annotated[list[str], typer.Argument(metavar="WORLD...", help="World files or shipped worlds.")]
@@ -164,7 +167,7 @@
 
 
 @app.command(epilog="Example: sidecar-testbed sweep calm -v module -v random --low 1 --high 8")
-def sweep(
+def sweep(  # noqa: PLR0913 - typer makes one option of each argument
     worlds: Worlds,
     variants: Variants = ["module"],  # noqa: B006 - typer's form of a default
     seeds: Seeds = 2,
@@ -256,7 +259,7 @@
 
 
 @app.command(epilog="Example: sidecar-testbed scale --members 200 --event rest --event cut --save")
-def scale(
+def scale(  # noqa: PLR0913 - typer makes one option of each argument
     members: Annotated[int, typer.Option("--members", "-n", min=2, help="The tier's size.")] = 50,
     event: Annotated[
         list[Event], typer.Option(help="What happens; give it again for more. Default: all.")
@@ -328,7 +331,7 @@
         console.print(f"[bold]{name}[/]  {shipped(name).about}", highlight=False)
 
 
-def tell(history: History, as_json: bool, out: Path | None = None) -> None:
+def tell(history: History, out: Path | None = None, *, as_json: bool) -> None:
     """Judge a day, print what it came to, write its page where one is wanted, and exit by the verdict."""
     verdict, counted = judge(history), account(history)
     if out is not None:
--- a/testbed/cluster_simulation/rollouts.py
+++ b/testbed/cluster_simulation/rollouts.py
@@ -68,7 +68,7 @@
     most_bytes: float
 
 
-def _at_rest(size: int, seed: int, loss: float, is_on: bool) -> VersionedCluster:
+def _at_rest(size: int, seed: int, loss: float, *, is_on: bool) -> VersionedCluster:
     """A cluster that knows its version, at some moment of an aggregation round."""
     settings = RolloutSettings(on=is_on)
     cluster = VersionedCluster(size, seed, rollout=settings, is_membership_on=False)
@@ -79,7 +79,7 @@
 
 def changed(size: int, seed: int, case: str) -> Changed:
     """One member is signalled; every file is there."""
-    cluster = _at_rest(size, seed, CASES[case], case != "off")
+    cluster = _at_rest(size, seed, CASES[case], is_on=case != "off")
     first = seed * 7_919 % size
     zone = [each for each in range(size) if case == "zone" and each % _ZONES == (first + 1) % _ZONES]
     for number in zone:
@@ -123,7 +123,7 @@
 
 def rest(size: int, seed: int) -> Cost:
     """Nothing changes."""
-    cluster = _at_rest(size, seed, 0.0, True)
+    cluster = _at_rest(size, seed, 0.0, is_on=True)
     before = _sent(cluster)
     cluster.run(_REST_S)
     return _cost("rest", before, _sent(cluster), _REST_S)
@@ -131,7 +131,7 @@
 
 def day(size: int, seed: int) -> Cost:
     """A change every so often, as on a day of 580."""
-    cluster = _at_rest(size, seed, 0.0, True)
+    cluster = _at_rest(size, seed, 0.0, is_on=True)
     before = _sent(cluster)
     for count in range(_CHANGES):
         cluster.publish(2 + count, (seed + count) * 7_919 % size)
--- a/testbed/cluster_simulation/slopes.py
+++ b/testbed/cluster_simulation/slopes.py
@@ -82,7 +82,7 @@
     _killed(trial, case, trial.size // 5)
 
 
-def _cut(seconds: float, is_loaded: bool = False) -> Callable[[Trial, str], None]:
+def _cut(seconds: float, *, is_loaded: bool = False) -> Callable[[Trial, str], None]:
     def play(trial: Trial, case: str) -> None:
         if is_loaded:
             trial.load()
--- a/testbed/cluster_simulation/virtual.py
+++ b/testbed/cluster_simulation/virtual.py
@@ -92,7 +92,7 @@
         """End without notifying the others."""
         self.is_alive = False
 
-    def leave(self, has_successor: bool = False) -> None:
+    def leave(self, *, has_successor: bool = False) -> None:
         """Shut down gracefully, notifying the others."""
         self.carry_out(self.membership.leave(self._cluster.queue.now, has_successor))
         self.is_alive = False
--- a/testbed/emulator/copies.py
+++ b/testbed/emulator/copies.py
@@ -70,13 +70,14 @@
         environment: dict[str, str],
         log_file: Path,
         descriptors: tuple[int, ...],
-        ordinary: bool,
+        *,
+        is_unprivileged: bool,
     ) -> None:
-        """`ordinary`: even where this is root's, files that nobody may write are not written."""
+        """`is_unprivileged`: even where this is root's, files that nobody may write are not written."""
 
         def prepare() -> None:
             end_with_parent()
-            if ordinary:
+            if is_unprivileged:
                 _LIBC.prctl(_PR_CAPBSET_DROP, _CAP_DAC_OVERRIDE)
 
         self._popen = subprocess.Popen(
@@ -240,14 +241,14 @@
         if self._held is not None:
             descriptors = (self._held.fileno(),)
             environment["BALANCER_SOCKET_FD"] = str(descriptors[0])
-        ordinary = any(each.kind == "read_only" for each in self._day.troubles)
+        is_unprivileged = any(each.kind == "read_only" for each in self._day.troubles)
         process = Process(
             self._worded(),
             self._root,
             environment | {"PLUMTRESTLE_CLOCK_AHEAD": f"{self._ahead_s:g}"},
             self.folder / "stderr.log",
             descriptors,
-            ordinary,
+            is_unprivileged=is_unprivileged,
         )
         self.process, self._door = process, door
         self.tell("started", life)
@@ -372,12 +373,12 @@
         """From the next start on."""
         self._ahead_s = ahead_s
 
-    def limit_files(self, is_full: bool) -> None:
+    def limit_files(self, *, is_full: bool) -> None:
         """Set the process's file size limit to zero, as on a full disk, or lift it."""
         if self.process is not None and not self.process.ended.is_set():
             self.process.limit_files(0 if is_full else resource.RLIM_INFINITY)
 
-    def lock_folder(self, is_locked: bool) -> None:
+    def lock_folder(self, *, is_locked: bool) -> None:
         """Make the replica's folder for temporary files read-only, or writable again."""
         own = self.folder / "tmp"
         for each in own.iterdir():
--- a/testbed/emulator/datagrams.py
+++ b/testbed/emulator/datagrams.py
@@ -66,7 +66,7 @@
         if len(data) > MOST_BYTES or self._waiting > _MOST_WAITING:
             arrivals = []
         if not arrivals:
-            self._tell(sender, receiver, data, False)
+            self._tell(sender, receiver, data, passed=False)
         for at in arrivals:
             self._waiting += 1
             loop = asyncio.get_running_loop()
@@ -76,9 +76,9 @@
         self._waiting -= 1
         if not self._is_closed:
             self._places[sender].send(data, self._targets[receiver])
-            self._tell(sender, receiver, data, True)
+            self._tell(sender, receiver, data, passed=True)
 
-    def _tell(self, sender: int, receiver: int, data: bytes, passed: bool) -> None:
+    def _tell(self, sender: int, receiver: int, data: bytes, *, passed: bool) -> None:
         at = self._clock.now()
         self._writer.write(
             log.Datagram(at=at, sender=sender, receiver=receiver, size=len(data), passed=passed)
--- a/testbed/emulator/discovery.py
+++ b/testbed/emulator/discovery.py
@@ -62,7 +62,7 @@
         turn = max(self._free_at, now)
         fails = self._is_down(now) or turn - now > self._day.discovery.wait_us
         if fails or self._rng.random() < self._day.discovery.fail_rate:
-            self._answered(call, DOWN, False)
+            self._answered(call, DOWN, well=False)
             return
         self._free_at = turn + self._day.discovery.call_us
         self._at(self._free_at, lambda: self._handle(call, after, wait_ms))
@@ -102,21 +102,21 @@
         version = self.catalog.version(self._clock.now())
         full = not after or after > version  # at 0 nothing is held yet
         changes = self.catalog.whole(version) if full else self.catalog.since(after or 1, version)
-        body = json.dumps(self.listing(call.copy, version, full, changes)).encode()
+        body = json.dumps(self.listing(call.copy, version, changes, full=full)).encode()
 
         def delivered() -> None:
             self.told[call.copy] = max(version, self.told[call.copy])
-            self._told(call.copy, version, full, changes)
+            self._told(call.copy, version, changes, full=full)
 
-        self._answered(call, answer(b"200 OK", body), True, delivered)
+        self._answered(call, answer(b"200 OK", body), delivered, well=True)
 
     def _answered(
-        self, call: _Call, message: bytes, well: bool, delivered: Callable[[], None] | None = None
+        self, call: _Call, message: bytes, delivered: Callable[[], None] | None = None, *, well: bool
     ) -> None:
         self._writer.write(log.Called(at=self._clock.now(), copy=call.copy, well=well))
         call.passage.send(message, delivered)
 
-    def _told(self, copy: int, version: int, full: bool, changes: list[Change]) -> None:
+    def _told(self, copy: int, version: int, changes: list[Change], *, full: bool) -> None:
         """Word reached a copy."""
         lines = [(each.server, each.state, each.started) for each in changes]
         at = self._clock.now()
@@ -126,10 +126,10 @@
         """The list as a copy last had it, told to its next process at the start."""
         version = self.told[copy]
         changes = self.catalog.whole(version)
-        self._told(copy, version, True, changes)
-        return self.listing(copy, version, True, changes)
+        self._told(copy, version, changes, full=True)
+        return self.listing(copy, version, changes, full=True)
 
-    def listing(self, copy: int, version: int, full: bool, changes: list[Change]) -> dict[str, object]:
+    def listing(self, copy: int, version: int, changes: list[Change], *, full: bool) -> dict[str, object]:
         """Entries in discovery's form."""
         return {"version": version, "full": full, "servers": [self._line(copy, each) for each in changes]}
 
--- a/testbed/emulator/play.py
+++ b/testbed/emulator/play.py
@@ -296,11 +296,11 @@
         await self._until(trouble)
         copy.resume()
 
-    async def _hup(self, copy: Sidecar, trouble: Trouble) -> None:
+    async def _hup(self, copy: Sidecar, _trouble: Trouble) -> None:
         async with copy.lifecycle:
             copy.hang_up()
 
-    async def _upgrade(self, copy: Sidecar, trouble: Trouble) -> None:
+    async def _upgrade(self, copy: Sidecar, _trouble: Trouble) -> None:
         async with copy.lifecycle:
             with contextlib.suppress(PlayError):
                 await copy.upgrade()
@@ -312,14 +312,14 @@
         await self._start_again(copy)
 
     async def _fill_disk(self, copy: Sidecar, trouble: Trouble) -> None:
-        copy.limit_files(True)
+        copy.limit_files(is_full=True)
         await self._until(trouble)
-        copy.limit_files(False)
+        copy.limit_files(is_full=False)
 
     async def _lock_folder(self, copy: Sidecar, trouble: Trouble) -> None:
-        copy.lock_folder(True)
+        copy.lock_folder(is_locked=True)
         await self._until(trouble)
-        copy.lock_folder(False)
+        copy.lock_folder(is_locked=False)
 
     async def _damage(self, copy: Sidecar, trouble: Trouble) -> None:
         async with copy.lifecycle:
--- a/testbed/emulator/servers.py
+++ b/testbed/emulator/servers.py
@@ -105,7 +105,7 @@
         elif how != "lost":
             connection.answer(FULL if how == "full" else BROKEN)
 
-    def connection(self, copy: int, opened: bool) -> None:
+    def connection(self, copy: int, *, opened: bool) -> None:
         """Log that a connection from a replica was opened or closed."""
         at = self._clock.now()
         self._writer.write(log.Connected(at=at, copy=copy, server=self.server.number, opened=opened))
@@ -124,7 +124,7 @@
         self._owner, self._passage = owner, passage
         self._reading = Requests()
         self._began = 0
-        owner.connection(copy, True)
+        owner.connection(copy, opened=True)
 
     def received(self, data: bytes) -> None:
         if self._reading.is_between:
@@ -148,4 +148,4 @@
 
     def ended(self) -> None:
         self._owner.open -= 1
-        self._owner.connection(self.copy, False)
+        self._owner.connection(self.copy, opened=False)
--- a/testbed/events.py
+++ b/testbed/events.py
@@ -223,7 +223,7 @@
     """Appends events to one part of a log, 64 KiB at a time and what is left at `flush` and `close`."""
 
     def __init__(self, path: Path) -> None:
-        self._file = path.open("ab", buffering=0)  # noqa: SIM115 - the writer is the context manager
+        self._file = path.open("ab", buffering=0)
         self._buffer = bytearray()
 
     def write(self, event: Event) -> None:
--- a/testbed/experiment/compare.py
+++ b/testbed/experiment/compare.py
@@ -51,7 +51,13 @@
     for world, rate, variant in by_cell:
         first.setdefault((world, rate), variant)
     return [
-        _row(world, variant, days, by_cell[world, rate, first[world, rate]], variant == first[world, rate])
+        _row(
+            world,
+            variant,
+            days,
+            by_cell[world, rate, first[world, rate]],
+            is_first=variant == first[world, rate],
+        )
         for (world, rate, variant), days in by_cell.items()
     ]
 
@@ -62,7 +68,12 @@
 
 
 def _row(
-    world: str, variant: str, days: dict[int, dict[str, Any]], base: dict[int, dict[str, Any]], is_first: bool
+    world: str,
+    variant: str,
+    days: dict[int, dict[str, Any]],
+    base: dict[int, dict[str, Any]],
+    *,
+    is_first: bool,
 ) -> Row:
     ahead = low = high = None
     pairs = [worth(days[seed]) - worth(base[seed]) for seed in sorted(days.keys() & base.keys())]
--- a/testbed/load/client.py
+++ b/testbed/load/client.py
@@ -161,16 +161,16 @@
         ask.timer = asyncio.get_running_loop().call_later(wait_s, connection.give_up)
 
     def answered(
-        self, ask: Ask, status: int, attempt: int = -1, after_us: int = 0, timed_out: bool = False
+        self, ask: Ask, status: int, attempt: int = -1, after_us: int = 0, *, timed_out: bool = False
     ) -> None:
         """A try is over: by an answer, or (status 0) without one."""
         event = log.Answered(
             at=self.clock.now(), request=ask.number, status=status, attempt=attempt, timed_out=timed_out
         )
         self.writer.write(event)
-        self._over(ask, self._habits.may_repeat(ask.arrival, status), after_us)
+        self._over(ask, after_us, may_retry=self._habits.may_repeat(ask.arrival, status))
 
-    def broken(self, connection: Connection, ask: Ask | None, was_read: bool) -> None:
+    def broken(self, connection: Connection, ask: Ask | None, *, was_read: bool) -> None:
         """A connection ended, perhaps under a request."""
         self._all.discard(connection)
         if connection in self._idle:
@@ -187,7 +187,7 @@
             ask.sent_again = True
             self._go(ask)
 
-    def _over(self, ask: Ask, may_retry: bool, after_us: int = 0) -> None:
+    def _over(self, ask: Ask, after_us: int = 0, *, may_retry: bool) -> None:
         if ask.is_over:
             return
         ask.is_over = True
@@ -334,7 +334,7 @@
         # A reset says that the request was not read; a mere end may come after it was.
         is_reset = self._was_reset or isinstance(exc, (ConnectionResetError, BrokenPipeError))
         ask, self._ask = self._ask, None
-        self._owner.broken(self, ask, self._has_heard or not is_reset)
+        self._owner.broken(self, ask, was_read=self._has_heard or not is_reset)
 
     def close(self) -> None:
         """Abort the connection."""
--- a/testbed/report/plots.py
+++ b/testbed/report/plots.py
@@ -108,7 +108,7 @@
 
 
 def lines(
-    named: dict[str, list[tuple[float, float]]], x_label: str, y_label: str, is_log: bool = False
+    named: dict[str, list[tuple[float, float]]], x_label: str, y_label: str, *, is_log: bool = False
 ) -> str:
     """Lines through points, one for each name."""
     width = 9.5 if len(named) > _MOST_INSIDE else 7.0
--- a/testbed/scale/crew.py
+++ b/testbed/scale/crew.py
@@ -141,7 +141,7 @@
 
     # What is done to members
 
-    async def start(self, members: list[int], with_off: bool = False) -> None:
+    async def start(self, members: list[int], *, with_off: bool = False) -> None:
         """New lives of all of these at once."""
         self.gone -= set(members)
         own = [each for each in self.real if each.number in members] + (self.off if with_off else [])
--- a/testbed/scale/figures.py
+++ b/testbed/scale/figures.py
@@ -103,6 +103,7 @@
         first: Snapshot,
         last: Snapshot,
         absent: set[int],
+        *,
         is_looked_at: bool = False,
         is_settled: bool = False,
     ) -> None:
--- a/testbed/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -95,7 +95,8 @@
         super().__init__(peers, None, me, on_message)
         self._ground, self._counts, self._own = ground, counts, own
 
-    async def listen(self, address: Address, shared: bool = False) -> None:
+    # The base class's signature: neither argument matters to a socket that is bound already.
+    async def listen(self, address: Address, shared: bool = False) -> None:  # noqa: ARG002, FBT001, FBT002 - see above
         """Hear others on a copy of the socket: the port stays the member's when this life ends."""
         drain(self._own)
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, sock=self._own.dup())
--- a/testbed/scale/play.py
+++ b/testbed/scale/play.py
@@ -88,12 +88,12 @@
         after = self._figures.case("after-start")
         await self._wait(after, is_settled=False)
         self._figures.judge_kinds(after)
-        await self._settle(is_agreed)
+        await self._settle(is_agreed=is_agreed)
 
     async def _rest(self) -> None:
         await self._wait(self._figures.case("rest"), is_settled=self._plan.settles)
 
-    async def _wait(self, case: Case, is_settled: bool) -> None:
+    async def _wait(self, case: Case, *, is_settled: bool) -> None:
         """Nothing happens for a while."""
         first = await self._crew.snapshot()
         await asyncio.sleep(self._plan.rest_s)
@@ -101,7 +101,7 @@
         self._figures.between(case, first, last, self._crew.gone, is_settled=is_settled)
         self._wrong_deaths(case, first, last)
 
-    async def _settle(self, is_agreed: bool) -> None:
+    async def _settle(self, *, is_agreed: bool) -> None:
         if self._plan.settles and is_agreed:
             await self._crew.settle()
 
@@ -121,7 +121,7 @@
         await self._crew.start(members)
         is_agreed = await self._agree(back, began)
         self._close(back, last, await self._crew.snapshot(), set(members))
-        await self._settle(is_agreed)
+        await self._settle(is_agreed=is_agreed)
 
     async def _cut(self) -> None:
         """The second half can't be heard by the first, nor the other way round, and then again."""
@@ -137,7 +137,7 @@
         await self._crew.cut(None)
         is_agreed = await self._agree(case, began)
         self._close(case, last, await self._crew.snapshot())
-        await self._settle(is_agreed)
+        await self._settle(is_agreed=is_agreed)
 
     async def _lossy(self) -> None:
         case = self._figures.case(f"loss-{100 * self._plan.loss:g}")
@@ -148,7 +148,7 @@
         await self._crew.lose(0.0)
         self._close(case, first, last)
         self._wrong_deaths(case, first, last)
-        await self._settle(await self._agree(case, time.monotonic()))
+        await self._settle(is_agreed=await self._agree(case, time.monotonic()))
 
     async def _restarts(self) -> None:
         """One member after another ends as planned and begins anew."""
@@ -164,7 +164,7 @@
         case.notes.append(f"{case.name}: {count} restarts")
         self._close(case, first, last)
         self._wrong_deaths(case, first, last)
-        await self._settle(await self._agree(case, time.monotonic()))
+        await self._settle(is_agreed=await self._agree(case, time.monotonic()))
 
     async def _discovery_down(self) -> None:
         """Away for a while: from its return, until each hollow member had an answer."""
--- a/testbed/scale/worker.py
+++ b/testbed/scale/worker.py
@@ -88,12 +88,42 @@
         match order.do:
             case "bind":
                 return Reply(ports={each: own.getsockname()[1] for each, own in self._sockets.items()})
+            case "introduce" | "publish" | "hang up":
+                self._configure(order)
+            case "start":
+                await self._start(order.members)
+            case "kill" | "leave" | "settle" | "cut" | "loss":
+                self._change_ground(order)
+            case "watch deaths" | "watch lists" | "watch versions":
+                self._start_watch(order)
+            case "watched":
+                if self._watch is not None:
+                    return Reply(waits=len(self._watch.waits), took_s=self._watch.took_s)
+            case "look":
+                return self._look()
+            case "count":
+                return self._count()
+            case _:
+                raise ValueError(f"no such order: {order.do}")
+        return Reply()
+
+    def _configure(self, order: Order) -> None:
+        match order.do:
             case "introduce":
                 for number, each in self._share.configurations.items():
                     each |= {"peers": order.peers, "peer_listen": order.peers[number]}
                     self._write(number)
-            case "start":
-                await self._start(order.members)
+            case "publish":
+                for number, each in self._share.configurations.items():
+                    each["version"] = int(order.amount)
+                    self._write(number)
+            case "hang up":
+                for number in order.members:
+                    if number in self._alive:
+                        self._reloaders[number].reload()
+
+    def _change_ground(self, order: Order) -> None:
+        match order.do:
             case "kill":
                 self._end(order.members, lambda each: each.close())
             case "leave":
@@ -105,6 +135,9 @@
                 self._ground.border = order.members[0] if order.members else None
             case "loss":
                 self._ground.loss = order.amount
+
+    def _start_watch(self, order: Order) -> None:
+        match order.do:
             case "watch deaths":
                 killed, observers = set(order.members), self._alive.keys() - set(order.members)
                 self._watch = Watch(order.amount, {each: set(killed) for each in observers})
@@ -115,24 +148,6 @@
             case "watch versions":
                 self._watch = Watch(order.amount, {each: set(order.members) for each in self._alive})
                 self._watched = "versions"
-            case "publish":
-                for number, each in self._share.configurations.items():
-                    each["version"] = int(order.amount)
-                    self._write(number)
-            case "hang up":
-                for number in order.members:
-                    if number in self._alive:
-                        self._reloaders[number].reload()
-            case "watched":
-                if self._watch is not None:
-                    return Reply(waits=len(self._watch.waits), took_s=self._watch.took_s)
-            case "look":
-                return self._look()
-            case "count":
-                return self._count()
-            case _:
-                raise ValueError(f"no such order: {order.do}")
-        return Reply()
 
     async def _start(self, members: list[int]) -> None:
         """New lives; the loop turns between two of them, so that others are heard."""
--- a/testbed/simulation/clients.py
+++ b/testbed/simulation/clients.py
@@ -84,7 +84,7 @@
         )
 
     def answered(
-        self, request: int, status: int, attempt: int, after_us: int, timed_out: bool = False
+        self, request: int, status: int, attempt: int, after_us: int, *, timed_out: bool = False
     ) -> None:
         """An answer, or (status 0) the end of the connection without one."""
         arrival = self._out.pop(request, None)
--- a/testbed/simulation/discovery.py
+++ b/testbed/simulation/discovery.py
@@ -4,6 +4,7 @@
 
 import random
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from balancer.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
 from testbed import events as log
@@ -17,7 +18,17 @@
 _ANSWER_WITHIN_US = 5_000_000  # and how long it waits for an answer that is owed at once
 _STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
 
-Answer = Callable[[int, "list[Change] | None", bool], None]  # version, entries (None: it failed), whole
+
+@dataclass(frozen=True, slots=True)
+class ListAnswer:
+    """An answer to a call, with the complete endpoint list or with changes since an earlier version."""
+
+    version: int
+    entries: list[Change]
+    is_complete: bool
+
+
+Answer = Callable[["ListAnswer | None"], None]  # None: the call failed
 
 
 class ModelDiscovery:
@@ -45,7 +56,7 @@
         """A copy calls; it is answered once, unless a cut holds the answer for good."""
         now = self._queue.now
         if self._there[copy].is_cut(now) or self._back[copy].is_cut(now):
-            self._queue.after(1_000_000, answer, 0, None, False)  # the connection never comes up
+            self._queue.after(1_000_000, answer, None)  # the connection never comes up
             return
         self._calls += 1
         self._queue.at(
@@ -92,25 +103,22 @@
         whole = after is None or after > version
         entries = self.catalog.whole(version) if whole else self.catalog.since(after or 1, version)
         self._sink(log.Called(at=self._queue.now, copy=copy, well=True))
-        self._pass_on(copy, answer, version, entries, whole)
+        self._pass_on(copy, answer, ListAnswer(version, entries, is_complete=whole))
 
     def _fail(self, copy: int, answer: Answer) -> None:
         self._sink(log.Called(at=self._queue.now, copy=copy, well=False))
-        self._pass_on(copy, answer, 0, None, False)
+        self._pass_on(copy, answer, None)
 
-    def _pass_on(
-        self, copy: int, answer: Answer, version: int, entries: list[Change] | None, whole: bool
-    ) -> None:
+    def _pass_on(self, copy: int, answer: Answer, answered: ListAnswer | None) -> None:
         at = self._back[copy].arrival(self._queue.now)
         if at < NEVER:
-            self._queue.at(
-                min(at, self._queue.now + _ANSWER_WITHIN_US + WATCH_US), answer, version, entries, whole
-            )
-
-    def told(self, copy: int, version: int, entries: list[Change], whole: bool) -> None:
-        """Word reached a copy that runs."""
-        lines = [(each.server, each.state, each.started) for each in entries]
-        self._sink(log.Told(at=self._queue.now, copy=copy, version=version, full=whole, lines=lines))
+            self._queue.at(min(at, self._queue.now + _ANSWER_WITHIN_US + WATCH_US), answer, answered)
+
+    def told(self, copy: int, answer: ListAnswer) -> None:
+        """Log that an answer reached a copy that runs."""
+        lines = [(each.server, each.state, each.started) for each in answer.entries]
+        at, version, full = self._queue.now, answer.version, answer.is_complete
+        self._sink(log.Told(at=at, copy=copy, version=version, full=full, lines=lines))
 
     def event(self, version: int, entries: list[Change], kind: EndpointListKind) -> EndpointListReceived:
         """Entries as the module hears them."""
--- a/testbed/simulation/play.py
+++ b/testbed/simulation/play.py
@@ -58,7 +58,7 @@
         """The next attempt number, unique in the run."""
         return next(self._model.attempts)
 
-    def connected(self, server: int, opened: bool) -> None:
+    def connected(self, server: int, *, opened: bool) -> None:
         """Log that a connection to a server was opened or closed."""
         at = self.queue.now
         self._model.sink(log.Connected(at=at, copy=self.number, server=server, opened=opened))
@@ -243,19 +243,21 @@
         self._next(coming)
 
     def _plan(self, trouble: Trouble) -> None:
-        def tell(begins: bool) -> None:
-            self.sink(log.Trouble(at=self.queue.now, number=trouble.number, begins=begins))
+        def log_begin() -> None:
+            self.sink(log.Trouble(at=self.queue.now, number=trouble.number, begins=True))
 
-        self.queue.at(trouble.at_us, tell, True)
-        has_end = trouble.until_us > trouble.at_us
-        if has_end:
-            self.queue.at(trouble.until_us, tell, False)
+        def log_end() -> None:
+            self.sink(log.Trouble(at=self.queue.now, number=trouble.number, begins=False))
+
+        self.queue.at(trouble.at_us, log_begin)
+        if trouble.until_us > trouble.at_us:
+            self.queue.at(trouble.until_us, log_end)
         for party in trouble.who:
             if not party.startswith("copy:"):
                 continue
             copy = self._copies[int(party[5:])]
             if trouble.kind in ("kill", "damaged", "clock"):
-                self.queue.at(trouble.at_us, self._kill, copy, trouble, has_end)
+                self.queue.at(trouble.at_us, self._kill, copy, trouble)
             elif trouble.kind == "term":
                 self.queue.at(trouble.at_us, copy.stop)
             elif trouble.kind == "upgrade":
@@ -264,7 +266,8 @@
                 self.queue.at(trouble.at_us, copy.pause)
                 self.queue.at(trouble.until_us, copy.resume)
 
-    def _kill(self, copy: Copy, trouble: Trouble, has_end: bool) -> None:
+    def _kill(self, copy: Copy, trouble: Trouble) -> None:
+        has_end = trouble.until_us > trouble.at_us
         if copy.kill() and (has_end or trouble.kind != "kill"):
             self.queue.at(trouble.until_us, copy.start)
 
@@ -277,16 +280,16 @@
             link = self.links.between(f"copy:{sender}", f"copy:{target}")
             arrivals_at = link.arrivals(self.queue.now, chances)
             if not arrivals_at:
-                self._datagram(sender, target, payload, False)
+                self._datagram(sender, target, payload, passed=False)
             for at in arrivals_at:
                 if at < NEVER:
                     self.queue.at(at, self._deliver, sender, target, payload)
 
     def _deliver(self, sender: int, target: int, payload: bytes) -> None:
-        self._datagram(sender, target, payload, True)
+        self._datagram(sender, target, payload, passed=True)
         self._copies[target].hear(sender, payload)
 
-    def _datagram(self, sender: int, target: int, payload: bytes, passed: bool) -> None:
+    def _datagram(self, sender: int, target: int, payload: bytes, *, passed: bool) -> None:
         at, size = self.queue.now, len(payload)
         self.sink(log.Datagram(at=at, sender=sender, receiver=target, size=size, passed=passed))
 
--- a/testbed/simulation/policies.py
+++ b/testbed/simulation/policies.py
@@ -83,7 +83,7 @@
         if not self._began:
             self._began = True
             if self._settings.discovery is DiscoveryMode.ON_REQUEST:
-                actions.append(WatchEndpoints(True))
+                actions.append(WatchEndpoints(is_enabled=True))
         match event:
             case EndpointListReceived():
                 actions += self._heard(event)
@@ -113,7 +113,7 @@
 
     def _fired(self, token: str) -> list[Action]:
         if token == "ask":
-            return [WatchEndpoints(True)]
+            return [WatchEndpoints(is_enabled=True)]
         number = int(token.split(" ")[1])
         if self._open.pop(number, None) is None:
             return []
@@ -151,7 +151,7 @@
 class Random(Baseline):
     """One server by chance; a full answer is final."""
 
-    def pick(self, tried: set[str]) -> str:
+    def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
         """A random ready endpoint."""
         return self.random.choice(self.ready)
 
@@ -161,7 +161,7 @@
 
     _place = -1
 
-    def pick(self, tried: set[str]) -> str:
+    def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
         """The next ready endpoint, starting at a random one."""
         if self._place < 0:
             self._place = self.random.randrange(len(self.ready))
@@ -174,7 +174,7 @@
 
     drawn = 2
 
-    def pick(self, tried: set[str]) -> str:
+    def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
         """The endpoint with the fewest requests in flight, of a few drawn at random."""
         drawn = self.random.sample(self.ready, min(self.drawn, len(self.ready)))
         return min(drawn, key=lambda each: self.in_flight.get(each, 0))
@@ -197,7 +197,7 @@
 
     look: Callable[[str], int]  # how much a server holds; whoever plays it sets this
 
-    def pick(self, tried: set[str]) -> str:
+    def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
         """The endpoint with the least true load, of a few drawn at random."""
         drawn = self.random.sample(self.ready, min(self.drawn, len(self.ready)))
         return min(drawn, key=self.look)
@@ -206,7 +206,7 @@
 class LeastInFlight(Baseline):
     """The one with the fewest of this copy's own in flight, of all."""
 
-    def pick(self, tried: set[str]) -> str:
+    def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
         """The endpoint with the fewest requests in flight; ties are broken at random."""
         return min(self.ready, key=lambda each: (self.in_flight.get(each, 0), self.random.random()))
 
--- a/testbed/simulation/sidecar.py
+++ b/testbed/simulation/sidecar.py
@@ -34,7 +34,7 @@
 from testbed.links import NEVER, Link
 from testbed.scenario.day import Day
 from testbed.simulation.clients import Clients
-from testbed.simulation.discovery import WATCH_US, ModelDiscovery
+from testbed.simulation.discovery import WATCH_US, ListAnswer, ModelDiscovery
 from testbed.simulation.policies import CountsEndpoints, Policy
 from testbed.simulation.queue import Queue
 from testbed.simulation.servers import ModelServer
@@ -94,7 +94,7 @@
         """The next attempt number, unique in the run."""
         ...
 
-    def connected(self, server: int, opened: bool) -> None:
+    def connected(self, server: int, *, opened: bool) -> None:
         """Log that a connection to a server was opened or closed."""
         ...
 
@@ -120,8 +120,9 @@
         self.is_over = False
         self.owed = 0
         known = place.discovery.catalog.whole(version)
-        place.discovery.told(place.number, version, known, True)
-        self._take_list(known, True)
+        cached = ListAnswer(version, known, is_complete=True)
+        place.discovery.told(place.number, cached)
+        self._take_list(cached)
         self._post(place.discovery.event(version, known, EndpointListKind.CACHED))
 
     # Its life
@@ -211,7 +212,7 @@
             case CloseIdleConnections():
                 self._close_idle(int(action.server[2:]))
             case WatchEndpoints():
-                self._follow(action.is_enabled)
+                self._follow(wanted=action.is_enabled)
             case PollEndpoints():
                 self._place.discovery.call(self._place.number, None, 0, self._fetched)
             case SendPeerMessage():
@@ -224,7 +225,7 @@
 
     # The list
 
-    def _follow(self, wanted: bool) -> None:
+    def _follow(self, *, wanted: bool) -> None:
         if wanted and self._watch_runs and not self._watch_answered:
             return
         self._watching += 1
@@ -234,45 +235,45 @@
             self._watch(self._watching, 0)
 
     def _watch(self, watch: int, wait_us: int) -> None:
-        def answered(version: int, entries: list[Change] | None, whole: bool) -> None:
-            self._when_running(lambda: self._watched(watch, version, entries, whole))
+        def answered(answer: ListAnswer | None) -> None:
+            self._when_running(lambda: self._watched(watch, answer))
 
         self._place.discovery.call(self._place.number, self._version, wait_us, answered)
 
-    def _watched(self, watch: int, version: int, entries: list[Change] | None, whole: bool) -> None:
+    def _watched(self, watch: int, answer: ListAnswer | None) -> None:
         if watch != self._watching:
             return
-        if entries is None:
+        if answer is None:
             self._watch_runs = False
             self._post(EndpointListReceived(EndpointListKind.FAILED))
             return
-        if whole or entries or not self._watch_answered:
+        if answer.is_complete or answer.entries or not self._watch_answered:
             self._watch_answered = True
-            self._heard(version, entries, whole)
+            self._heard(answer)
         if watch == self._watching:
             self._watch(watch, WATCH_US)
 
-    def _fetched(self, version: int, entries: list[Change] | None, whole: bool) -> None:
+    def _fetched(self, answer: ListAnswer | None) -> None:
         def act() -> None:
-            if entries is None:
+            if answer is None:
                 self._post(EndpointListReceived(EndpointListKind.FAILED))
             else:
-                self._heard(version, entries, whole)
+                self._heard(answer)
 
         self._when_running(act)
 
-    def _heard(self, version: int, entries: list[Change], whole: bool) -> None:
-        self._version = version
-        self._place.discovery.told(self._place.number, version, entries, whole)
-        self._take_list(entries, whole)
-        kind = EndpointListKind.COMPLETE if whole else EndpointListKind.CHANGES
-        self._post(self._place.discovery.event(version, entries, kind))
+    def _heard(self, answer: ListAnswer) -> None:
+        self._version = answer.version
+        self._place.discovery.told(self._place.number, answer)
+        self._take_list(answer)
+        kind = EndpointListKind.COMPLETE if answer.is_complete else EndpointListKind.CHANGES
+        self._post(self._place.discovery.event(answer.version, answer.entries, kind))
 
-    def _take_list(self, entries: list[Change], whole: bool) -> None:
+    def _take_list(self, answer: ListAnswer) -> None:
         before = dict(self._listed)
-        if whole:
+        if answer.is_complete:
             self._listed = {}
-        self._listed.update({each.server: each for each in entries})
+        self._listed.update({change.server: change for change in answer.entries})
         for server, old in before.items():
             now = self._listed.get(server)
             if now is None or now.state != "active" or now.started != old.started:
@@ -306,9 +307,12 @@
         use_within = self._place.settings.limits.idle_timeout_us * _IDLE_MARGIN
         while idle:
             epoch, since = idle.pop()
-            if epoch == self._place.servers[server].epoch or self._place.link(server).is_cut(self._queue.now):
-                if self._queue.now - since < use_within:
-                    return epoch
+            # A cut hides that the server has restarted.
+            seems_open = epoch == self._place.servers[server].epoch or self._place.link(server).is_cut(
+                self._queue.now
+            )
+            if seems_open and self._queue.now - since < use_within:
+                return epoch
             self._closed(server, epoch)
         return None
 
@@ -328,7 +332,7 @@
             self._ends(attempt, Outcome.CONNECT_FAILED)
             return
         server.open += 1
-        self._place.connected(attempt.server, True)
+        self._place.connected(attempt.server, opened=True)
         epoch = server.epoch
 
         def act() -> None:
@@ -388,7 +392,9 @@
         self._held[attempt.request].out -= 1
         elapsed = self._queue.now - attempt.sent_at
         name = f"s-{attempt.server}"
-        self._post(AttemptEnded(attempt.request, attempt.index, name, outcome, elapsed, False))
+        self._post(
+            AttemptEnded(attempt.request, attempt.index, name, outcome, elapsed, is_request_answered=False)
+        )
 
     # Connections
 
@@ -407,7 +413,7 @@
         other = self._place.servers[server]
         if other.epoch == epoch:
             other.open -= 1
-        self._place.connected(server, False)
+        self._place.connected(server, opened=False)
 
     # Answers
 
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -264,9 +264,8 @@
         if not server.is_up:
             return "dial_failed", self._rng.uniform(0, 3 * MS)
         idle_us = 0 if idle_since is None else self._now - idle_since
-        if server.idle_dies_us <= idle_us < self._boot["bounds"]["idleCloseUs"]:
-            return "expired", FOREVER_US
-        if server.behaviour == "silent":
+        is_stale = server.idle_dies_us <= idle_us < self._boot["bounds"]["idleCloseUs"]
+        if is_stale or server.behaviour == "silent":
             return "expired", FOREVER_US
         if server.behaviour != "normal" and self._chance(0.9):
             return server.behaviour, self._rng.uniform(1 * MS, self._rng.choice((10 * MS, 300 * MS)))
