--- a/testbed/checker/history.py
+++ b/testbed/checker/history.py
@@ -33,7 +33,7 @@
 
     def may_have_run(self) -> list[Attempt]:
         """The attempts that a server may have processed: all that it did not reject as full."""
-        return [each for each in self.attempts if each.how != "full"]
+        return [attempt for attempt in self.attempts if attempt.how != "full"]
 
 
 @dataclass(slots=True)
@@ -69,7 +69,7 @@
     figures: list[log.Figures]
     troubles: list[log.Trouble]
     last_at: int
-    is_whole: bool
+    is_complete: bool
 
 
 def gather(events: Iterable[log.Event]) -> History:
@@ -106,14 +106,14 @@
             figures=[],
             troubles=[],
             last_at=0,
-            is_whole=False,
+            is_complete=False,
         )
 
     def all(self, events: Iterable[log.Event]) -> History:
         out = self._out
         for event in events:
             out.last_at = max(out.last_at, event.at)
-            self._one(event)
+            self._add(event)
         for copy, since in self._paused.items():
             out.pauses[copy].append((since, out.last_at))
         for number, ended in self._ends.items():
@@ -121,16 +121,16 @@
             if attempt is not None:
                 attempt.how, attempt.ended_at = ended.how, ended.at
         for request in self._requests.values():
-            request.attempts.sort(key=lambda each: (each.arrived.sent, each.arrived.attempt))
+            request.attempts.sort(key=lambda attempt: (attempt.arrived.sent, attempt.arrived.attempt))
         return out
 
-    def _one(self, event: log.Event) -> None:
+    def _add(self, event: log.Event) -> None:
         out = self._out
         match event:
             case log.Taken() | log.Unreached() | log.Arrived() | log.Ended() | log.Answered():
-                self._of_a_request(event)
+                self._add_request_event(event)
             case log.Copy():
-                self._copy(event)
+                self._add_replica_event(event)
             case log.Server(what="up"):
                 out.starts[event.server].append(event.at)
             case log.Told():
@@ -146,11 +146,11 @@
             case log.Trouble():
                 out.troubles.append(event)
             case log.Finished():
-                out.is_whole = True
+                out.is_complete = True
             case _:
                 pass
 
-    def _of_a_request(
+    def _add_request_event(
         self, event: log.Taken | log.Unreached | log.Arrived | log.Ended | log.Answered
     ) -> None:
         out = self._out
@@ -174,7 +174,7 @@
                 request.answers += 1
                 request.answered = request.answered or event
 
-    def _copy(self, event: log.Copy) -> None:
+    def _add_replica_event(self, event: log.Copy) -> None:
         if event.what == "paused":
             self._paused.setdefault(event.copy, event.at)
         elif event.what == "resumed" or event.what in _ENDS:
--- a/testbed/checker/judge.py
+++ b/testbed/checker/judge.py
@@ -25,7 +25,7 @@
 _COLD_CHANCE = 5.0  # requests of mean work that a cold server may get over its budget, by chance
 _LATE_US = 50_000  # a writer later than this distorts what it writes
 _LATE_PART = 0.02  # and a day with a larger part of such seconds is not scored
-_REFUSED = (429, 503)
+_REJECTED = (429, 503)
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     """What the rules say of a day."""
 
     breaches: tuple[Breach, ...]
-    is_whole: bool  # the log goes to the day's end
+    is_complete: bool  # the log goes to the day's end
     unfair: tuple[str, ...]  # why the day says nothing of the program: the ground itself was late
 
     @property
@@ -55,7 +55,7 @@
         """kept, broken, cut off or unfair: the first that holds from the worst on."""
         if self.breaches:
             return "broken"
-        if not self.is_whole:
+        if not self.is_complete:
             return "cut off"
         return "unfair" if self.unfair else "kept"
 
@@ -66,21 +66,23 @@
     `slack_us` is how long after a client's patience an answer still counts.
     """
     history = events if isinstance(events, History) else gather(events)
-    found: list[Breach] = []
+    breaches: list[Breach] = []
     for number, request in history.requests.items():
-        found += _answers(history, number, request, slack_us)
-        found += _repeats(history, number, request)
-    found += _drains(history)
-    found += _cold(history)
-    found += _crashes(history)
-    found.sort(key=lambda each: each.at)
-    return Verdict(tuple(found), history.is_whole, tuple(_unfair(history)))
+        breaches += _missing_or_late_responses(history, number, request, slack_us)
+        breaches += _forbidden_retries(history, number, request)
+    breaches += _requests_to_draining_servers(history)
+    breaches += _slow_start_overloads(history)
+    breaches += _unexpected_exits(history)
+    breaches.sort(key=lambda breach: breach.at)
+    return Verdict(tuple(breaches), history.is_complete, tuple(_late_writers(history)))
 
 
 # One final answer a request, in time
 
 
-def _answers(history: History, number: int, request: Request, slack_us: int) -> Iterator[Breach]:
+def _missing_or_late_responses(
+    history: History, number: int, request: Request, slack_us: int
+) -> Iterator[Breach]:
     taken, answered = request.taken, request.answered
     if taken is None:
         return
@@ -98,7 +100,7 @@
         late_ms = (answered.at - taken.due) / 1e3
         yield Breach("late", answered.at, f"{name} was answered {late_ms:.0f} ms after its time")
     elif answered.status == 200 and answered.attempt not in {
-        each.arrived.attempt for each in request.attempts
+        attempt.arrived.attempt for attempt in request.attempts
     }:
         yield Breach("foreign", answered.at, f"{name} was served what no server made for it")
 
@@ -128,7 +130,7 @@
 # Nothing that may have run is sent again, or called harmless, unless its class allows it
 
 
-def _repeats(history: History, number: int, request: Request) -> Iterator[Breach]:
+def _forbidden_retries(history: History, number: int, request: Request) -> Iterator[Breach]:
     if request.taken is None or not request.attempts:
         return
     kind = history.day.classes[request.taken.service_class]
@@ -149,8 +151,8 @@
         servers = f"server {first.arrived.server}, then {later.arrived.server}"
         yield Breach("twice", later.arrived.sent, f"{name} {why}: {servers}")
     answered = request.answered
-    is_refused = answered is not None and answered.status in _REFUSED
-    if answered is not None and is_refused and (kind.repeat == "non_idempotent" or kind.group != "all"):
+    is_rejected = answered is not None and answered.status in _REJECTED
+    if answered is not None and is_rejected and (kind.repeat == "non_idempotent" or kind.group != "all"):
         yield Breach("refused", answered.at, f"{name} was refused though it may have run")
 
 
@@ -164,41 +166,41 @@
 # No new work to a server after word that it drains or is gone
 
 
-def _drains(history: History) -> Iterator[Breach]:
-    out = {copy: _word(told) for copy, told in history.told.items()}
+def _requests_to_draining_servers(history: History) -> Iterator[Breach]:
+    out = {copy: _draining_intervals(told) for copy, told in history.told.items()}
     limit = DRAIN_GRACE_US + _SOCKETS_US
     for number, request in history.requests.items():
-        for each in request.attempts:
-            sent = each.arrived.sent
-            for since, until in out.get(each.arrived.copy, {}).get(each.arrived.server, ()):
+        for attempt in request.attempts:
+            sent = attempt.arrived.sent
+            for since, until in out.get(attempt.arrived.copy, {}).get(attempt.arrived.server, ()):
                 if since + limit < sent < until:
                     late_ms = (sent - since) / 1e3
                     text = (
-                        f"request {number:x} went to server {each.arrived.server} {late_ms:.0f} ms"
-                        f" after copy {each.arrived.copy} was told that it leaves"
+                        f"request {number:x} went to server {attempt.arrived.server} {late_ms:.0f} ms"
+                        f" after copy {attempt.arrived.copy} was told that it leaves"
                     )
                     yield Breach("drained", sent, text)
 
 
-def _word(told: list[Told]) -> dict[int, list[tuple[int, int]]]:
+def _draining_intervals(told: list[Told]) -> dict[int, list[tuple[int, int]]]:
     """When each server was leaving or gone, as one copy was told."""
     since: dict[int, int] = {}
     known: set[int] = set()
     out: dict[int, list[tuple[int, int]]] = {}
 
-    def hears(server: int, at: int, *, is_out: bool) -> None:
-        if is_out:
+    def record(server: int, at: int, *, is_draining: bool) -> None:
+        if is_draining:
             since.setdefault(server, at)
         elif server in since:
             out.setdefault(server, []).append((since.pop(server), at))
 
-    for each in told:
-        for server, state, _ in each.lines:
-            hears(server, each.at, is_out=state != "active")
-        named = {server for server, _, _ in each.lines}
-        if each.full:
+    for update in told:
+        for server, state, _ in update.lines:
+            record(server, update.at, is_draining=state != "active")
+        named = {server for server, _, _ in update.lines}
+        if update.full:
             for server in known - named:
-                hears(server, each.at, is_out=True)
+                record(server, update.at, is_draining=True)
         known |= named
     for server, at in since.items():
         out.setdefault(server, []).append((at, 1 << 62))
@@ -208,32 +210,34 @@
 # No cold server overloaded by all copies together
 
 
-def _cold(history: History) -> Iterator[Breach]:
+def _slow_start_overloads(history: History) -> Iterator[Breach]:
     by_server: dict[int, list[Attempt]] = {}
     for request in history.requests.values():
-        for each in request.attempts:
-            by_server.setdefault(each.arrived.server, []).append(each)
+        for attempt in request.attempts:
+            by_server.setdefault(attempt.arrived.server, []).append(attempt)
     for server, starts in history.starts.items():
-        arrived = sorted(by_server.get(server, ()), key=lambda each: each.arrived.at)
+        arrived = sorted(by_server.get(server, ()), key=lambda attempt: attempt.arrived.at)
         for start in starts:
-            yield from _one_start(history, history.day.servers[server], start, arrived)
+            yield from _overload_after_start(history, history.day.servers[server], start, arrived)
 
 
-def _one_start(history: History, server: Server, start: int, arrived: list[Attempt]) -> Iterator[Breach]:
+def _overload_after_start(
+    history: History, server: Server, start: int, arrived: list[Attempt]
+) -> Iterator[Breach]:
     """The work of each window against what the server could do; the first breach of a start is told."""
-    mean = sum(each.share * each.work_us for each in history.day.classes)
+    mean = sum(kind.share * kind.work_us for kind in history.day.classes)
     window: list[Attempt] = []
-    for each in arrived:
-        at = each.arrived.at
+    for attempt in arrived:
+        at = attempt.arrived.at
         if not start <= at < start + server.cold_us:
             continue
-        window = [one for one in window if one.arrived.at > at - FALL_US] + [each]
+        window = [one for one in window if one.arrived.at > at - FALL_US] + [attempt]
         part = server.cold_from + (1 - server.cold_from) * (at - start) / server.cold_us
         allowed = FALL_MULTIPLE * part * server.slots * server.speed * FALL_US + _COLD_CHANCE * mean
         work = sum(one.arrived.work for one in window)
         if work <= allowed:
             continue
-        told = sum(one.arrived.work for one in window if _knew(history, one, server.number, start))
+        told = sum(one.arrived.work for one in window if _was_notified(history, one, server.number, start))
         if told * 3 >= work * 2:
             text = (
                 f"server {server.number}, {(at - start) / US:.2f} s after its start, got {work / 1e3:.0f} ms"
@@ -243,19 +247,21 @@
             return
 
 
-def _knew(history: History, attempt: Attempt, server: int, start: int) -> bool:
+def _was_notified(history: History, attempt: Attempt, server: int, start: int) -> bool:
     """Whether the copy had been told of this start."""
     return any(
-        each.at <= attempt.arrived.sent
-        and any(number == server and since is not None and since >= start for number, _, since in each.lines)
-        for each in history.told.get(attempt.arrived.copy, ())
+        update.at <= attempt.arrived.sent
+        and any(
+            number == server and since is not None and since >= start for number, _, since in update.lines
+        )
+        for update in history.told.get(attempt.arrived.copy, ())
     )
 
 
 # No copy ends by itself
 
 
-def _crashes(history: History) -> Iterator[Breach]:
+def _unexpected_exits(history: History) -> Iterator[Breach]:
     for life in history.lives.values():
         if life.ended is None or life.killed is not None:
             continue
@@ -269,14 +275,14 @@
 # Whether the ground held
 
 
-def _unfair(history: History) -> Iterator[str]:
+def _late_writers(history: History) -> Iterator[str]:
     seconds = max(history.day.length_us / US, 1.0)
     late: dict[str, dict[int, int]] = {}
-    for each in history.late:
-        if each.by > _LATE_US:
-            worst = late.setdefault(each.who, {})
-            second = each.at // US
-            worst[second] = max(worst.get(second, 0), each.by)
+    for delay in history.late:
+        if delay.by > _LATE_US:
+            worst = late.setdefault(delay.who, {})
+            second = delay.at // US
+            worst[second] = max(worst.get(second, 0), delay.by)
     for who, worst in sorted(late.items()):
         if len(worst) > seconds * _LATE_PART:
             most_ms = max(worst.values()) / 1e3
--- a/tests/test_cluster_membership_processes.py
+++ b/tests/test_cluster_membership_processes.py
@@ -21,7 +21,7 @@
 def played(day: Day, folder: Path) -> History:
     events = log.load(asyncio.run(play_day(day, ground(folder))))
     verdict = judge(events, slack_us=GENEROUS_US)
-    assert verdict.breaches == () and verdict.is_whole
+    assert verdict.breaches == () and verdict.is_complete
     return gather(events)
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -58,7 +58,7 @@
     day = draw(read("three-copies"), 1)
     events = played(day, tmp_path)
     verdict = judge(events, slack_us=GENEROUS_US)
-    assert verdict.breaches == () and verdict.is_whole
+    assert verdict.breaches == () and verdict.is_complete
     asked = {each.first for each in events if isinstance(each, log.Taken | log.Unreached)}
     assert asked == {each.number for each in arrivals(day)}
     served = [each for each in events if isinstance(each, log.Answered) and each.status == 200]
@@ -325,7 +325,7 @@
     day = a_day(EVERY_TROUBLE, base.replace("count = 2", "count = 3\noperated = true"))
     events = played(day, tmp_path)
     verdict = judge(events, slack_us=GENEROUS_US)
-    assert verdict.breaches == () and verdict.is_whole
+    assert verdict.breaches == () and verdict.is_complete
     said = [(each.copy, each.what) for each in events if isinstance(each, log.Copy) and each.at > 0]
     assert {(0, "stopping"), (0, "killed"), (1, "paused"), (1, "killed"), (2, "stopping")} <= set(said)
     for copy, lives in ((0, 3), (1, 2), (2, 2)):
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -97,7 +97,7 @@
         "rate_per_s = 10", "rate_per_s = 40"
     )
     verdict = judge(modelled(draw(parse(world + ALL_TROUBLES, "all"), seed)))
-    assert verdict.breaches == () and verdict.is_whole
+    assert verdict.breaches == () and verdict.is_complete
 
 
 @pytest.mark.parametrize(("drawn", "busy"), [(k, busy) for k in (1, 2, 3) for busy in (5, 25, 40, 47)])
