--- a/testbed/checker/series.py
+++ b/testbed/checker/series.py
@@ -13,7 +13,7 @@
 
 _MOST_BINS = 240
 _LEAST_BIN_US = 100_000
-_REFUSED = (429, 503)
+_REJECTED = (429, 503)
 
 
 class Series(msgspec.Struct, frozen=True):
@@ -53,7 +53,7 @@
         unavailable=_plain(unavailable),
         members=members,
         tier=_tier(history),
-        troubles=[(each.kind, each.at_us / 1e6, each.until_us / 1e6) for each in history.day.troubles],
+        troubles=[(fault.kind, fault.at_us / 1e6, fault.until_us / 1e6) for fault in history.day.troubles],
     )
 
 
@@ -67,20 +67,22 @@
 
 
 def _plain(values: np.ndarray) -> list[float]:
-    return [round(float(each), 3) for each in values]
+    return [round(float(value), 3) for value in values]
 
 
 def _outcomes(history: History, bin_us: int, count: int) -> dict[str, np.ndarray]:
     out = {name: np.zeros(count) for name in ("served", "refused", "failed")}
     for first, numbers in history.first_tries.items():
-        answers = [history.requests[each].answered for each in numbers]
-        statuses = [each.status for each in answers if each is not None]
-        taken = next((history.requests[each].taken for each in numbers if history.requests[each].taken), None)
+        responses = [history.requests[number].answered for number in numbers]
+        statuses = [response.status for response in responses if response is not None]
+        taken = next(
+            (history.requests[number].taken for number in numbers if history.requests[number].taken), None
+        )
         meant = taken.meant if taken is not None else history.unreached[first].meant
-        how = "served" if 200 in statuses else "failed"
-        if how == "failed" and statuses and statuses[-1] in _REFUSED:
-            how = "refused"
-        out[how][min(max(meant // bin_us, 0), count - 1)] += 1
+        outcome = "served" if 200 in statuses else "failed"
+        if outcome == "failed" and statuses and statuses[-1] in _REJECTED:
+            outcome = "refused"
+        out[outcome][min(max(meant // bin_us, 0), count - 1)] += 1
     return out
 
 
@@ -88,11 +90,11 @@
     """Mean numbers of attempts at warm and at cold servers, by what the server was as each came."""
     warm, cold = np.zeros(count), np.zeros(count)
     for request in history.requests.values():
-        for each in request.attempts:
-            server, at = each.arrived.server, each.arrived.at
+        for attempt in request.attempts:
+            server, at = attempt.arrived.server, attempt.arrived.at
             cold_us = history.day.servers[server].cold_us
             is_cold = any(start <= at < start + cold_us for start in history.starts.get(server, ()))
-            _spread(cold if is_cold else warm, at, each.ended_at or at, bin_us)
+            _spread(cold if is_cold else warm, at, attempt.ended_at or at, bin_us)
     return warm / bin_us, cold / bin_us
 
 
@@ -113,14 +115,14 @@
     last: dict[int, tuple[int, int]] = {}
     unavailable = np.zeros(count)
     members: dict[str, list[float]] = {}
-    told = iter([*sorted(history.figures, key=lambda each: each.at)])
-    coming = next(told, None)
+    reports = iter([*sorted(history.figures, key=lambda figures: figures.at)])
+    report = next(reports, None)
     for place in range(count):
-        while coming is not None and coming.at < (place + 1) * bin_us:
-            last[coming.copy] = coming.unavailable, coming.members
-            coming = next(told, None)
+        while report is not None and report.at < (place + 1) * bin_us:
+            last[report.copy] = report.unavailable, report.members
+            report = next(reports, None)
         if last:
-            unavailable[place] = sum(away for away, _ in last.values()) / len(last)
+            unavailable[place] = sum(avoided for avoided, _ in last.values()) / len(last)
         for copy, (_, listed) in last.items():
             members.setdefault(f"copy {copy}", [0.0] * place).append(float(listed))
     return unavailable, members
--- a/testbed/checker/tier.py
+++ b/testbed/checker/tier.py
@@ -36,8 +36,10 @@
 
 def looks(history: History) -> list[Look]:
     """All looks, in order of time."""
-    told = sorted(history.figures, key=lambda each: each.at)
-    return [Look(each.at, each.copy, each.tier["view"]) for each in told if "view" in each.tier]
+    reports = sorted(history.figures, key=lambda figures: figures.at)
+    return [
+        Look(figures.at, figures.copy, figures.tier["view"]) for figures in reports if "view" in figures.tier
+    ]
 
 
 def agreement(history: History) -> Agreement:
@@ -45,17 +47,17 @@
     alive = _alive_at_end(history)
     latest: dict[int, str] = {}
     at: int | None = None
-    for each in looks(history):
-        if each.copy not in alive:
+    for look in looks(history):
+        if look.copy not in alive:
             continue
-        latest[each.copy] = each.view
-        agreed = len(latest) == len(alive) and len(set(latest.values())) == 1 and _is_true(each.view, alive)
-        at = (at if at is not None else each.at) if agreed else None
-    wrongly = [
+        latest[look.copy] = look.view
+        agreed = len(latest) == len(alive) and len(set(latest.values())) == 1 and _is_true(look.view, alive)
+        at = (at if at is not None else look.at) if agreed else None
+    wrongly_dead = [
         (by, of) for by, view in sorted(latest.items()) for of in sorted(alive) if view[of] in (DEAD, LEFT)
     ]
-    ends = [max(each.at_us, each.until_us) for each in history.day.troubles]
-    return Agreement(at, max(ends, default=0), tuple(wrongly))
+    ends = [max(fault.at_us, fault.until_us) for fault in history.day.troubles]
+    return Agreement(at, max(ends, default=0), tuple(wrongly_dead))
 
 
 def _is_true(view: str, alive: set[int]) -> bool:
@@ -64,9 +66,11 @@
 
 def _alive_at_end(history: History) -> set[int]:
     """Copies with a process that got ready and neither was killed nor ended, nor is paused."""
-    out = {
-        each.copy
-        for each in history.lives.values()
-        if each.ready is not None and each.killed is None and each.ended is None
+    running = {
+        life.copy
+        for life in history.lives.values()
+        if life.ready is not None and life.killed is None and life.ended is None
+    }
+    return {
+        copy for copy in running if all(until < history.last_at for _, until in history.pauses.get(copy, ()))
     }
-    return {each for each in out if all(until < history.last_at for _, until in history.pauses.get(each, ()))}
--- a/testbed/checker/worth.py
+++ b/testbed/checker/worth.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class _Try:
+class _ClientRequest:
     """A first try with its retries."""
 
     copy: int
@@ -58,84 +58,88 @@
 def account(events: Iterable[Event] | History) -> Account:
     """Count what was served on a day; raise LogError where the log is none of a day."""
     history = events if isinstance(events, History) else gather(events)
-    tries = _tries(history)
+    requests = _client_requests(history)
     day = history.day
-    worth_of = [each.worth for each in day.classes]
-    by_second = _by_second(history, tries)
+    worth_of = [kind.worth for kind in day.classes]
+    by_second = _by_second(history, requests)
     return Account(
-        asked=len(tries),
-        served=_part(tries, worth_of),
+        asked=len(requests),
+        served=_part(requests, worth_of),
         by_class={
-            each.name: _part([one for one in tries if one.service_class == place], worth_of)
-            for place, each in enumerate(day.classes)
+            kind.name: _part([request for request in requests if request.service_class == place], worth_of)
+            for place, kind in enumerate(day.classes)
         },
         by_zone={
-            each.name: _part([one for one in tries if day.copies[one.copy].zone == each.name], worth_of)
-            for each in day.zones
+            zone.name: _part(
+                [request for request in requests if day.copies[request.copy].zone == zone.name], worth_of
+            )
+            for zone in day.zones
         },
         by_second=by_second,
-        refused=_share(tries, lambda one: one.worth == 0 and one.last_status in (429, 503)),
-        failed=_share(tries, lambda one: one.worth == 0 and one.last_status not in (429, 503)),
-        attempts=sum(len(each.attempts) for each in history.requests.values()) / max(len(tries), 1),
-        prices=_prices(history, len(tries)),
-        latency_ms=_latency(tries),
+        refused=_share(requests, lambda request: request.worth == 0 and request.last_status in (429, 503)),
+        failed=_share(requests, lambda request: request.worth == 0 and request.last_status not in (429, 503)),
+        attempts=sum(len(request.attempts) for request in history.requests.values()) / max(len(requests), 1),
+        prices=_prices(history, len(requests)),
+        latency_ms=_latency(requests),
         recovery_s=_recovery(history, by_second),
     )
 
 
-def _tries(history: History) -> list[_Try]:
-    out = []
+def _client_requests(history: History) -> list[_ClientRequest]:
+    requests = []
     for first, numbers in history.first_tries.items():
-        one = _first(history, first, numbers)
-        kind = history.day.classes[one.service_class]
+        request = _first_attempt(history, first, numbers)
+        kind = history.day.classes[request.service_class]
         for number in numbers:
             answered = history.requests[number].answered
             if answered is None:
                 continue
-            one.last_status = answered.status
-            took = answered.at - one.meant
-            if answered.status == 200 and took <= kind.deadline_us and one.took_us is None:
-                one.took_us = took
-                one.worth = kind.worth * (1.0 if took <= kind.aim_us else kind.late_worth)
-        out.append(one)
-    return out
-
-
-def _first(history: History, first: int, numbers: list[int]) -> _Try:
-    taken = next((history.requests[each].taken for each in numbers if history.requests[each].taken), None)
+            request.last_status = answered.status
+            took = answered.at - request.meant
+            if answered.status == 200 and took <= kind.deadline_us and request.took_us is None:
+                request.took_us = took
+                request.worth = kind.worth * (1.0 if took <= kind.aim_us else kind.late_worth)
+        requests.append(request)
+    return requests
+
+
+def _first_attempt(history: History, first: int, numbers: list[int]) -> _ClientRequest:
+    taken = next(
+        (history.requests[number].taken for number in numbers if history.requests[number].taken), None
+    )
     if taken is not None:
-        return _Try(taken.copy, taken.service_class, taken.meant)
+        return _ClientRequest(taken.copy, taken.service_class, taken.meant)
     unreached = history.unreached[first]
-    return _Try(unreached.copy, unreached.service_class, unreached.meant)
+    return _ClientRequest(unreached.copy, unreached.service_class, unreached.meant)
 
 
-def _part(tries: list[_Try], worth_of: list[float]) -> float:
-    asked = sum(worth_of[each.service_class] for each in tries)
-    return sum(each.worth for each in tries) / asked if asked else 1.0
+def _part(requests: list[_ClientRequest], worth_of: list[float]) -> float:
+    asked = sum(worth_of[request.service_class] for request in requests)
+    return sum(request.worth for request in requests) / asked if asked else 1.0
 
 
-def _share(tries: list[_Try], is_such: Callable[[_Try], bool]) -> float:
-    return sum(is_such(each) for each in tries) / max(len(tries), 1)
+def _share(requests: list[_ClientRequest], is_such: Callable[[_ClientRequest], bool]) -> float:
+    return sum(is_such(request) for request in requests) / max(len(requests), 1)
 
 
-def _by_second(history: History, tries: list[_Try]) -> list[float]:
+def _by_second(history: History, requests: list[_ClientRequest]) -> list[float]:
     count = max(-(-history.day.length_us // US), 1)
     asked, earned = np.zeros(count), np.zeros(count)
-    for each in tries:
-        second = min(max(each.meant // US, 0), count - 1)
-        asked[second] += history.day.classes[each.service_class].worth
-        earned[second] += each.worth
-    out: list[float] = []
-    for wanted, got in zip(asked, earned, strict=True):
-        out.append(float(got / wanted) if wanted else (out[-1] if out else 1.0))
-    return out
+    for request in requests:
+        second = min(max(request.meant // US, 0), count - 1)
+        asked[second] += history.day.classes[request.service_class].worth
+        earned[second] += request.worth
+    shares: list[float] = []
+    for asked_worth, served_worth in zip(asked, earned, strict=True):
+        shares.append(float(served_worth / asked_worth) if asked_worth else (shares[-1] if shares else 1.0))
+    return shares
 
 
-def _latency(tries: list[_Try]) -> dict[str, float]:
+def _latency(requests: list[_ClientRequest]) -> dict[str, float]:
     histogram = HdrHistogram(1, _LONGEST_US, 3)
-    for each in tries:
-        if each.took_us is not None:
-            histogram.record_value(min(max(each.took_us, 1), _LONGEST_US))
+    for request in requests:
+        if request.took_us is not None:
+            histogram.record_value(min(max(request.took_us, 1), _LONGEST_US))
     if not histogram.get_total_count():
         return {}
     return {f"p{part:g}": histogram.get_value_at_percentile(part) / 1e3 for part in (50, 90, 99, 99.9)}
@@ -143,53 +147,56 @@
 
 def _prices(history: History, asked: int) -> dict[str, float]:
     day = history.day
-    attempts = [each for request in history.requests.values() for each in request.attempts]
+    attempts = [attempt for request in history.requests.values() for attempt in request.attempts]
     crossing = sum(
-        day.copies[each.arrived.copy].zone != day.servers[each.arrived.server].zone for each in attempts
+        day.copies[attempt.arrived.copy].zone != day.servers[attempt.arrived.server].zone
+        for attempt in attempts
     )
     useful = {
-        each.answered.attempt
-        for each in history.requests.values()
-        if each.answered and each.answered.status == 200
+        request.answered.attempt
+        for request in history.requests.values()
+        if request.answered and request.answered.status == 200
     }
-    work = sum(each.arrived.work for each in attempts)
+    work = sum(attempt.arrived.work for attempt in attempts)
     wasted = sum(
-        each.arrived.work for each in attempts if each.how != "full" and each.arrived.attempt not in useful
+        attempt.arrived.work
+        for attempt in attempts
+        if attempt.how != "full" and attempt.arrived.attempt not in useful
     )
-    told = sum(each.size for each in history.datagrams if each.passed)
+    peer_bytes = sum(datagram.size for datagram in history.datagrams if datagram.passed)
     asked = max(asked, 1)
     shares = {
         "cross_zone": crossing / asked,
-        "handshake": sum(each.opened for each in history.connected) / asked,
+        "handshake": sum(connection.opened for connection in history.connected) / asked,
         "connection": _mean_open(history) / (100 * len(day.servers)),
         "waste": wasted / work if work else 0.0,
-        "peer": told / (_PEER_BYTES * asked),
+        "peer": peer_bytes / (_PEER_BYTES * asked),
     }
     return {name: PRICES[name] * share for name, share in shares.items()}
 
 
 def _mean_open(history: History) -> float:
     """Connections to servers that were open, on average over the day."""
-    area, is_open, before = 0, 0, 0
-    for each in history.connected:
-        area += is_open * (each.at - before)
-        is_open += 1 if each.opened else -1
-        before = each.at
-    area += is_open * max(history.last_at - before, 0)
+    area, open_connections, before = 0, 0, 0
+    for connection in history.connected:
+        area += open_connections * (connection.at - before)
+        open_connections += 1 if connection.opened else -1
+        before = connection.at
+    area += open_connections * max(history.last_at - before, 0)
     return area / max(history.last_at, 1)
 
 
 def _recovery(history: History, by_second: list[float]) -> list[tuple[int, str, float | None]]:
     """For each trouble, from its end to the first of some seconds that are all as good as before any."""
-    troubles = history.day.troubles
-    if not troubles:
+    faults = history.day.troubles
+    if not faults:
         return []
-    before = by_second[: max(troubles[0].at_us // US, 1)]
+    before = by_second[: max(faults[0].at_us // US, 1)]
     wanted = _BACK * sum(before) / len(before)
-    out: list[tuple[int, str, float | None]] = []
-    for each in troubles:
-        end = each.until_us / US
-        back = next(
+    recoveries: list[tuple[int, str, float | None]] = []
+    for fault in faults:
+        end = fault.until_us / US
+        recovered_at = next(
             (
                 second
                 for second in range(int(end), len(by_second))
@@ -197,5 +204,7 @@
             ),
             None,
         )
-        out.append((each.number, each.kind, None if back is None else max(back - end, 0.0)))
-    return out
+        recoveries.append(
+            (fault.number, fault.kind, None if recovered_at is None else max(recovered_at - end, 0.0))
+        )
+    return recoveries
