--- a/testbed/emulator/copies.py
+++ b/testbed/emulator/copies.py
@@ -225,8 +225,8 @@
         self.life += 1
         life = self.life
         if not self._day.sidecars.keeps_folder:
-            for each in (self.folder / "tmp").iterdir():
-                each.unlink()
+            for leftover in (self.folder / "tmp").iterdir():
+                leftover.unlink()
         path = self.folder / "config.json"
         config = {**self.config, "seed": f"{self._rng.getrandbits(64):016x}", "known": self.listing()}
         path.write_text(json.dumps(config))
@@ -241,7 +241,7 @@
         if self._held is not None:
             descriptors = (self._held.fileno(),)
             environment["BALANCER_SOCKET_FD"] = str(descriptors[0])
-        is_unprivileged = any(each.kind == "read_only" for each in self._day.troubles)
+        is_unprivileged = any(fault.kind == "read_only" for fault in self._day.troubles)
         process = Process(
             self._worded(),
             self._root,
@@ -381,17 +381,17 @@
     def lock_folder(self, *, is_locked: bool) -> None:
         """Make the replica's folder for temporary files read-only, or writable again."""
         own = self.folder / "tmp"
-        for each in own.iterdir():
-            each.chmod(0o400 if is_locked else 0o600)
+        for path in own.iterdir():
+            path.chmod(0o400 if is_locked else 0o600)
         own.chmod(0o500 if is_locked else 0o700)
 
     def damage_folder(self) -> None:
         """Every file is cut short, or holds garbage from some place on."""
-        for each in sorted((self.folder / "tmp").iterdir()):
-            kept = each.read_bytes()
+        for path in sorted((self.folder / "tmp").iterdir()):
+            kept = path.read_bytes()
             place = self._rng.randrange(len(kept) + 1)
             garbage = self._rng.randbytes(len(kept) - place) if self._rng.random() < 0.5 else b""
-            each.write_bytes(kept[:place] + garbage)
+            path.write_bytes(kept[:place] + garbage)
 
     async def close(self) -> None:
         """End whatever still runs: at an upgrade that is not over, two processes."""
--- a/testbed/emulator/datagrams.py
+++ b/testbed/emulator/datagrams.py
@@ -41,7 +41,7 @@
     @property
     def peers(self) -> list[str]:
         """The address of each copy, as all others know it."""
-        return [each.address for each in self._places]
+        return [place.address for place in self._places]
 
     @property
     def everyone(self) -> str:
@@ -87,9 +87,9 @@
     def close(self) -> None:
         """Close all sockets."""
         self._is_closed = True
-        for each in (*self._places, self._everyone):
-            if each is not None:
-                each.close()
+        for endpoint in (*self._places, self._everyone):
+            if endpoint is not None:
+                endpoint.close()
 
 
 class _Place(asyncio.DatagramProtocol):
--- a/testbed/emulator/discovery.py
+++ b/testbed/emulator/discovery.py
@@ -38,14 +38,14 @@
         self._addresses = addresses
         self._free_at = 0
         self._watches: set[_Call] = set()
-        self._down = [each for each in day.troubles if each.kind == "discovery_down"]
+        self._down = [fault for fault in day.troubles if fault.kind == "discovery_down"]
 
     def start(self) -> None:
         """Plan every change and every trouble of the day."""
         for change in self.catalog.changes:
             self._at(change.at, self._tell_watches)
-        for each in self._down:
-            self._at(each.at_us, self._end_watches)
+        for outage in self._down:
+            self._at(outage.at_us, self._end_watches)
 
     def _at(self, at: int, act: Callable[[], None]) -> None:
         asyncio.get_running_loop().call_later(self._clock.wait_s(at) + 0.0005, act)
@@ -96,7 +96,7 @@
             call.passage.reset()
 
     def _is_down(self, now: int) -> bool:
-        return any(each.at_us <= now < each.until_us for each in self._down)
+        return any(outage.at_us <= now < outage.until_us for outage in self._down)
 
     def _tell(self, call: _Call, after: int | None) -> None:
         version = self.catalog.version(self._clock.now())
@@ -118,7 +118,7 @@
 
     def _told(self, copy: int, version: int, changes: list[Change], *, full: bool) -> None:
         """Word reached a copy."""
-        lines = [(each.server, each.state, each.started) for each in changes]
+        lines = [(change.server, change.state, change.started) for change in changes]
         at = self._clock.now()
         self._writer.write(log.Told(at=at, copy=copy, version=version, full=full, lines=lines))
 
@@ -131,7 +131,7 @@
 
     def listing(self, copy: int, version: int, changes: list[Change], *, full: bool) -> dict[str, object]:
         """Entries in discovery's form."""
-        return {"version": version, "full": full, "servers": [self._line(copy, each) for each in changes]}
+        return {"version": version, "full": full, "servers": [self._line(copy, change) for change in changes]}
 
     def _line(self, copy: int, change: Change) -> dict[str, object]:
         server = self._day.servers[change.server]
--- a/testbed/emulator/play.py
+++ b/testbed/emulator/play.py
@@ -66,7 +66,7 @@
             stdout=asyncio.subprocess.PIPE,
             limit=MOST_LINE,
             start_new_session=True,
-            env={**os.environ, "PYTHONPATH": os.pathsep.join(each for each in sys.path if each)},
+            env={**os.environ, "PYTHONPATH": os.pathsep.join(folder for folder in sys.path if folder)},
         )
         child = cls(process, name)
         child.tell(msgspec.json.encode(plan))
@@ -170,10 +170,10 @@
         )
         command = self._ground.command or deployed(self._ground.root)
         self._copies = [self._sidecar(copy, command) for copy in self._day.copies]
-        await self._relay.start("127.15.0.1", [each.peer_listen for each in self._copies])
+        await self._relay.start("127.15.0.1", [copy.peer_listen for copy in self._copies])
         for sidecar in self._copies:
             self._introduce(sidecar, self._discovery)
-        starts = [asyncio.create_task(each.start()) for each in self._copies]
+        starts = [asyncio.create_task(copy.start()) for copy in self._copies]
         try:
             await asyncio.gather(*starts)
         finally:
@@ -181,7 +181,7 @@
                 start.cancel()
         workers = min(self._ground.workers, len(self._copies))
         for number in range(workers):
-            listen = [each.listen for each in self._copies]
+            listen = [copy.listen for copy in self._copies]
             part = self._part(f"load-{number}")
             load = loads.Plan(self._day, number, workers, listen, part, self._ground.grace_us)
             self._loads.append(await _Child.start("testbed.load.worker", load, f"load {number}"))
@@ -228,10 +228,10 @@
         self._failed = asyncio.get_running_loop().create_future()
         watch = asyncio.create_task(watch_lateness(self._clock, "discovery", self._writer))
         self._tasks = [watch, asyncio.create_task(self._ask_figures())]
-        self._tasks += [*(asyncio.create_task(self._trouble(each)) for each in self._day.troubles)]
+        self._tasks += [*(asyncio.create_task(self._trouble(trouble)) for trouble in self._day.troubles)]
         for task in self._tasks:
             task.add_done_callback(self._complain)
-        longest_s = max(each.deadline_us for each in self._day.classes) / 1e6
+        longest_s = max(kind.deadline_us for kind in self._day.classes) / 1e6
         within_s = (self._day.length_us + self._ground.grace_us) / 1e6 + longest_s + _ANSWER_WITHIN_S
         over = [asyncio.create_task(child.hear(within_s)) for child in self._loads]
         self._tasks += over
@@ -245,7 +245,7 @@
 
     async def _ask_figures(self) -> None:
         while self._day.sidecars.console:
-            await asyncio.gather(*(each.figures() for each in self._copies))
+            await asyncio.gather(*(copy.figures() for copy in self._copies))
             await asyncio.sleep(_FIGURES_EVERY_S)
 
     def _complain(self, task: asyncio.Task[Any]) -> None:
@@ -257,13 +257,13 @@
         await asyncio.sleep(self._clock.wait_s(trouble.at_us))
         self._writer.write(log.Trouble(at=self._clock.now(), number=trouble.number, begins=True))
         copies = [
-            self._copies[int(each.partition(":")[2])] for each in trouble.who if each.startswith("copy:")
+            self._copies[int(party.partition(":")[2])] for party in trouble.who if party.startswith("copy:")
         ]
         act = _ACTS.get(trouble.kind)
         if act is None:
             await asyncio.sleep(self._clock.wait_s(trouble.until_us))
         else:
-            await asyncio.gather(*(act(self, each, trouble) for each in copies))
+            await asyncio.gather(*(act(self, copy, trouble) for copy in copies))
         if trouble.until_us > trouble.at_us:
             self._writer.write(log.Trouble(at=self._clock.now(), number=trouble.number, begins=False))
 
@@ -335,9 +335,9 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await asyncio.gather(*(each.close() for each in self._copies), return_exceptions=True)
+        await asyncio.gather(*(copy.close() for copy in self._copies), return_exceptions=True)
         children: Sequence[_Child] = (*self._loads, *self._children)
-        await asyncio.gather(*(each.close() for each in children), return_exceptions=True)
+        await asyncio.gather(*(child.close() for child in children), return_exceptions=True)
         for gate in self._gates:
             gate.close()
         self._relay.close()
--- a/testbed/emulator/switch.py
+++ b/testbed/emulator/switch.py
@@ -274,8 +274,8 @@
         self._filled.add(filler.getsockname())
 
     def _empty(self) -> None:
-        for each in self._fillers:
-            each.close()
+        for filler in self._fillers:
+            filler.close()
         self._fillers.clear()
 
     def _accept(self) -> None:
--- a/testbed/simulation/discovery.py
+++ b/testbed/simulation/discovery.py
@@ -41,16 +41,16 @@
         self.catalog = Catalog(day)
         self._day, self._queue, self._sink, self._rng = day, queue, sink, rng
         self._epoch_us = epoch_us
-        self._there = [links.between(each.party, DISCOVERY) for each in day.copies]
-        self._back = [links.between(DISCOVERY, each.party) for each in day.copies]
-        self._down = [each for each in day.troubles if each.kind == "discovery_down"]
+        self._there = [links.between(copy.party, DISCOVERY) for copy in day.copies]
+        self._back = [links.between(DISCOVERY, copy.party) for copy in day.copies]
+        self._down = [fault for fault in day.troubles if fault.kind == "discovery_down"]
         self._free_at = 0
         self._watches: dict[int, tuple[int, int, Answer]] = {}  # by call: copy, version, whom to tell
         self._calls = 0
         for change in self.catalog.changes:
             queue.at(change.at, self._tell_watches)
-        for each in self._down:
-            queue.at(each.at_us, self._end_watches)
+        for outage in self._down:
+            queue.at(outage.at_us, self._end_watches)
 
     def call(self, copy: int, after: int | None, wait_us: int, answer: Answer) -> None:
         """A copy calls; it is answered once, unless a cut holds the answer for good."""
@@ -96,7 +96,7 @@
             self._fail(copy, answer)
 
     def _is_down(self, now: int) -> bool:
-        return any(each.at_us <= now < each.until_us for each in self._down)
+        return any(outage.at_us <= now < outage.until_us for outage in self._down)
 
     def _tell(self, copy: int, after: int | None, answer: Answer) -> None:
         version = self.catalog.version(self._queue.now)
@@ -116,13 +116,13 @@
 
     def told(self, copy: int, answer: ListAnswer) -> None:
         """Log that an answer reached a copy that runs."""
-        lines = [(each.server, each.state, each.started) for each in answer.entries]
+        lines = [(entry.server, entry.state, entry.started) for entry in answer.entries]
         at, version, full = self._queue.now, answer.version, answer.is_complete
         self._sink(log.Told(at=at, copy=copy, version=version, full=full, lines=lines))
 
     def event(self, version: int, entries: list[Change], kind: EndpointListKind) -> EndpointListReceived:
         """Entries as the module hears them."""
-        return EndpointListReceived(kind, [self._listed(each) for each in entries], version)
+        return EndpointListReceived(kind, [self._listed(entry) for entry in entries], version)
 
     def _listed(self, change: Change) -> EndpointEntry:
         server = self._day.servers[change.server]
--- a/testbed/simulation/earlier_module.py
+++ b/testbed/simulation/earlier_module.py
@@ -81,9 +81,9 @@
         earlier = getattr(interface, name)
         count = len(dataclasses.fields(earlier))
         values = [getattr(value, field.name) for field in dataclasses.fields(value)[:count]]
-        return earlier(*(to_earlier(each, interface) for each in values))
+        return earlier(*(to_earlier(item, interface) for item in values))
     if isinstance(value, (list, tuple)):
-        return type(value)(to_earlier(each, interface) for each in value)
+        return type(value)(to_earlier(item, interface) for item in value)
     return value
 
 
--- a/testbed/simulation/play.py
+++ b/testbed/simulation/play.py
@@ -198,14 +198,14 @@
         self.links = Links(day)
         self.attempts = itertools.count()
         self.servers = [
-            ModelServer(day, each, self.queue, self.links, sink, seeded(day.seed, each.party))
-            for each in day.servers
+            ModelServer(day, server, self.queue, self.links, sink, seeded(day.seed, server.party))
+            for server in day.servers
         ]
         self.discovery = ModelDiscovery(
             day, self.queue, self.links, sink, seeded(day.seed, "discovery"), EPOCH_US
         )
         self._chances = seeded(day.seed, "datagrams")
-        self._copies = [Copy(self, each.number) for each in day.copies]
+        self._copies = [Copy(self, copy.number) for copy in day.copies]
 
     def play(self) -> None:
         """The day, until every answer that comes has come."""
@@ -218,7 +218,7 @@
         self._figures()
         coming = iter(arrivals(self.day))
         self._next(coming)
-        longest = max(each.deadline_us for each in self.day.classes)
+        longest = max(kind.deadline_us for kind in self.day.classes)
         self.queue.run(self.day.length_us + longest + 2 * _GRACE_US)
         self.sink(log.Finished(at=self.queue.now))
 
--- a/testbed/simulation/policies.py
+++ b/testbed/simulation/policies.py
@@ -65,7 +65,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
-        self._classes = {each.name: each for each in settings.classes}
+        self._classes = {kind.name: kind for kind in settings.classes}
         self.random = random.Random(seed)
         self.ready: list[str] = []
         self.in_flight: dict[str, int] = {}
@@ -107,7 +107,7 @@
             return [SetTimer(_ASK_AGAIN_US, "ask")]
         if event.kind is not EndpointListKind.CHANGES:
             self._listed = {}
-        self._listed.update({each.server: each.state for each in event.entries})
+        self._listed.update({entry.server: entry.state for entry in event.entries})
         self.ready = sorted(name for name, state in self._listed.items() if state is EndpointState.READY)
         return []
 
@@ -177,7 +177,7 @@
     def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
         """The endpoint with the fewest requests in flight, of a few drawn at random."""
         drawn = self.random.sample(self.ready, min(self.drawn, len(self.ready)))
-        return min(drawn, key=lambda each: self.in_flight.get(each, 0))
+        return min(drawn, key=lambda endpoint: self.in_flight.get(endpoint, 0))
 
 
 class BestOfFour(BestOf):
@@ -208,7 +208,7 @@
 
     def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
         """The endpoint with the fewest requests in flight; ties are broken at random."""
-        return min(self.ready, key=lambda each: (self.in_flight.get(each, 0), self.random.random()))
+        return min(self.ready, key=lambda endpoint: (self.in_flight.get(endpoint, 0), self.random.random()))
 
 
 POLICIES: dict[str, Callable[[Settings, int], Policy]] = {
