--- a/testbed/capacity/feeds.py
+++ b/testbed/capacity/feeds.py
@@ -10,7 +10,7 @@
 from testbed.capacity.samples import Run, Sample
 
 
-class NotMeasured(Exception):
+class NotMeasuredError(Exception):
     """There is no figure; the text says why."""
 
 
@@ -30,22 +30,25 @@
 
     @staticmethod
     def read(text: str, at: float) -> Feed:
-        """ "measure | case | part | engine", and perhaps "| at SIZE" or "| alone at SIZE"; else `at`."""
+        """Parse "measure | case | part | engine", and perhaps "| at SIZE" or "| alone at SIZE"; else `at`."""
         measure, case, part, engine, *rest = [each.strip() for each in text.split("|")]
         is_alone = bool(rest) and rest[0].startswith("alone")
         size = float(rest[0].rsplit(" ", 1)[1]) if rest else at
         return Feed(measure, case, part, engine, size, is_alone)
 
     def takes(self, sample: Sample) -> bool:
+        """Whether a sample has the feed's measure, case and part, and one of its engines."""
         own = self.measure, self.case, self.part
         return own == (sample.measure, sample.case, sample.part) and sample.engine in self.engines
 
     @property
     def engines(self) -> list[str]:
+        """The engines that the feed accepts."""
         return self.engine.split("/")
 
     @property
     def name(self) -> str:
+        """The feed as shown in tables and errors."""
         return f"{self.measure}, {self.case}, {self.part}, {self.engine}"
 
 
@@ -66,19 +69,19 @@
 
 
 def figure(feed: Feed, runs: Sequence[Run]) -> Figure:
-    """The figure of a feed from valid runs alone; raise NotMeasured."""
+    """The figure of a feed from valid runs alone; raise NotMeasuredError."""
     found = [(run, sample) for run in runs for sample in run.samples if feed.takes(sample)]
     if not found:
-        raise NotMeasured("no sample of it")
+        raise NotMeasuredError("no sample of it")
     valid = [(run, sample) for run, sample in found if run.valid]
     if not valid:
-        raise NotMeasured("no valid run")
+        raise NotMeasuredError("no valid run")
     engine = min((sample.engine for _, sample in valid), key=feed.engines.index)
     feed = replace(feed, engine=engine)
     used = [(run, sample) for run, sample in valid if sample.engine == engine]
     points = tuple(sorted((sample.size, sample.value) for _, sample in used))
     here = [value for size, value in points if size == feed.at]
-    slope = _slope(feed, points, bool(here))
+    slope = _slope(feed, points, is_here=bool(here))
     if here:
         value, least, most = statistics.fmean(here), min(here), max(here)
     else:
@@ -99,13 +102,13 @@
     )
 
 
-def _slope(feed: Feed, points: Sequence[tuple[float, float]], is_here: bool) -> Fit | None:
+def _slope(feed: Feed, points: Sequence[tuple[float, float]], *, is_here: bool) -> Fit | None:
     """Through four sizes or more; none where it is not asked for and the size itself was measured."""
     if feed.is_alone:
         if not is_here:
-            raise NotMeasured(f"not at {feed.at:g}")
+            raise NotMeasuredError(f"not at {feed.at:g}")
         return None
     try:
         return fit([(size, value) for size, value in points if size >= 1.0])  # none has no logarithm
     except FitError as fault:
-        raise NotMeasured(str(fault)) from None
+        raise NotMeasuredError(str(fault)) from None
--- a/testbed/cluster_simulation/trial.py
+++ b/testbed/cluster_simulation/trial.py
@@ -19,7 +19,7 @@
 _UNITS = {"sent": "1/s", "heard": "1/s", "sent_bytes": "B/s", "heard_bytes": "B/s"}
 
 
-class Overdue(Exception):
+class OverdueError(Exception):
     """What was waited for did not come within the bound; the text names it."""
 
 
@@ -55,7 +55,7 @@
         self._has_been_cut = True
         self.cluster.is_cut = self._were_cut
         self.cluster.run(seconds)
-        self.cluster.is_cut = lambda one, other: False
+        self.cluster.is_cut = lambda _source, _target: False
 
     def restart(self, number: int) -> None:
         """A member leaves by its own word, and a process of it begins anew a little later."""
@@ -93,18 +93,18 @@
     # What is waited for
 
     def until_known(self, within_s: float) -> None:
-        """Run until all that live know of each that was killed; raise Overdue."""
+        """Run until all that live know of each that was killed; raise OverdueError."""
         began, wanted = self.cluster.queue.now, len(self.cluster.processes)
         while any(len(each) < wanted for each in self._known.values()):
             if self.cluster.queue.now - began > within_s * S:
-                raise Overdue(f"deaths not known to all within {within_s:g} s")
+                raise OverdueError(f"deaths not known to all within {within_s:g} s")
             self.cluster.run(_STEP_S)
 
     def until_agreed(self, within_s: float) -> float:
-        """Run until all agree; give the seconds that it took, or raise Overdue."""
+        """Run until all agree; give the seconds that it took, or raise OverdueError."""
         found = self.cluster.until_agreed(within_s, _STEP_S)
         if found is None:
-            raise Overdue(f"no agreement within {within_s:g} s")
+            raise OverdueError(f"no agreement within {within_s:g} s")
         return found
 
     # What is counted
@@ -122,6 +122,7 @@
         }
 
     def add(self, measure: str, value: float, unit: str, case: str, part: str) -> None:
+        """Record one sample, with the trial's size and seed."""
         self.samples.append(
             Sample(measure, self.size, round(value, 4), unit, case, part, engine="virtual", seed=self.seed)
         )
@@ -159,9 +160,12 @@
             return
         if what.member in self._killed:
             self._known[what.member].setdefault(hearer, at)
-        elif what.member in self.cluster.processes and what.incarnation >= self._born[what.member]:
-            if not self._were_cut(what.reported_by, what.member):
-                self._wrong.add((what.member, what.incarnation))
+        elif (
+            what.member in self.cluster.processes
+            and what.incarnation >= self._born[what.member]
+            and not self._were_cut(what.reported_by, what.member)
+        ):
+            self._wrong.add((what.member, what.incarnation))
 
     def _were_cut(self, one: int, other: int) -> bool:
         return self._has_been_cut and self._side(one) is not self._side(other)
--- a/testbed/emulator/copies.py
+++ b/testbed/emulator/copies.py
@@ -70,13 +70,14 @@
         environment: dict[str, str],
         log_file: Path,
         descriptors: tuple[int, ...],
-        ordinary: bool,
+        *,
+        is_unprivileged: bool,
     ) -> None:
-        """`ordinary`: even where this is root's, files that nobody may write are not written."""
+        """`is_unprivileged`: even where this is root's, files that nobody may write are not written."""
 
         def prepare() -> None:
             end_with_parent()
-            if ordinary:
+            if is_unprivileged:
                 _LIBC.prctl(_PR_CAPBSET_DROP, _CAP_DAC_OVERRIDE)
 
         self._popen = subprocess.Popen(
@@ -107,6 +108,7 @@
 
     @property
     def code(self) -> int | None:
+        """The exit code; None while the process runs."""
         return self._popen.returncode
 
     def _over(self) -> None:
@@ -135,6 +137,7 @@
             self._said.close()
 
     def signal(self, number: int) -> None:
+        """Send a signal, unless the process has ended."""
         if not self.ended.is_set():
             self._popen.send_signal(number)
 
@@ -207,6 +210,7 @@
     # Its processes
 
     def tell(self, what: str, life: int, code: int | None = None) -> None:
+        """Log a change of the replica's life cycle."""
         at = self._clock.now()
         self._writer.write(log.Copy(at=at, copy=self.copy.number, life=life, what=what, code=code))
 
@@ -221,8 +225,8 @@
         self.life += 1
         life = self.life
         if not self._day.sidecars.keeps_folder:
-            for each in (self.folder / "tmp").iterdir():
-                each.unlink()
+            for leftover in (self.folder / "tmp").iterdir():
+                leftover.unlink()
         path = self.folder / "config.json"
         config = {**self.config, "seed": f"{self._rng.getrandbits(64):016x}", "known": self.listing()}
         path.write_text(json.dumps(config))
@@ -237,14 +241,14 @@
         if self._held is not None:
             descriptors = (self._held.fileno(),)
             environment["BALANCER_SOCKET_FD"] = str(descriptors[0])
-        ordinary = any(each.kind == "read_only" for each in self._day.troubles)
+        is_unprivileged = any(fault.kind == "read_only" for fault in self._day.troubles)
         process = Process(
             self._worded(),
             self._root,
             environment | {"PLUMTRESTLE_CLOCK_AHEAD": f"{self._ahead_s:g}"},
             self.folder / "stderr.log",
             descriptors,
-            ordinary,
+            is_unprivileged=is_unprivileged,
         )
         self.process, self._door = process, door
         self.tell("started", life)
@@ -345,6 +349,7 @@
             await self.stop(old, life)
 
     def pause(self) -> None:
+        """Stop the process with SIGSTOP; pauses nest."""
         if self.process is not None and not self.process.ended.is_set():
             self._paused += 1
             if self._paused == 1:
@@ -360,6 +365,7 @@
             self.tell("resumed", self.life)
 
     def hang_up(self) -> None:
+        """Send SIGHUP, which reloads the configuration."""
         if self.process is not None:
             self.process.signal(signal.SIGHUP)
 
@@ -367,23 +373,25 @@
         """From the next start on."""
         self._ahead_s = ahead_s
 
-    def limit_files(self, is_full: bool) -> None:
+    def limit_files(self, *, is_full: bool) -> None:
+        """Set the process's file size limit to zero, as on a full disk, or lift it."""
         if self.process is not None and not self.process.ended.is_set():
             self.process.limit_files(0 if is_full else resource.RLIM_INFINITY)
 
-    def lock_folder(self, is_locked: bool) -> None:
+    def lock_folder(self, *, is_locked: bool) -> None:
+        """Make the replica's folder for temporary files read-only, or writable again."""
         own = self.folder / "tmp"
-        for each in own.iterdir():
-            each.chmod(0o400 if is_locked else 0o600)
+        for path in own.iterdir():
+            path.chmod(0o400 if is_locked else 0o600)
         own.chmod(0o500 if is_locked else 0o700)
 
     def damage_folder(self) -> None:
         """Every file is cut short, or holds garbage from some place on."""
-        for each in sorted((self.folder / "tmp").iterdir()):
-            kept = each.read_bytes()
+        for path in sorted((self.folder / "tmp").iterdir()):
+            kept = path.read_bytes()
             place = self._rng.randrange(len(kept) + 1)
             garbage = self._rng.randbytes(len(kept) - place) if self._rng.random() < 0.5 else b""
-            each.write_bytes(kept[:place] + garbage)
+            path.write_bytes(kept[:place] + garbage)
 
     async def close(self) -> None:
         """End whatever still runs: at an upgrade that is not over, two processes."""
--- a/testbed/emulator/datagrams.py
+++ b/testbed/emulator/datagrams.py
@@ -41,10 +41,11 @@
     @property
     def peers(self) -> list[str]:
         """The address of each copy, as all others know it."""
-        return [each.address for each in self._places]
+        return [place.address for place in self._places]
 
     @property
     def everyone(self) -> str:
+        """The broadcast address."""
         assert self._everyone is not None
         return self._everyone.address
 
@@ -65,7 +66,7 @@
         if len(data) > MOST_BYTES or self._waiting > _MOST_WAITING:
             arrivals = []
         if not arrivals:
-            self._tell(sender, receiver, data, False)
+            self._tell(sender, receiver, data, passed=False)
         for at in arrivals:
             self._waiting += 1
             loop = asyncio.get_running_loop()
@@ -75,19 +76,20 @@
         self._waiting -= 1
         if not self._is_closed:
             self._places[sender].send(data, self._targets[receiver])
-            self._tell(sender, receiver, data, True)
+            self._tell(sender, receiver, data, passed=True)
 
-    def _tell(self, sender: int, receiver: int, data: bytes, passed: bool) -> None:
+    def _tell(self, sender: int, receiver: int, data: bytes, *, passed: bool) -> None:
         at = self._clock.now()
         self._writer.write(
             log.Datagram(at=at, sender=sender, receiver=receiver, size=len(data), passed=passed)
         )
 
     def close(self) -> None:
+        """Close all sockets."""
         self._is_closed = True
-        for each in (*self._places, self._everyone):
-            if each is not None:
-                each.close()
+        for endpoint in (*self._places, self._everyone):
+            if endpoint is not None:
+                endpoint.close()
 
 
 class _Place(asyncio.DatagramProtocol):
--- a/testbed/emulator/discovery.py
+++ b/testbed/emulator/discovery.py
@@ -11,7 +11,7 @@
 from testbed import events as log
 from testbed.catalog import Catalog, Change
 from testbed.clock import DayClock
-from testbed.emulator.message import Requests, Unreadable, answer
+from testbed.emulator.message import MalformedRequestError, Requests, answer
 from testbed.emulator.switch import Handler, Passage
 from testbed.scenario.day import Day
 
@@ -38,19 +38,20 @@
         self._addresses = addresses
         self._free_at = 0
         self._watches: set[_Call] = set()
-        self._down = [each for each in day.troubles if each.kind == "discovery_down"]
+        self._down = [fault for fault in day.troubles if fault.kind == "discovery_down"]
 
     def start(self) -> None:
         """Plan every change and every trouble of the day."""
         for change in self.catalog.changes:
             self._at(change.at, self._tell_watches)
-        for each in self._down:
-            self._at(each.at_us, self._end_watches)
+        for outage in self._down:
+            self._at(outage.at_us, self._end_watches)
 
     def _at(self, at: int, act: Callable[[], None]) -> None:
         asyncio.get_running_loop().call_later(self._clock.wait_s(at) + 0.0005, act)
 
     def connected(self, copy: int, passage: Passage) -> Handler:
+        """Create the handler of a new connection from a replica."""
         return _Call(self, copy, passage)
 
     # Calls
@@ -61,7 +62,7 @@
         turn = max(self._free_at, now)
         fails = self._is_down(now) or turn - now > self._day.discovery.wait_us
         if fails or self._rng.random() < self._day.discovery.fail_rate:
-            self._answered(call, DOWN, False)
+            self._answered(call, DOWN, well=False)
             return
         self._free_at = turn + self._day.discovery.call_us
         self._at(self._free_at, lambda: self._handle(call, after, wait_ms))
@@ -76,6 +77,7 @@
             self._tell(call, after)
 
     def forget(self, call: _Call) -> None:
+        """Drop a watch that is over."""
         self._watches.discard(call)
 
     def _give_up(self, call: _Call) -> None:
@@ -94,29 +96,29 @@
             call.passage.reset()
 
     def _is_down(self, now: int) -> bool:
-        return any(each.at_us <= now < each.until_us for each in self._down)
+        return any(outage.at_us <= now < outage.until_us for outage in self._down)
 
     def _tell(self, call: _Call, after: int | None) -> None:
         version = self.catalog.version(self._clock.now())
         full = not after or after > version  # at 0 nothing is held yet
         changes = self.catalog.whole(version) if full else self.catalog.since(after or 1, version)
-        body = json.dumps(self.listing(call.copy, version, full, changes)).encode()
+        body = json.dumps(self.listing(call.copy, version, changes, full=full)).encode()
 
         def delivered() -> None:
             self.told[call.copy] = max(version, self.told[call.copy])
-            self._told(call.copy, version, full, changes)
+            self._told(call.copy, version, changes, full=full)
 
-        self._answered(call, answer(b"200 OK", body), True, delivered)
+        self._answered(call, answer(b"200 OK", body), delivered, well=True)
 
     def _answered(
-        self, call: _Call, message: bytes, well: bool, delivered: Callable[[], None] | None = None
+        self, call: _Call, message: bytes, delivered: Callable[[], None] | None = None, *, well: bool
     ) -> None:
         self._writer.write(log.Called(at=self._clock.now(), copy=call.copy, well=well))
         call.passage.send(message, delivered)
 
-    def _told(self, copy: int, version: int, full: bool, changes: list[Change]) -> None:
+    def _told(self, copy: int, version: int, changes: list[Change], *, full: bool) -> None:
         """Word reached a copy."""
-        lines = [(each.server, each.state, each.started) for each in changes]
+        lines = [(change.server, change.state, change.started) for change in changes]
         at = self._clock.now()
         self._writer.write(log.Told(at=at, copy=copy, version=version, full=full, lines=lines))
 
@@ -124,12 +126,12 @@
         """The list as a copy last had it, told to its next process at the start."""
         version = self.told[copy]
         changes = self.catalog.whole(version)
-        self._told(copy, version, True, changes)
-        return self.listing(copy, version, True, changes)
+        self._told(copy, version, changes, full=True)
+        return self.listing(copy, version, changes, full=True)
 
-    def listing(self, copy: int, version: int, full: bool, changes: list[Change]) -> dict[str, object]:
+    def listing(self, copy: int, version: int, changes: list[Change], *, full: bool) -> dict[str, object]:
         """Entries in discovery's form."""
-        return {"version": version, "full": full, "servers": [self._line(copy, each) for each in changes]}
+        return {"version": version, "full": full, "servers": [self._line(copy, change) for change in changes]}
 
     def _line(self, copy: int, change: Change) -> dict[str, object]:
         server = self._day.servers[change.server]
@@ -158,7 +160,7 @@
         try:
             for head, _ in self._reading.feed(data):
                 self._asked(head.partition(b"\r\n")[0])
-        except Unreadable:
+        except MalformedRequestError:
             self.passage.reset()
 
     def _asked(self, line: bytes) -> None:
--- a/testbed/emulator/servers.py
+++ b/testbed/emulator/servers.py
@@ -9,7 +9,7 @@
 
 from testbed import events as log
 from testbed.clock import DayClock
-from testbed.emulator.message import Requests, Unreadable, answer, header
+from testbed.emulator.message import MalformedRequestError, Requests, answer, header
 from testbed.emulator.switch import Gate, Handler, Passage
 from testbed.scenario.day import Server, Trouble
 from testbed.station import Job, Place, Station
@@ -41,6 +41,7 @@
         self._asked: dict[int, _Connection] = {}  # by attempt
 
     def connected(self, copy: int, passage: Passage) -> Handler:
+        """Create the handler of a new connection; reset it above the server's connection limit."""
         self.open += 1
         if self.open > self.server.connections:
             passage.reset()
@@ -104,11 +105,13 @@
         elif how != "lost":
             connection.answer(FULL if how == "full" else BROKEN)
 
-    def connection(self, copy: int, opened: bool) -> None:
+    def connection(self, copy: int, *, opened: bool) -> None:
+        """Log that a connection from a replica was opened or closed."""
         at = self._clock.now()
         self._writer.write(log.Connected(at=at, copy=copy, server=self.server.number, opened=opened))
 
     def now(self) -> int:
+        """Microseconds since the start of the run."""
         return self._clock.now()
 
 
@@ -121,7 +124,7 @@
         self._owner, self._passage = owner, passage
         self._reading = Requests()
         self._began = 0
-        owner.connection(copy, True)
+        owner.connection(copy, opened=True)
 
     def received(self, data: bytes) -> None:
         if self._reading.is_between:
@@ -129,7 +132,7 @@
         try:
             for head, _ in self._reading.feed(data):
                 self._asked(head)
-        except Unreadable:
+        except MalformedRequestError:
             self._passage.reset()
 
     def _asked(self, head: bytes) -> None:
@@ -145,4 +148,4 @@
 
     def ended(self) -> None:
         self._owner.open -= 1
-        self._owner.connection(self.copy, False)
+        self._owner.connection(self.copy, opened=False)
--- a/testbed/report/plots.py
+++ b/testbed/report/plots.py
@@ -84,7 +84,7 @@
         cells = [[letters.index(letter) for letter in view.ljust(width, "?")] for view in views]
         own.imshow(cells, cmap=colours, vmin=0, vmax=len(letters) - 1, interpolation="nearest")
         own.set_title(f"{at:.1f} s", fontsize=9)
-        own.grid(False)
+        own.grid(visible=False)
         own.set_xticks([])
         own.set_yticks([])
     patches = [Patch(color=colour, label=BELIEFS[letter]) for letter, colour in _BELIEF_COLOURS.items()]
@@ -108,7 +108,7 @@
 
 
 def lines(
-    named: dict[str, list[tuple[float, float]]], x_label: str, y_label: str, is_log: bool = False
+    named: dict[str, list[tuple[float, float]]], x_label: str, y_label: str, *, is_log: bool = False
 ) -> str:
     """Lines through points, one for each name."""
     width = 9.5 if len(named) > _MOST_INSIDE else 7.0
--- a/testbed/scale/worker.py
+++ b/testbed/scale/worker.py
@@ -84,15 +84,46 @@
         self.lag = Lag()
 
     async def carry_out(self, order: Order) -> Reply:
+        """Execute one order; raise ValueError for an unknown one."""
         match order.do:
             case "bind":
                 return Reply(ports={each: own.getsockname()[1] for each, own in self._sockets.items()})
+            case "introduce" | "publish" | "hang up":
+                self._configure(order)
+            case "start":
+                await self._start(order.members)
+            case "kill" | "leave" | "settle" | "cut" | "loss":
+                self._change_ground(order)
+            case "watch deaths" | "watch lists" | "watch versions":
+                self._start_watch(order)
+            case "watched":
+                if self._watch is not None:
+                    return Reply(waits=len(self._watch.waits), took_s=self._watch.took_s)
+            case "look":
+                return self._look()
+            case "count":
+                return self._count()
+            case _:
+                raise ValueError(f"no such order: {order.do}")
+        return Reply()
+
+    def _configure(self, order: Order) -> None:
+        match order.do:
             case "introduce":
                 for number, each in self._share.configurations.items():
                     each |= {"peers": order.peers, "peer_listen": order.peers[number]}
                     self._write(number)
-            case "start":
-                await self._start(order.members)
+            case "publish":
+                for number, each in self._share.configurations.items():
+                    each["version"] = int(order.amount)
+                    self._write(number)
+            case "hang up":
+                for number in order.members:
+                    if number in self._alive:
+                        self._reloaders[number].reload()
+
+    def _change_ground(self, order: Order) -> None:
+        match order.do:
             case "kill":
                 self._end(order.members, lambda each: each.close())
             case "leave":
@@ -104,6 +135,9 @@
                 self._ground.border = order.members[0] if order.members else None
             case "loss":
                 self._ground.loss = order.amount
+
+    def _start_watch(self, order: Order) -> None:
+        match order.do:
             case "watch deaths":
                 killed, observers = set(order.members), self._alive.keys() - set(order.members)
                 self._watch = Watch(order.amount, {each: set(killed) for each in observers})
@@ -114,24 +148,6 @@
             case "watch versions":
                 self._watch = Watch(order.amount, {each: set(order.members) for each in self._alive})
                 self._watched = "versions"
-            case "publish":
-                for number, each in self._share.configurations.items():
-                    each["version"] = int(order.amount)
-                    self._write(number)
-            case "hang up":
-                for number in order.members:
-                    if number in self._alive:
-                        self._reloaders[number].reload()
-            case "watched":
-                if self._watch is not None:
-                    return Reply(waits=len(self._watch.waits), took_s=self._watch.took_s)
-            case "look":
-                return self._look()
-            case "count":
-                return self._count()
-            case _:
-                raise ValueError(f"no such order: {order.do}")
-        return Reply()
 
     async def _start(self, members: list[int]) -> None:
         """New lives; the loop turns between two of them, so that others are heard."""
@@ -201,6 +217,7 @@
         )
 
     def close(self) -> None:
+        """Close all simulated members and their sockets."""
         for each in self._alive.values():
             each.close()
         for own in self._sockets.values():
@@ -209,7 +226,7 @@
 
 def _bound() -> socket.socket:
     own = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    own.setblocking(False)
+    own.setblocking(False)  # noqa: FBT003 - its only form
     own.bind(("127.0.0.1", 0))
     return own
 
@@ -225,6 +242,7 @@
 
 
 async def main() -> None:
+    """Execute the orders read from standard input, one a line, and print the replies."""
     told = await lines_of_input()
     worker = Worker(msgspec.json.decode(await told.readline(), type=Share))
     lagging = asyncio.create_task(worker.lag.watch())
--- a/testbed/simulation/discovery.py
+++ b/testbed/simulation/discovery.py
@@ -4,6 +4,7 @@
 
 import random
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from balancer.events import EndpointEntry, EndpointListKind, EndpointListReceived, EndpointState
 from testbed import events as log
@@ -17,7 +18,17 @@
 _ANSWER_WITHIN_US = 5_000_000  # and how long it waits for an answer that is owed at once
 _STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
 
-Answer = Callable[[int, "list[Change] | None", bool], None]  # version, entries (None: it failed), whole
+
+@dataclass(frozen=True, slots=True)
+class ListAnswer:
+    """An answer to a call, with the complete endpoint list or with changes since an earlier version."""
+
+    version: int
+    entries: list[Change]
+    is_complete: bool
+
+
+Answer = Callable[["ListAnswer | None"], None]  # None: the call failed
 
 
 class ModelDiscovery:
@@ -30,22 +41,22 @@
         self.catalog = Catalog(day)
         self._day, self._queue, self._sink, self._rng = day, queue, sink, rng
         self._epoch_us = epoch_us
-        self._there = [links.between(each.party, DISCOVERY) for each in day.copies]
-        self._back = [links.between(DISCOVERY, each.party) for each in day.copies]
-        self._down = [each for each in day.troubles if each.kind == "discovery_down"]
+        self._there = [links.between(copy.party, DISCOVERY) for copy in day.copies]
+        self._back = [links.between(DISCOVERY, copy.party) for copy in day.copies]
+        self._down = [fault for fault in day.troubles if fault.kind == "discovery_down"]
         self._free_at = 0
         self._watches: dict[int, tuple[int, int, Answer]] = {}  # by call: copy, version, whom to tell
         self._calls = 0
         for change in self.catalog.changes:
             queue.at(change.at, self._tell_watches)
-        for each in self._down:
-            queue.at(each.at_us, self._end_watches)
+        for outage in self._down:
+            queue.at(outage.at_us, self._end_watches)
 
     def call(self, copy: int, after: int | None, wait_us: int, answer: Answer) -> None:
         """A copy calls; it is answered once, unless a cut holds the answer for good."""
         now = self._queue.now
         if self._there[copy].is_cut(now) or self._back[copy].is_cut(now):
-            self._queue.after(1_000_000, answer, 0, None, False)  # the connection never comes up
+            self._queue.after(1_000_000, answer, None)  # the connection never comes up
             return
         self._calls += 1
         self._queue.at(
@@ -85,36 +96,33 @@
             self._fail(copy, answer)
 
     def _is_down(self, now: int) -> bool:
-        return any(each.at_us <= now < each.until_us for each in self._down)
+        return any(outage.at_us <= now < outage.until_us for outage in self._down)
 
     def _tell(self, copy: int, after: int | None, answer: Answer) -> None:
         version = self.catalog.version(self._queue.now)
         whole = after is None or after > version
         entries = self.catalog.whole(version) if whole else self.catalog.since(after or 1, version)
         self._sink(log.Called(at=self._queue.now, copy=copy, well=True))
-        self._pass_on(copy, answer, version, entries, whole)
+        self._pass_on(copy, answer, ListAnswer(version, entries, is_complete=whole))
 
     def _fail(self, copy: int, answer: Answer) -> None:
         self._sink(log.Called(at=self._queue.now, copy=copy, well=False))
-        self._pass_on(copy, answer, 0, None, False)
+        self._pass_on(copy, answer, None)
 
-    def _pass_on(
-        self, copy: int, answer: Answer, version: int, entries: list[Change] | None, whole: bool
-    ) -> None:
+    def _pass_on(self, copy: int, answer: Answer, answered: ListAnswer | None) -> None:
         at = self._back[copy].arrival(self._queue.now)
         if at < NEVER:
-            self._queue.at(
-                min(at, self._queue.now + _ANSWER_WITHIN_US + WATCH_US), answer, version, entries, whole
-            )
+            self._queue.at(min(at, self._queue.now + _ANSWER_WITHIN_US + WATCH_US), answer, answered)
 
-    def told(self, copy: int, version: int, entries: list[Change], whole: bool) -> None:
-        """Word reached a copy that runs."""
-        lines = [(each.server, each.state, each.started) for each in entries]
-        self._sink(log.Told(at=self._queue.now, copy=copy, version=version, full=whole, lines=lines))
+    def told(self, copy: int, answer: ListAnswer) -> None:
+        """Log that an answer reached a copy that runs."""
+        lines = [(entry.server, entry.state, entry.started) for entry in answer.entries]
+        at, version, full = self._queue.now, answer.version, answer.is_complete
+        self._sink(log.Told(at=at, copy=copy, version=version, full=full, lines=lines))
 
     def event(self, version: int, entries: list[Change], kind: EndpointListKind) -> EndpointListReceived:
         """Entries as the module hears them."""
-        return EndpointListReceived(kind, [self._listed(each) for each in entries], version)
+        return EndpointListReceived(kind, [self._listed(entry) for entry in entries], version)
 
     def _listed(self, change: Change) -> EndpointEntry:
         server = self._day.servers[change.server]
--- a/testbed/simulation/play.py
+++ b/testbed/simulation/play.py
@@ -55,16 +55,20 @@
         return self._model.links.between(self._party, self.servers[server].party)
 
     def next_attempt(self) -> int:
+        """The next attempt number, unique in the run."""
         return next(self._model.attempts)
 
-    def connected(self, server: int, opened: bool) -> None:
+    def connected(self, server: int, *, opened: bool) -> None:
+        """Log that a connection to a server was opened or closed."""
         at = self.queue.now
         self._model.sink(log.Connected(at=at, copy=self.number, server=server, opened=opened))
 
     def tell(self, receiver: int | None, payload: bytes) -> None:
+        """Send a datagram to one replica, or to all."""
         self._model.tell(self.number, receiver, payload)
 
     def hear(self, sender: int, payload: bytes) -> None:
+        """Receive a datagram, while the process runs."""
         if self._process is not None and not self._process.is_over:
             self._process.hear(sender, payload)
 
@@ -75,6 +79,7 @@
         self._model.sink(log.Copy(at=at, copy=self.number, life=life, what=what, code=code))
 
     def start(self) -> None:
+        """Start the next process; a restart takes `START_US`."""
         self._lives += 1
         self._say("started", self._lives)
         self.queue.after(START_US if self._lives > 1 else 0, self._ready, self._lives)
@@ -168,6 +173,7 @@
         self._end_when_done(old, life, self.queue.now + killed_after_us(self.day))
 
     def pause(self) -> None:
+        """Pause the process; pauses nest."""
         if self._process is not None and not self._process.is_over:
             self._pauses += 1
             if self._pauses == 1:
@@ -175,6 +181,7 @@
             self._process.pause()
 
     def resume(self) -> None:
+        """End one pause; the process continues when none is left."""
         if self._pauses:
             self._pauses -= 1
             if not self._pauses and self._process is not None:
@@ -191,14 +198,14 @@
         self.links = Links(day)
         self.attempts = itertools.count()
         self.servers = [
-            ModelServer(day, each, self.queue, self.links, sink, seeded(day.seed, each.party))
-            for each in day.servers
+            ModelServer(day, server, self.queue, self.links, sink, seeded(day.seed, server.party))
+            for server in day.servers
         ]
         self.discovery = ModelDiscovery(
             day, self.queue, self.links, sink, seeded(day.seed, "discovery"), EPOCH_US
         )
         self._chances = seeded(day.seed, "datagrams")
-        self._copies = [Copy(self, each.number) for each in day.copies]
+        self._copies = [Copy(self, copy.number) for copy in day.copies]
 
     def play(self) -> None:
         """The day, until every answer that comes has come."""
@@ -211,7 +218,7 @@
         self._figures()
         coming = iter(arrivals(self.day))
         self._next(coming)
-        longest = max(each.deadline_us for each in self.day.classes)
+        longest = max(kind.deadline_us for kind in self.day.classes)
         self.queue.run(self.day.length_us + longest + 2 * _GRACE_US)
         self.sink(log.Finished(at=self.queue.now))
 
@@ -236,19 +243,21 @@
         self._next(coming)
 
     def _plan(self, trouble: Trouble) -> None:
-        def tell(begins: bool) -> None:
-            self.sink(log.Trouble(at=self.queue.now, number=trouble.number, begins=begins))
+        def log_begin() -> None:
+            self.sink(log.Trouble(at=self.queue.now, number=trouble.number, begins=True))
 
-        self.queue.at(trouble.at_us, tell, True)
-        has_end = trouble.until_us > trouble.at_us
-        if has_end:
-            self.queue.at(trouble.until_us, tell, False)
+        def log_end() -> None:
+            self.sink(log.Trouble(at=self.queue.now, number=trouble.number, begins=False))
+
+        self.queue.at(trouble.at_us, log_begin)
+        if trouble.until_us > trouble.at_us:
+            self.queue.at(trouble.until_us, log_end)
         for party in trouble.who:
             if not party.startswith("copy:"):
                 continue
             copy = self._copies[int(party[5:])]
             if trouble.kind in ("kill", "damaged", "clock"):
-                self.queue.at(trouble.at_us, self._kill, copy, trouble, has_end)
+                self.queue.at(trouble.at_us, self._kill, copy, trouble)
             elif trouble.kind == "term":
                 self.queue.at(trouble.at_us, copy.stop)
             elif trouble.kind == "upgrade":
@@ -257,7 +266,8 @@
                 self.queue.at(trouble.at_us, copy.pause)
                 self.queue.at(trouble.until_us, copy.resume)
 
-    def _kill(self, copy: Copy, trouble: Trouble, has_end: bool) -> None:
+    def _kill(self, copy: Copy, trouble: Trouble) -> None:
+        has_end = trouble.until_us > trouble.at_us
         if copy.kill() and (has_end or trouble.kind != "kill"):
             self.queue.at(trouble.until_us, copy.start)
 
@@ -270,16 +280,16 @@
             link = self.links.between(f"copy:{sender}", f"copy:{target}")
             arrivals_at = link.arrivals(self.queue.now, chances)
             if not arrivals_at:
-                self._datagram(sender, target, payload, False)
+                self._datagram(sender, target, payload, passed=False)
             for at in arrivals_at:
                 if at < NEVER:
                     self.queue.at(at, self._deliver, sender, target, payload)
 
     def _deliver(self, sender: int, target: int, payload: bytes) -> None:
-        self._datagram(sender, target, payload, True)
+        self._datagram(sender, target, payload, passed=True)
         self._copies[target].hear(sender, payload)
 
-    def _datagram(self, sender: int, target: int, payload: bytes, passed: bool) -> None:
+    def _datagram(self, sender: int, target: int, payload: bytes, *, passed: bool) -> None:
         at, size = self.queue.now, len(payload)
         self.sink(log.Datagram(at=at, sender=sender, receiver=target, size=size, passed=passed))
 
--- a/testbed/simulation/policies.py
+++ b/testbed/simulation/policies.py
@@ -30,14 +30,18 @@
 class Policy(Protocol):
     """Events in, actions out, no I/O."""
 
-    def handle(self, now: int, event: Event) -> list[Action]: ...
+    def handle(self, now: int, event: Event) -> list[Action]:
+        """Handle an event at a time in microseconds; return the actions to execute."""
+        ...
 
 
 @runtime_checkable
 class CountsEndpoints(Protocol):
     """A policy that says how many endpoints it knows, and how many of them it avoids."""
 
-    def endpoint_counts(self) -> EndpointCounts: ...
+    def endpoint_counts(self) -> EndpointCounts:
+        """The number of endpoints by state."""
+        ...
 
 
 class _Open:
@@ -61,7 +65,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
-        self._classes = {each.name: each for each in settings.classes}
+        self._classes = {kind.name: kind for kind in settings.classes}
         self.random = random.Random(seed)
         self.ready: list[str] = []
         self.in_flight: dict[str, int] = {}
@@ -74,11 +78,12 @@
         raise NotImplementedError
 
     def handle(self, now: int, event: Event) -> list[Action]:
+        """Handle an event at a time in microseconds; return the actions to execute."""
         actions: list[Action] = []
         if not self._began:
             self._began = True
             if self._settings.discovery is DiscoveryMode.ON_REQUEST:
-                actions.append(WatchEndpoints(True))
+                actions.append(WatchEndpoints(is_enabled=True))
         match event:
             case EndpointListReceived():
                 actions += self._heard(event)
@@ -102,13 +107,13 @@
             return [SetTimer(_ASK_AGAIN_US, "ask")]
         if event.kind is not EndpointListKind.CHANGES:
             self._listed = {}
-        self._listed.update({each.server: each.state for each in event.entries})
+        self._listed.update({entry.server: entry.state for entry in event.entries})
         self.ready = sorted(name for name, state in self._listed.items() if state is EndpointState.READY)
         return []
 
     def _fired(self, token: str) -> list[Action]:
         if token == "ask":
-            return [WatchEndpoints(True)]
+            return [WatchEndpoints(is_enabled=True)]
         number = int(token.split(" ")[1])
         if self._open.pop(number, None) is None:
             return []
@@ -146,7 +151,8 @@
 class Random(Baseline):
     """One server by chance; a full answer is final."""
 
-    def pick(self, tried: set[str]) -> str:
+    def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
+        """A random ready endpoint."""
         return self.random.choice(self.ready)
 
 
@@ -155,7 +161,8 @@
 
     _place = -1
 
-    def pick(self, tried: set[str]) -> str:
+    def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
+        """The next ready endpoint, starting at a random one."""
         if self._place < 0:
             self._place = self.random.randrange(len(self.ready))
         self._place += 1
@@ -167,9 +174,10 @@
 
     drawn = 2
 
-    def pick(self, tried: set[str]) -> str:
+    def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
+        """The endpoint with the fewest requests in flight, of a few drawn at random."""
         drawn = self.random.sample(self.ready, min(self.drawn, len(self.ready)))
-        return min(drawn, key=lambda each: self.in_flight.get(each, 0))
+        return min(drawn, key=lambda endpoint: self.in_flight.get(endpoint, 0))
 
 
 class BestOfFour(BestOf):
@@ -189,7 +197,8 @@
 
     look: Callable[[str], int]  # how much a server holds; whoever plays it sets this
 
-    def pick(self, tried: set[str]) -> str:
+    def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
+        """The endpoint with the least true load, of a few drawn at random."""
         drawn = self.random.sample(self.ready, min(self.drawn, len(self.ready)))
         return min(drawn, key=self.look)
 
@@ -197,8 +206,9 @@
 class LeastInFlight(Baseline):
     """The one with the fewest of this copy's own in flight, of all."""
 
-    def pick(self, tried: set[str]) -> str:
-        return min(self.ready, key=lambda each: (self.in_flight.get(each, 0), self.random.random()))
+    def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
+        """The endpoint with the fewest requests in flight; ties are broken at random."""
+        return min(self.ready, key=lambda endpoint: (self.in_flight.get(endpoint, 0), self.random.random()))
 
 
 POLICIES: dict[str, Callable[[Settings, int], Policy]] = {
