--- a/sidecar/cluster/membership.py
+++ b/sidecar/cluster/membership.py
@@ -108,7 +108,7 @@
         self._failure_detector.ping_if_due(now)
         return self._finish_event(now)
 
-    def requests_taken(self, now: int, requests: int) -> None:
+    def requests_received(self, now: int, requests: int) -> None:
         """The sidecar took this many requests since the last call; they allow further datagrams."""
         if requests:
             self._limiter.add_requests(now, requests)
--- a/sidecar/cluster_membership.py
+++ b/sidecar/cluster_membership.py
@@ -85,7 +85,7 @@
         """A datagram came from the address of the member `sender`."""
         self._deliver(lambda membership, now: membership.datagram_received(now, sender, payload))
 
-    def request_taken(self) -> None:
+    def request_received(self) -> None:
         """The sidecar took a request; membership hears of it at its next event."""
         self._requests += 1
 
@@ -140,7 +140,7 @@
         requests, self._requests = self._requests, 0
 
         def event_with_requests(membership: Membership, now: int) -> Sequence[MembershipAction]:
-            membership.requests_taken(now, requests)
+            membership.requests_received(now, requests)
             return event(membership, now)
 
         super()._deliver(event_with_requests)
--- a/sidecar/cluster_service.py
+++ b/sidecar/cluster_service.py
@@ -42,15 +42,15 @@
         self._last_size: ClusterSizeChanged | None = None  # as dispatched last
         self._is_shut_down = False
         self.peers = self.create_peers(configuration)
-        self.members: ClusterMembership | None = None  # None: never switched on
-        self.versions: ConfigurationRollout | None = None  # likewise
+        self.membership: ClusterMembership | None = None  # None: never switched on
+        self.rollout: ConfigurationRollout | None = None  # likewise
 
     def create_peers(self, configuration: Configuration) -> Peers:
         """Return the datagram endpoint; a subclass may return another one."""
         addresses, broadcast = configuration.peer_addresses, configuration.broadcast_address
         return Peers(addresses, broadcast, self._number, self.message_received)
 
-    def create_members(self) -> ClusterMembership:
+    def create_membership(self) -> ClusterMembership:
         """Return the membership of this process; a subclass may return another one."""
         from sidecar.cluster_membership import ClusterMembership
 
@@ -70,30 +70,30 @@
             self._log(PeerListenFailed(str(error)))
         else:
             self._configure_membership(self._configuration.membership)
-            self._configure_versions(self._configuration, is_complete=True)
+            self._configure_rollout(self._configuration, is_fully_applied=True)
 
     def check_version(self, configuration: Configuration) -> None:
         """Raise ConfigurationError if the version of a configuration is older than that in force."""
-        refusal = None if self.versions is None else self.versions.rejection(configuration)
+        refusal = None if self.rollout is None else self.rollout.rejection(configuration)
         if refusal is not None:
             raise ConfigurationError(refusal)
 
-    def reconfigure(self, configuration: Configuration, *, is_complete: bool) -> None:
-        """Apply a new configuration; not `is_complete`: some of it takes effect at a restart only."""
+    def reconfigure(self, configuration: Configuration, *, is_fully_applied: bool) -> None:
+        """Apply a configuration; unless `is_fully_applied`, a part of it takes effect only at a restart."""
         self.peers.set_addresses(configuration.peer_addresses, configuration.broadcast_address)
         if self.peers.is_listening and not self._is_shut_down:
             self._configure_membership(configuration.membership)
-            self._configure_versions(configuration, is_complete=is_complete)
+            self._configure_rollout(configuration, is_fully_applied=is_fully_applied)
 
     @property
     def version(self) -> int | None:
         """The version of the configuration that is in force; None where versions are not compared."""
-        return None if self.versions is None else self.versions.version
+        return None if self.rollout is None else self.rollout.version
 
     def metrics(self) -> dict[str, object]:
         """Return the metrics of what is switched on, by name."""
-        membership = None if self.members is None else self.members.metrics()
-        versions = None if self.versions is None else self.versions.metrics()
+        membership = None if self.membership is None else self.membership.metrics()
+        versions = None if self.rollout is None else self.rollout.metrics()
         metrics: dict[str, object] = {}
         if membership is not None:
             metrics["membership"] = membership
@@ -103,15 +103,15 @@
 
     def request_received(self) -> None:
         """Count a client's request: membership uses the rate as a measure of local load."""
-        if self.members is not None:
-            self.members.request_taken()
+        if self.membership is not None:
+            self.membership.request_received()
 
     def message_received(self, sender: int, payload: bytes) -> None:
         """Hand a datagram to membership or versions while they are on, else to the balancer."""
-        if self.members is None or self.members.membership is None:
+        if self.membership is None or self.membership.membership is None:
             self._dispatch(PeerMessageReceived(sender, payload))
-        elif self.versions is None or not self.versions.datagram_received(sender, payload):
-            self.members.datagram_received(sender, payload)
+        elif self.rollout is None or not self.rollout.datagram_received(sender, payload):
+            self.membership.datagram_received(sender, payload)
 
     def size_changed(self, size: ClusterSize) -> None:
         """Dispatch the size of the cluster if it differs from the last one."""
@@ -123,38 +123,38 @@
     def shut_down(self, *, has_successor: bool) -> None:
         """Leave the cluster, unless a successor stays in it: then all datagrams are the successor's."""
         self._is_shut_down = True
-        if self.versions is not None:
-            self.versions.close()
-        if self.members is not None:
-            self.members.leave(has_successor=has_successor)
+        if self.rollout is not None:
+            self.rollout.close()
+        if self.membership is not None:
+            self.membership.leave(has_successor=has_successor)
         if has_successor:
             self.peers.close()
 
     def close(self) -> None:
         """Release the socket and all timers."""
-        if self.versions is not None:
-            self.versions.close()
-        if self.members is not None:
-            self.members.close()
+        if self.rollout is not None:
+            self.rollout.close()
+        if self.membership is not None:
+            self.membership.close()
         self.peers.close()
 
     def _configure_membership(self, settings: MembershipSettings) -> None:
-        if self.members is None:
+        if self.membership is None:
             if not settings.on:
                 return
-            self.members = self.create_members()
-        self.members.configure(settings)
+            self.membership = self.create_membership()
+        self.membership.configure(settings)
 
-    def _configure_versions(self, configuration: Configuration, *, is_complete: bool) -> None:
-        membership = None if self.members is None else self.members.membership
-        if self.versions is None:
+    def _configure_rollout(self, configuration: Configuration, *, is_fully_applied: bool) -> None:
+        membership = None if self.membership is None else self.membership.membership
+        if self.rollout is None:
             is_off = configuration.version is None or not configuration.rollout.on
             if is_off or membership is None:
                 return
-            self.versions = self._create_versions()
-        self.versions.configure(membership, configuration, is_complete=is_complete)
+            self.rollout = self._create_rollout()
+        self.rollout.configure(membership, configuration, is_fully_applied=is_fully_applied)
 
-    def _create_versions(self) -> ConfigurationRollout:
+    def _create_rollout(self) -> ConfigurationRollout:
         from sidecar.configuration_rollout import ConfigurationRollout
 
         own = self._configuration
--- a/sidecar/configuration_rollout.py
+++ b/sidecar/configuration_rollout.py
@@ -80,15 +80,15 @@
         return f"version: {config.version} is older than {self.protocol.version}, which is in force"
 
     def configure(
-        self, membership: Membership | None, config: Configuration, *, is_complete: bool = True
+        self, membership: Membership | None, config: Configuration, *, is_fully_applied: bool = True
     ) -> None:
-        """This configuration is in force from now on; not `is_complete`: some of it after a restart only."""
+        """Apply a configuration; unless `is_fully_applied`, a part of it takes effect only at a restart."""
         if membership is None or config.version is None or not config.rollout.on:
             self.close()
         elif self.protocol is None or self._table is not membership.table:
-            self._start(membership, config, config.version, is_complete=is_complete)
+            self._start(membership, config, config.version, is_fully_applied=is_fully_applied)
         else:
-            self._reconfigure(self.protocol, config, config.version, is_complete=is_complete)
+            self._reconfigure(self.protocol, config, config.version, is_fully_applied=is_fully_applied)
 
     def datagram_received(self, sender: int, payload: bytes) -> bool:
         """Take a datagram from a member; return False if it is not about versions, or this is off."""
@@ -133,10 +133,10 @@
         }
 
     def _start(
-        self, membership: Membership, config: Configuration, version: int, *, is_complete: bool
+        self, membership: Membership, config: Configuration, version: int, *, is_fully_applied: bool
     ) -> None:
         digest = config.digest
-        if not is_complete:
+        if not is_fully_applied:
             if self.protocol is None:
                 return  # which version is in force here is known after the restart
             version, digest = self.protocol.version, self.protocol.digest
@@ -149,11 +149,11 @@
         self._carry_out(self.protocol.start(now))
 
     def _reconfigure(
-        self, rollout: Rollout, config: Configuration, version: int, *, is_complete: bool
+        self, rollout: Rollout, config: Configuration, version: int, *, is_fully_applied: bool
     ) -> None:
         now = self._clock.now()
         actions = rollout.configure(now, config.rollout)
-        if is_complete:
+        if is_fully_applied:
             actions += rollout.configuration_applied(now, version, config.digest)
         else:
             actions += rollout.configuration_pending(now, version)
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -92,7 +92,7 @@
         self._cluster.check_version(configuration)
         unchanged_keys = self._configuration.fixed_keys_that_differ(configuration)
         self._discovery.change_address(configuration.discovery_address)
-        self._cluster.reconfigure(configuration, is_complete=not unchanged_keys)
+        self._cluster.reconfigure(configuration, is_fully_applied=not unchanged_keys)
         return unchanged_keys
 
     @property
--- a/testbed/cluster_simulation/trial.py
+++ b/testbed/cluster_simulation/trial.py
@@ -87,7 +87,7 @@
 
     def _worked(self, number: int) -> None:
         for own in self.cluster.processes.get(number, []):
-            own.membership.requests_taken(self.cluster.queue.now, REQUESTS_PER_S)
+            own.membership.requests_received(self.cluster.queue.now, REQUESTS_PER_S)
         self.cluster.queue.after(S, self._worked, number)
 
     # What is waited for
--- a/testbed/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -161,7 +161,7 @@
         peers = configuration.peer_addresses
         return GroundPeers(self._ground, self._counts, self._own, peers, self._number, self.message_received)
 
-    def create_members(self) -> ClusterMembership:
+    def create_membership(self) -> ClusterMembership:
         """A membership that reports each death it learns of."""
         own, number = self._configuration, self._number
         members = GroundMembers(
@@ -195,7 +195,7 @@
     @property
     def members(self) -> ClusterMembership | None:
         """The cluster membership; None while it is off."""
-        return self._cluster.members
+        return self._cluster.membership
 
     def _endpoint_list_received(self, endpoint_list: EndpointList) -> None:
         self._ground.on_told(self.number)
--- a/tests/cluster_vocabulary.py
+++ b/tests/cluster_vocabulary.py
@@ -59,7 +59,7 @@
             case ["tick", "versions"]:
                 return self._rendered([], rollout.tick(now))
             case ["worked", requests]:
-                membership.requests_taken(now, requests)
+                membership.requests_received(now, requests)
                 return []
             case ["in force", version, digest]:
                 return self._rendered([], rollout.configuration_applied(now, version, digest))
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -63,12 +63,12 @@
         }
         sidecar = Sidecar(parse(given), print)
         await sidecar.start()
-        assert sidecar._cluster.members is None
+        assert sidecar._cluster.membership is None
         other = {**given["settings"], "tier": 4, "me": 0}
         kept = sidecar.reconfigure(parse({**given, "membership": {"on": True}, "settings": other}))
         assert kept == ["settings", "tier"]
-        assert sidecar._cluster.members is not None
-        assert (sidecar._cluster.members._cluster, sidecar._cluster.members._number) == ("3", 1)
+        assert sidecar._cluster.membership is not None
+        assert (sidecar._cluster.membership._cluster, sidecar._cluster.membership._number) == ("3", 1)
         sidecar.close()
 
     play(work)
--- a/tests/test_configuration_rollout.py
+++ b/tests/test_configuration_rollout.py
@@ -184,16 +184,16 @@
         ear, _ = await asyncio.get_running_loop().create_datagram_endpoint(Ear, local_addr=other)
         sidecar = Sidecar(parse(given(own, other, **more)), print)
         await sidecar.start()
-        assert sidecar._cluster.versions is None and sidecar.version is None
+        assert sidecar._cluster.rollout is None and sidecar.version is None
         assert "configuration" not in sidecar.administration.metrics()
         lower = parse(given(own, other, **{**more, "version": 1} if "version" in more else more))
         assert sidecar.reconfigure(lower) == []  # taken over as ever
-        if sidecar._cluster.members is not None:
+        if sidecar._cluster.membership is not None:
             await until(lambda: len(heard) >= 2)
             exchange = encode(cluster_id("0"), 1, ExchangeKind.PUSH_PULL, AggregationRound(9, 1, 1, 0), 0, 0)
             sidecar._cluster.message_received(1, exchange)
-            assert sidecar._cluster.members.membership is not None
-            assert sidecar._cluster.members.membership.dropped[DropReason.OTHER_FORMAT_VERSION] == 1
+            assert sidecar._cluster.membership.membership is not None
+            assert sidecar._cluster.membership.membership.dropped[DropReason.OTHER_FORMAT_VERSION] == 1
         assert all(each[1] == 1 for each in heard)  # membership's, as the version before sends them
         sidecar.close()
         ear.close()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -332,5 +332,5 @@
     cluster = settled(20)
     member = cluster.of(0)
     period_at_rest_us = member._context.period_us(cluster.queue.now)
-    member.requests_taken(cluster.queue.now, 200)
+    member.requests_received(cluster.queue.now, 200)
     assert member._context.period_us(cluster.queue.now) < period_at_rest_us
