--- a/sidecar/cluster/__init__.py
+++ b/sidecar/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The cluster of sidecars, without I/O: who is present, and which configuration is in force where."""
+"""Protocols between the sidecars of a cluster, without I/O: membership and rollout of versions."""
--- a/sidecar/cluster/actions.py
+++ b/sidecar/cluster/actions.py
@@ -1,4 +1,4 @@
-"""Actions that membership returns: datagrams to send, changes to report, and when to call it again."""
+"""Actions that `Membership` returns: datagrams to send, changes to report, and the time of the next tick."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduleTick:
-    """Call `tick` at this time, in microseconds; replaces the time scheduled before."""
+    """Call `tick` at this time, in microseconds, instead of the time scheduled before."""
 
     at: int
 
 
 @dataclass(frozen=True, slots=True)
 class MemberStateChanged:
-    """What is believed of a member has changed, as reported by `reported_by`."""
+    """Report that the state or incarnation of a member changed, on an update by member `reported_by`."""
 
     member: int
     state: MemberState
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DuplicateMember:
-    """Another process runs under this member's number; both go on."""
+    """Report that another process uses this member's number; both keep running."""
 
     member: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessStalled:
-    """This process stood still, and trusts its own observations less for a while."""
+    """Report that this process did not run for a while, and so lowers its local health."""
 
     duration_us: int
 
--- a/sidecar/cluster/aggregation.py
+++ b/sidecar/cluster/aggregation.py
@@ -1,7 +1,7 @@
-"""Aggregation rounds: which members say, within one round, that they have a version in force.
+"""Aggregation rounds: the members that reported, within one round, whether they have a version in force.
 
-Rounds form a join semilattice: of two, the greater (version, number) is kept; equal ones are united.  So any
-order and any number of deliveries give the same round.
+Rounds form a join semilattice: of two rounds, the one with the greater (version, number) is kept; rounds with
+the same key are united.  So the result does not depend on the order or the number of deliveries.
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 
 from sidecar.cluster.member_set import encode_chunk, member_bit
 
-NO_DIGESTS = 0xFFFF_FFFF, 0  # least and greatest digest of an empty round
+NO_DIGESTS = 0xFFFF_FFFF, 0  # minimum and maximum digest of a round without reports
 
 
 @dataclass(frozen=True, slots=True)
 class AggregationRound:
-    """What members say about one version within one round; see `member_set` for the sets of members."""
+    """The members' reports about one version in one round; sets of members are bit sets (`member_set`)."""
 
     version: int
     number: int
-    first_reported_by: int  # who had this version first; the least member where reports differ
+    first_reported_by: int  # the member that reported this version first; the lowest one where reports differ
     started_at: int  # microseconds, by the local clock
-    min_digest: int = NO_DIGESTS[0]  # of the contents that members have under this version
-    max_digest: int = NO_DIGESTS[1]
-    in_force: int = 0  # members that say that they have the version in force
-    reported_behind: int = 0  # members that said that they have not; `in_force` takes precedence
+    min_digest: int = NO_DIGESTS[0]  # lowest digest of the contents in force under this version
+    max_digest: int = NO_DIGESTS[1]  # highest digest
+    in_force: int = 0  # members that reported the version in force
+    reported_behind: int = 0  # members that reported an earlier version in force; `in_force` takes precedence
 
     @property
     def key(self) -> tuple[int, int]:
@@ -33,7 +33,7 @@
 
     @property
     def behind(self) -> int:
-        """Bit set of the members that reported an earlier version and none in force since."""
+        """The members that reported an earlier version and have not reported this one in force since."""
         return self.reported_behind & ~self.in_force
 
     @property
@@ -42,7 +42,7 @@
         return self.min_digest < self.max_digest
 
     def merged_with(self, other: AggregationRound) -> AggregationRound:
-        """The join of both."""
+        """Return the join of both rounds."""
         if self.key != other.key:
             return self if self.key > other.key else other
         return AggregationRound(
@@ -57,7 +57,7 @@
         )
 
     def with_in_force(self, member: int, digest: int) -> AggregationRound:
-        """With a member's own word that it has this version in force, with contents of this digest."""
+        """Return the round with a member's report that it has this version in force, with this digest."""
         return replace(
             self,
             in_force=self.in_force | member_bit(member),
@@ -66,13 +66,13 @@
         )
 
     def with_behind(self, member: int) -> AggregationRound:
-        """With a member's own word that it has not this version in force."""
+        """Return the round with a member's report that it does not have this version in force."""
         return replace(self, reported_behind=self.reported_behind | member_bit(member))
 
-    def says_same_as(self, other: AggregationRound) -> bool:
-        """Whether both say the same, apart from when the round started."""
+    def equals_ignoring_start(self, other: AggregationRound) -> bool:
+        """Return whether both rounds are equal apart from their start time."""
         return replace(self, started_at=other.started_at) == other
 
     def chunk(self, number: int) -> tuple[bytes, bytes]:
-        """One chunk of both sets."""
+        """Return one chunk of `in_force` and of `reported_behind`, encoded."""
         return encode_chunk(self.in_force, number), encode_chunk(self.reported_behind, number)
--- a/sidecar/cluster/anti_entropy.py
+++ b/sidecar/cluster/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Comparison of two members' tables: one digest of a table, and sketches that show which entries differ."""
+"""Comparison of two members' tables by a digest of the whole table and sketches of its sections."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 
 _FINGERPRINTED = struct.Struct("<HIB")  # member, incarnation, state
 _FINGERPRINT_BYTES = 4
-_SKETCH_MASK = 0b1111  # a sketch holds half a byte of each fingerprint
+_SKETCH_MASK = 0b1111  # a sketch holds four bits of each fingerprint
 
 
 def fingerprint(update: MembershipUpdate, key: bytes = b"") -> int:
-    """The number that an update adds to the digest of a table.
+    """Return the hash of an update; the digest of a table is the XOR of its updates' fingerprints.
 
-    Suspicions and refutations are transient and count for nothing: incarnations and their ends have to agree.
+    Only the incarnation and whether and how it ended are hashed: suspicions and refutations are transient,
+    and tables need not agree on them.  The fingerprint of an unknown member is 0.
     """
     has_ended = update.has_ended
     if update.incarnation == 0 and not has_ended:
@@ -27,23 +28,24 @@
 
 
 def sketch(updates: Sequence[MembershipUpdate], salt: int) -> bytes:
-    """Half a byte for each update: equal where the same is believed.
+    """Return four bits of the fingerprint of each update, keyed with `salt`.
 
-    One in sixteen differing updates is equal by chance, but hardly so with the salt of the next ping too.
+    One in sixteen differing updates has equal bits by chance; the salt changes with each ping, so that the
+    difference shows in a later sketch.
     """
     key = salt.to_bytes(2)
-    halves = [fingerprint(update, key) & _SKETCH_MASK for update in updates]
-    if len(halves) % 2:
-        halves.append(0)
-    return bytes(high << 4 | low for high, low in zip(halves[::2], halves[1::2], strict=True))
+    nibbles = [fingerprint(update, key) & _SKETCH_MASK for update in updates]
+    if len(nibbles) % 2:
+        nibbles.append(0)
+    return bytes(high << 4 | low for high, low in zip(nibbles[::2], nibbles[1::2], strict=True))
 
 
 def differing_updates(
     updates: Sequence[MembershipUpdate], salt: int, remote_sketch: bytes
 ) -> list[MembershipUpdate]:
-    """Those of the updates that are known here and differ at the member that sent the sketch.
+    """Return the updates about known members that differ from the remote sketch.
 
-    `updates` begin with the sketch's first member; there are at most two for each byte of the sketch.
+    `updates` begin with the first member of the sketch; there are at most two for each byte of the sketch.
     """
     differences: list[int] = []
     for local, remote in zip(sketch(updates, salt), remote_sketch, strict=False):
--- a/sidecar/cluster/dissemination.py
+++ b/sidecar/cluster/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination: each update is sent a number of times that grows as the logarithm of the cluster's size."""
+"""Dissemination of updates with other messages; the number of transmissions grows with log(cluster size)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DisseminationQueue:
-    """The updates that others may not know yet; at most one for each member."""
+    """Updates to be sent to other members, at most one about each member."""
 
     def __init__(self) -> None:
         self._queued: dict[int, tuple[int, MembershipUpdate]] = {}  # by member: transmissions so far, update
@@ -20,17 +20,17 @@
         return len(self._queued)
 
     def enqueue(self, update: MembershipUpdate) -> None:
-        """Send an update, in place of what was sent of that member before."""
+        """Queue an update; it replaces a queued update about the same member."""
         self._queued.pop(update.member, None)
         self._queued[update.member] = (0, update)
 
     def discard_from(self, size: int) -> None:
-        """Discard the updates of members from this number on."""
+        """Discard the updates about members whose number is at least `size`."""
         for member in [number for number in self._queued if number >= size]:
             del self._queued[member]
 
     def pack(self, packer: UpdatePacker, size: int) -> None:
-        """Put into a message what fits, the least often sent updates first."""
+        """Add as many updates to a message as fit, the least often sent ones first."""
         if not self._queued:
             return
         limit = transmission_limit(size)
@@ -44,5 +44,5 @@
 
 
 def transmission_limit(size: int) -> int:
-    """How often one update is sent in a cluster of this size."""
+    """Return how many times one update is sent in a cluster of this size."""
     return max(math.ceil(_TRANSMISSIONS_PER_DOUBLING * math.log2(size + 1)), _MIN_TRANSMISSIONS)
--- a/sidecar/cluster/failure_detector.py
+++ b/sidecar/cluster/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: pings, ping-requests through relays, and what a missing acknowledgement means."""
+"""SWIM's failure detector: direct pings, indirect pings through relays, and suspicion when both fail."""
 
 from __future__ import annotations
 
@@ -8,13 +8,12 @@
 from sidecar.cluster.target_selection import TargetSelector
 from sidecar.cluster.update_processing import UpdateProcessor
 
-# Parts of a protocol period after which ...
-_DIRECT_TIMEOUT = 0.3  # ... relays are asked
-_PING_TIMEOUT = 0.85  # ... a ping has failed, with its relays
-_RELAY_TIMEOUT = 0.3  # ... a relay answers that the target does not
-_PERIOD_JITTER = 0.2
-_STARTUP_PINGS = 3  # to members that hear of a new incarnation first
-_MAX_SEQUENCE_SEED = 1 << 16
+_DIRECT_TIMEOUT_PERIODS = 0.3  # from a ping to the ping-requests, if the target has not acknowledged it
+_PING_TIMEOUT_PERIODS = 0.85  # from a ping to its failure, if neither target nor relays have acknowledged it
+_NACK_TIMEOUT_PERIODS = 0.3  # from a relay's ping to its nack; not extended by the relay's local health
+_PERIOD_JITTER = 0.2  # width of the range of random factors on the period: 0.9 to 1.1
+_STARTUP_PINGS = 3  # sent at once at the start; they announce the new incarnation
+_SEQUENCE_NUMBER_COUNT = 1 << 16
 
 
 class FailureDetector:
@@ -23,20 +22,20 @@
     def __init__(self, context: MemberContext, updates: UpdateProcessor, now: int) -> None:
         self._context, self._updates = context, updates
         self._number = context.local.number
-        self.pings = PendingPings(context.random.randrange(_MAX_SEQUENCE_SEED))
+        self.pings = PendingPings(context.random.randrange(_SEQUENCE_NUMBER_COUNT))
         self._targets = TargetSelector(self._number, context.table, context.random)
-        self.last_received_at = now  # when any other member was heard last
+        self.last_received_at = now  # time of the last valid datagram from any other member
         self._next_ping_at = now
         self.period_us = context.period_us(now)  # as of the last ping
 
     @property
     def deadlines(self) -> list[int]:
-        """Clock times in microseconds at which this is to be called again."""
+        """The times at which the next ping is sent and the next pending ping times out."""
         pending = self.pings.next_deadline
         return [self._next_ping_at] if pending is None else [self._next_ping_at, pending]
 
     def start(self, now: int) -> None:
-        """Ping a few members at once, which hear so of this incarnation."""
+        """Ping a few random members at once, to announce this incarnation."""
         others = [number for number in range(len(self._context.table)) if number != self._number]
         for member in self._context.random.sample(others, min(_STARTUP_PINGS, len(others))):
             if self._context.limiter.try_acquire(now):
@@ -44,25 +43,25 @@
         self._next_ping_at = now + int(self._context.period_us(now) * self._context.random.random())
 
     def table_resized(self) -> None:
-        """Discard the pings of members that are no longer in the table, and draw a new order of targets."""
+        """Discard pending pings of removed members, and draw a new order of targets."""
         self.pings.discard_from(len(self._context.table))
         self._targets.reset()
 
     def process_stalled(self) -> None:
-        """Discard all pending pings: their acknowledgements may have been missed."""
+        """Discard all pending pings: the process may have missed their acknowledgements while it stalled."""
         self.pings.discard_from(0)
 
-    # Time
+    # Ticks
 
     def send_expired_nacks(self, now: int) -> None:
-        """Tell those that requested a ping that the target does not answer."""
+        """Send a nack for each relayed ping whose target has not acknowledged it in time."""
         for relayed in self.pings.take_expired(now):
             self._send_reply(
                 now, relayed.origin, MessageKind.NACK, relayed.origin_sequence_number, relayed.target
             )
 
     def check_pending_ping(self, now: int) -> None:
-        """Go on to relays, or suspect the target, where the ping under way has waited long enough."""
+        """Send ping-requests when the direct ping times out; later, fail the ping."""
         ping = self.pings.own
         if ping is None or ping.next_deadline > now:
             return
@@ -74,7 +73,7 @@
             self._ping_failed(now, ping)
 
     def ping_if_due(self, now: int) -> None:
-        """Ping the next member, once a period; not while a ping is under way."""
+        """Ping the next member once a period, unless a ping is pending or the rate limit is reached."""
         if self._next_ping_at > now:
             return
         period_us = self.period_us = self._context.period_us(now)
@@ -86,28 +85,32 @@
         if target is None:
             return
         sequence_number = self.pings.next_sequence_number()
-        relays_due_at = now + int(_DIRECT_TIMEOUT * period_us)
-        fails_at = now + int(_PING_TIMEOUT * period_us)
+        relays_due_at = now + int(_DIRECT_TIMEOUT_PERIODS * period_us)
+        fails_at = now + int(_PING_TIMEOUT_PERIODS * period_us)
         self.pings.own = Ping(sequence_number, target, now, relays_due_at, fails_at)
         self._context.outbox.send(target, MessageKind.PING, sequence_number)
 
     # Messages
 
     def ping_received(self, now: int, message: Message) -> None:
-        """Acknowledge a ping, with the updates that the sender lacks by its sketch."""
+        """Acknowledge a ping, with the updates that differ from the sender's sketch if the digests differ.
+
+        Usually only some of them fit into a datagram; they are shuffled, so that later acknowledgements carry
+        others.
+        """
         requested: list[MembershipUpdate] = []
-        if self._context.outbox.views_differ:
+        if self._context.outbox.digests_differ:
             requested = self._context.table.updates_differing_from(
                 message.sketch_first, message.sequence_number, message.sketch
             )
-            self._context.random.shuffle(requested)  # seldom all of them fit
+            self._context.random.shuffle(requested)
         self._send_reply(now, message.sender, MessageKind.ACK, message.sequence_number, requested=requested)
 
     def ack_received(self, now: int, message: Message) -> None:
-        """An acknowledgement of a ping of one's own, directly or through a relay, or of a relayed one."""
+        """Process an acknowledgement: of the local member's ping, or of a ping relayed for another member."""
         ping = self.pings.own
         if ping is not None and ping.sequence_number == message.sequence_number:
-            self._own_ping_acknowledged(now, ping, message)
+            self._local_ping_acknowledged(now, ping, message)
             return
         relayed = self.pings.take_acknowledged(message.sequence_number, message.sender)
         if relayed is not None:
@@ -122,21 +125,21 @@
             return False
         if self._context.limiter.try_acquire(now, is_reply=True):
             period_us = self._context.period_us(now)
-            nack_due_at = now + int(_RELAY_TIMEOUT * period_us / self._context.health.multiplier)
+            nack_due_at = now + int(_NACK_TIMEOUT_PERIODS * period_us / self._context.health.multiplier)
             relayed = RelayedPing(message.sender, message.sequence_number, target, nack_due_at)
             sequence_number = self.pings.add_relayed(relayed)
             self._context.outbox.send(target, MessageKind.PING, sequence_number)
         return True
 
     def nack_received(self, message: Message) -> None:
-        """A relay is present, but the target of the ping did not answer it."""
+        """Count a relay that is reachable, but got no acknowledgement from the target of the ping."""
         ping = self.pings.own
         if ping is None or ping.sequence_number != message.sequence_number:
             return
         if message.sender in ping.relays:
             ping.nacks += 1
 
-    def _own_ping_acknowledged(self, now: int, ping: Ping, message: Message) -> None:
+    def _local_ping_acknowledged(self, now: int, ping: Ping, message: Message) -> None:
         is_direct = message.sender == ping.target and message.target == NO_TARGET
         is_relayed = message.sender in ping.relays and message.target == ping.target
         if not is_direct and not is_relayed:
@@ -151,7 +154,7 @@
 
     def _request_relays(self, now: int, ping: Ping) -> None:
         if self._context.table[ping.target].has_ended:
-            return  # it was pinged in case it is back; that is not worth others' datagrams
+            return  # a check whether an ended member is back is not worth further datagrams
         relays = [
             number
             for number in self._targets.live_members()
@@ -173,7 +176,8 @@
         health = self._context.health
         has_received_nothing = self.last_received_at < ping.sent_at and len(self._context.table) > 2
         if has_received_nothing and not health.is_worst:
-            health.degrade(2)  # it is rather the local member that is cut off
+            # The local member is more likely cut off than the target dead.
+            health.degrade(2)
             return
         missing_nacks = max(len(ping.relays) - ping.nacks, 0 if ping.relays else 1)
         if missing_nacks:
--- a/sidecar/cluster/limits.py
+++ b/sidecar/cluster/limits.py
@@ -1,4 +1,4 @@
-"""Limits of the gossip protocol that code outside of it needs too; importing them loads nothing else."""
+"""Limits of the gossip protocol that other packages use too; this module imports nothing, to save memory."""
 
 MAX_DATAGRAM_BYTES = 256
 MAX_CONFIGURATION_VERSION = (1 << 63) - 1
--- a/sidecar/cluster/local_health.py
+++ b/sidecar/cluster/local_health.py
@@ -1,4 +1,7 @@
-"""Lifeguard's local health multiplier: a member that was paused or cut off distrusts itself before others."""
+"""Lifeguard's local health multiplier.
+
+A member that was paused or cut off extends its own timeouts before it suspects other members.
+"""
 
 from __future__ import annotations
 
@@ -6,14 +9,14 @@
 
 
 class LocalHealth:
-    """A score, of which 0 is healthy, by which the local member's own time-outs are multiplied."""
+    """The health score of the local member: 0 is healthy, and each point adds one to the multiplier."""
 
     def __init__(self) -> None:
         self.score = 0
 
     @property
     def multiplier(self) -> int:
-        """The factor by which timeouts and periods are extended."""
+        """The factor on the local member's protocol period and timeouts."""
         return self.score + 1
 
     @property
@@ -22,13 +25,13 @@
         return self.score == _MAX_SCORE
 
     def ping_acknowledged(self) -> None:
-        """A ping was acknowledged in time."""
+        """Improve the score after a ping that was acknowledged in time."""
         self.score //= 2
 
     def degrade(self, amount: int = 1) -> None:
-        """A ping failed and relays did not speak either, or the local member was suspected."""
+        """Worsen the score: a ping failed without nacks from its relays, or others suspected this member."""
         self.score = min(self.score + amount, _MAX_SCORE)
 
     def process_stalled(self) -> None:
-        """The process stood still: what it missed meanwhile says nothing about others."""
+        """Set the worst score: what a stalled process missed is no evidence against other members."""
         self.score = _MAX_SCORE
--- a/sidecar/cluster/local_member.py
+++ b/sidecar/cluster/local_member.py
@@ -1,4 +1,4 @@
-"""The local member's own identity: its number, and which incarnation of it this process is."""
+"""The identity of the local member: its number and its incarnation."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 def incarnation_at(unix_s: float) -> int:
-    """The incarnation that begins at this Unix time."""
+    """Return the incarnation of a process that starts at this Unix time.
+
+    It is at most half of the greatest one, so that later incarnations remain after a start with a clock far
+    ahead.
+    """
     return max(1, min(int((unix_s - _EPOCH_S) * 10), MAX_INCARNATION // 2))
 
 
@@ -20,14 +24,14 @@
 
     number: int
     incarnation: int
-    refutations: int = 0  # of suspicions, within this incarnation
+    refutations: int = 0  # suspicions refuted in this incarnation
 
     def update(self) -> MembershipUpdate:
-        """The update by which it says that it is present."""
+        """Return the update that announces the local member as present."""
         return MembershipUpdate.create(
             self.number, self.incarnation, MemberState.PRESENT, self.refutations, self.number
         )
 
     def begin_incarnation(self, incarnation: int) -> None:
-        """Continue as this incarnation, at most the greatest one, with no refutations."""
+        """Change to this incarnation, limited to the greatest one, with no refutations."""
         self.incarnation, self.refutations = min(incarnation, MAX_INCARNATION), 0
--- a/sidecar/cluster/member_context.py
+++ b/sidecar/cluster/member_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one member share: its identity, its table, its health and what it may send."""
+"""State that the parts of `Membership` share."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from sidecar.cluster.settings import MembershipSettings
 from sidecar.cluster.suspicion import min_timeout_us
 
-_DATAGRAMS_PER_PERIOD = 2.2  # at rest: a ping, an acknowledgement, and a few on behalf of others
+_DATAGRAMS_PER_PERIOD = 2.2  # on average at rest: a ping, an acknowledgement, and a share of relayed pings
 
 
 @dataclass(slots=True)
 class MemberContext:
-    """The state of one member that more than one part of it works on."""
+    """The identity, settings, member table, health and outgoing messages of the local member."""
 
     local: LocalMember
     settings: MembershipSettings
@@ -29,10 +29,10 @@
     random: random.Random
 
     def period_us(self, now: int) -> int:
-        """The protocol period: as the rate of datagrams allows, longer where the local health is degraded."""
+        """Return the protocol period that the rate limit allows, times the local health multiplier."""
         allowed_us = int(_DATAGRAMS_PER_PERIOD / self.limiter.rate_per_s(now) * 1e6)
         return max(allowed_us, self.settings.min_period_ms * 1_000) * self.health.multiplier
 
     def min_suspicion_timeout_us(self, now: int) -> int:
-        """The shortest time in microseconds from a suspicion to the death of a member."""
+        """Return the minimum time in microseconds from a suspicion until the member is declared dead."""
         return min_timeout_us(len(self.table), self.period_us(now), self.settings.suspicion_periods)
--- a/sidecar/cluster/member_set.py
+++ b/sidecar/cluster/member_set.py
@@ -7,36 +7,36 @@
 
 
 def member_bit(member: int) -> int:
-    """The set of this member alone."""
+    """Return the set that holds only this member."""
     return 1 << member
 
 
 def first_members(members: int, limit: int) -> list[int]:
-    """The least members of a set, at most `limit` of them."""
+    """Return the members of a set with the lowest numbers, at most `limit`, in ascending order."""
     numbers: list[int] = []
     while members and len(numbers) < limit:
-        least = members & -members
-        numbers.append(least.bit_length() - 1)
-        members ^= least
+        lowest_bit = members & -members
+        numbers.append(lowest_bit.bit_length() - 1)
+        members ^= lowest_bit
     return numbers
 
 
 def chunk_of(member: int) -> int:
-    """The chunk that a member belongs to."""
+    """Return the number of the chunk that holds a member."""
     return member // CHUNK_MEMBERS
 
 
 def chunk_count(size: int) -> int:
-    """How many chunks a cluster of this size has."""
+    """Return the number of chunks for a cluster of this size."""
     return (size + CHUNK_MEMBERS - 1) // CHUNK_MEMBERS
 
 
 def encode_chunk(members: int, chunk: int) -> bytes:
-    """One chunk of a set as bytes, the first member lowest, without zero bytes at the end."""
+    """Return one chunk of a set as a little-endian bit map without trailing zero bytes."""
     bits = (members >> (CHUNK_MEMBERS * chunk)) & ((1 << CHUNK_MEMBERS) - 1)
     return bits.to_bytes((bits.bit_length() + 7) // 8, "little")
 
 
 def decode_chunk(data: bytes, chunk: int) -> int:
-    """The set of the members that a chunk holds."""
+    """Return the set of members in an encoded chunk."""
     return int.from_bytes(data, "little") << (CHUNK_MEMBERS * chunk)
--- a/sidecar/cluster/member_table.py
+++ b/sidecar/cluster/member_table.py
@@ -1,4 +1,4 @@
-"""What is believed of each member: one record for each, merged in any order to the same result."""
+"""The table of all members, with the update in force for each; the order of updates does not matter."""
 
 from __future__ import annotations
 
@@ -10,40 +10,41 @@
 
 
 class MemberRecord:
-    """One member as the local member believes it to be.  All times are microseconds."""
+    """What the local member believes about one member.  All times are microseconds."""
 
     __slots__ = ("disputed_death", "last_ack_at", "state_since", "update")
 
     def __init__(self, number: int, now: int) -> None:
         self.update = MembershipUpdate.create(number, 0, MemberState.PRESENT, 0, number)
         self.state_since = now
-        self.last_ack_at: int | None = None  # when it last acknowledged a ping of the local member directly
-        # Reported by others of a member that acknowledged recently; the member has to hear of it.
+        self.last_ack_at: int | None = None  # last direct acknowledgement of a ping of the local member
+        # A death that others report although the member acknowledged recently; it is sent to the member, so
+        # that it can refute it.
         self.disputed_death: MembershipUpdate | None = None
 
     @property
     def state(self) -> MemberState:
-        """The state according to the update in force."""
+        """The state in the update in force."""
         return self.update.state
 
     @property
     def is_unknown(self) -> bool:
-        """Whether no incarnation of it was ever heard of."""
+        """Whether no incarnation of the member is known."""
         return self.update.is_unknown
 
     @property
     def has_ended(self) -> bool:
-        """Whether this incarnation is dead or has left."""
+        """Whether the incarnation is dead or has left."""
         return self.update.has_ended
 
 
 class MemberTable:
-    """All members by number, and a digest that is equal where two tables agree."""
+    """The records of all members by number, and a digest that is equal for tables that agree."""
 
     def __init__(self, size: int, now: int) -> None:
         self.records: list[MemberRecord] = []
         self.digest = 0
-        self._size: ClusterSize | None = None  # None: to be counted
+        self._size: ClusterSize | None = None  # cached; None after a change
         self.resize(size, now)
 
     def __len__(self) -> int:
@@ -53,7 +54,7 @@
         return self.records[number]
 
     def resize(self, size: int, now: int) -> None:
-        """Hold this many members: further ones are forgotten, new ones were never heard of."""
+        """Change the number of members: records beyond it are removed, new members are unknown."""
         self._size = None
         while len(self.records) > size:
             self.digest ^= fingerprint(self.records.pop().update)
@@ -61,7 +62,7 @@
             self.records.append(MemberRecord(len(self.records), now))
 
     def apply(self, update: MembershipUpdate, now: int) -> bool:
-        """Believe an update if it precedes what is believed; return whether it did."""
+        """Apply an update if it takes precedence over the one in force; return whether it did."""
         record = self.records[update.member]
         if update.precedence <= record.update.precedence:
             return False
@@ -76,21 +77,21 @@
         return True
 
     def copy_beliefs(self, other: MemberTable) -> None:
-        """Believe what another table of the same size does."""
-        for record, known in zip(self.records, other.records, strict=True):
-            record.update = known.update
+        """Copy the update of each member from another table of the same size."""
+        for record, other_record in zip(self.records, other.records, strict=True):
+            record.update = other_record.update
         self.digest, self._size = other.digest, None
 
     def updates(self, first: int, count: int) -> list[MembershipUpdate]:
-        """What is believed of `count` members from `first` on, or of fewer at the end of the table."""
+        """Return the updates in force of `count` members from `first` on, fewer at the end of the table."""
         return [record.update for record in self.records[first : first + count]]
 
     def updates_differing_from(self, first: int, salt: int, remote_sketch: bytes) -> list[MembershipUpdate]:
-        """What is known here of the members from `first` on, and differs by another member's sketch."""
+        """Return the updates of known members from `first` on that differ from another table's sketch."""
         return differing_updates(self.updates(first, 2 * len(remote_sketch)), salt, remote_sketch)
 
     def size(self) -> ClusterSize:
-        """How many members are in which state; counted only after a change."""
+        """Return the number of members in each state; counted again only after a change."""
         if self._size is None:
             states = Counter(record.state for record in self.records)
             unknown = sum(record.is_unknown for record in self.records)
--- a/sidecar/cluster/membership.py
+++ b/sidecar/cluster/membership.py
@@ -1,9 +1,12 @@
-"""Membership as one sidecar sees it: events in, actions out, no I/O; time and random numbers are handed in.
+"""Cluster membership of one sidecar, without I/O: each event returns the actions to carry out.
+
+The caller supplies the time and the random number generator.
 
 The protocol is SWIM with Lifeguard's refinements.  Each start of a process is an incarnation of its member:
-a later one replaces an earlier one, and one that ended stays ended.  A live member that was declared dead
-begins a new incarnation.  Updates are merged by `MembershipUpdate.precedence`, so that any order and any
-number of deliveries give the same table.  docs/membership.md states the guarantees.
+a later incarnation replaces an earlier one, and an incarnation that has ended never becomes present again.
+A live member that was declared dead begins a new incarnation.  Updates are merged by
+`MembershipUpdate.precedence`, so that the table does not depend on the order in which updates arrive or on
+how often each arrives.  docs/membership.md states the guarantees.
 
 Sources: Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol" (2002); Dadgar, Phillips, Currey: "Lifeguard: SWIM-ing with Situational Awareness" (2017).
@@ -37,11 +40,12 @@
 from sidecar.cluster.settings import MembershipSettings
 from sidecar.cluster.update_processing import UpdateProcessor
 
-_STALL_US = 1_000_000  # a tick that is late by more than this and by a period was stalled
+# A tick that is late by more than this and by more than a protocol period shows that the process stalled.
+_STALL_US = 1_000_000
 
 
 class Membership:
-    """One member's part, from the start of its process to its end.  All times are microseconds."""
+    """The membership protocol of one process, from its start to its end.  All times are microseconds."""
 
     def __init__(
         self,
@@ -53,7 +57,11 @@
         now: int,
         unix_s: float,
     ) -> None:
-        """`size` members are configured, `number` among them; datagrams of other clusters are dropped."""
+        """Create the state of member `number` of a cluster in which `size` members are configured.
+
+        Datagrams of clusters with another name than `cluster` are dropped.  `unix_s` is the wall-clock time
+        from which the incarnation is derived.
+        """
         self.number = number
         self.dropped: Counter[DropReason] = Counter()
         self.table = MemberTable(size, now)
@@ -74,30 +82,30 @@
     # Events
 
     def start(self, now: int) -> list[MembershipAction]:
-        """A new incarnation begins: a few members hear of it at once."""
+        """Announce the new incarnation of this member by pinging a few others at once."""
         self._refutation.announce(now)
         self._failure_detector.start(now)
         return self._finish_event(now)
 
     def datagram_received(self, now: int, sender: int, payload: bytes) -> list[MembershipAction]:
-        """A datagram came from the address of the member `sender`."""
+        """Process a datagram that came from the address of member `sender`."""
         if self._has_left:
             return []
         try:
             message = self._decode(sender, payload)
-        except InvalidDatagramError as invalid:
-            self.dropped[invalid.reason] += 1
+        except InvalidDatagramError as error:
+            self.dropped[error.reason] += 1
             return []
         self._check_stall(now)
         self._failure_detector.last_received_at = now
         self._refutation.datagram_accepted(now)
         self._process_updates(now, message)
-        self._outbox.views_differ = message.digest != self.table.digest
+        self._outbox.digests_differ = message.digest != self.table.digest
         self._dispatch(now, message)
         return self._finish_event(now)
 
     def tick(self, now: int) -> list[MembershipAction]:
-        """The time of the last ScheduleTick has come, or passed."""
+        """Do what is due at `now`; the caller calls this at the time of the last ScheduleTick or later."""
         if self._has_left:
             return []
         self._check_stall(now)
@@ -109,12 +117,15 @@
         return self._finish_event(now)
 
     def requests_received(self, now: int, requests: int) -> None:
-        """The sidecar took this many requests since the last call; they allow further datagrams."""
+        """Raise the limit on datagrams by the client requests received since the last call."""
         if requests:
             self._limiter.add_requests(now, requests)
 
     def leave(self, *, has_successor: bool = False) -> list[MembershipAction]:
-        """This incarnation ends as planned: all hear of it, unless another process continues its number."""
+        """End this incarnation as planned and announce it to all members.
+
+        Nothing is announced if another process continues as this member: the member stays present.
+        """
         if self._has_left:
             return []
         if not has_successor and not self.is_duplicate and len(self.table) > 1:
@@ -123,7 +134,7 @@
         return self._outbox.drain()
 
     def configure(self, now: int, size: int, settings: MembershipSettings) -> list[MembershipAction]:
-        """Apply other settings or another number of members; what is known of the rest stays."""
+        """Apply new settings and a new cluster size; the records of the remaining members are kept."""
         self._context.settings = settings
         self._limiter.per_s = settings.datagrams_per_s
         self._limiter.per_request = settings.datagrams_per_request
@@ -135,11 +146,14 @@
         return self._finish_event(now)
 
     def mark_all_disseminated(self) -> None:
-        """Take all that is known here for known to everybody, as after a long rest."""
+        """Empty the dissemination queue, as if all other members had received every update in it.
+
+        For simulated clusters that start in agreement.
+        """
         self._outbox.dissemination.discard_from(0)
-        self._outbox.views_differ = False
+        self._outbox.digests_differ = False
 
-    # What is believed
+    # State
 
     @property
     def incarnation(self) -> int:
@@ -148,7 +162,7 @@
 
     @property
     def is_duplicate(self) -> bool:
-        """Whether another process of this number takes precedence over this one."""
+        """Whether another process with the same member number takes precedence over this one."""
         return self._refutation.is_duplicate
 
     @property
@@ -157,11 +171,11 @@
         return self._failure_detector.period_us
 
     def size(self) -> ClusterSize:
-        """The numbers of members by their state."""
+        """The number of members in each state."""
         return self.table.size()
 
     def silence_us(self, now: int) -> int:
-        """How long no other member was heard."""
+        """The time since the last valid datagram from another member."""
         return now - self._failure_detector.last_received_at
 
     # Datagrams
@@ -183,7 +197,7 @@
                 self._updates.update_received(now, update)
 
     def _apply_from_sender(self, now: int, message: Message, state: MemberState) -> None:
-        """The sender of a message says itself in which state it is."""
+        """Apply the state that a message implies for its own sender."""
         sender = message.sender
         self._updates.apply(now, MembershipUpdate.create(sender, message.incarnation, state, 0, sender))
 
@@ -201,10 +215,13 @@
             case MessageKind.LEAVE:
                 self._apply_from_sender(now, message, MemberState.LEFT)
 
-    # Time
+    # Ticks
 
     def _check_stall(self, now: int) -> None:
-        """Notice that this process stood still: it distrusts itself before it distrusts others."""
+        """If this process has not run for a while, lower its local health and restart its timeouts.
+
+        What it missed meanwhile is no evidence against other members.
+        """
         late_us = now - self._tick_due_at
         if late_us <= _STALL_US or late_us <= self._context.period_us(now):
             return
@@ -214,7 +231,7 @@
         self._updates.restart_suspicions(now)
 
     def _finish_event(self, now: int) -> list[MembershipAction]:
-        """Return the event's actions, and when the next tick is due."""
+        """Return the collected actions; the last one schedules the next tick."""
         deadlines = self._failure_detector.deadlines + self._updates.suspicion_deadlines
         if self._refutation.next_deadline is not None:
             deadlines.append(self._refutation.next_deadline)
--- a/sidecar/cluster/message.py
+++ b/sidecar/cluster/message.py
@@ -1,8 +1,8 @@
-"""Membership datagrams as bytes: MessagePack arrays of small integers, decoded strictly.
+"""Encoding of membership datagrams as MessagePack arrays.
 
 A message is [format version, cluster, sender, incarnation, kind, sequence number, target, digest, first
 member of the sketch, sketch, updates]; an update is [member, incarnation, status, reported by].  A datagram
-that does not fit this form in every point is rejected completely, with the reason that it is counted under.
+that deviates from this form in any field is dropped as a whole and counted under its `DropReason`.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 
 FORMAT_VERSION = 1
 MAX_UINT32 = 0xFFFF_FFFF
-MAX_INCARNATION = MAX_UINT32 - 0x1_0000  # a greater one would leave no room for later incarnations
+MAX_INCARNATION = MAX_UINT32 - 0x1_0000  # leaves room for later incarnations
 MAX_REFUTATIONS = 0x3FF
 MAX_MEMBERS = 0x1_0000
 MAX_SEQUENCE_NUMBER = 0xFFFF
 NO_TARGET = -1
-MAX_SKETCH_MEMBERS = 200  # half a byte each
-_MAX_UPDATES = 64  # far more than fit into one datagram
+MAX_SKETCH_MEMBERS = 200  # four bits each
+_MAX_UPDATES = 64  # more than fit into one datagram
 _STATE_MASK = 0b11
 _STATE_BITS = 2
-_ARRAY_HEADER_GROWTH_BYTES = 2  # the header of an array of more than 15 entries is so much longer
+_ARRAY_HEADER_GROWTH_BYTES = 2  # an array header is this much longer from 16 entries on
 
 
 @unique
 class MemberState(IntEnum):
-    """What is believed of one incarnation of a member."""
+    """The state of one incarnation of a member, as believed by the local member."""
 
     PRESENT = 0
     SUSPECTED = 1
-    DEAD = 2  # declared so by another member
-    LEFT = 3  # announced by the member itself
+    DEAD = 2  # declared dead by another member
+    LEFT = 3  # ended as planned, as announced by the member itself
 
 
 _STATES = tuple(MemberState)  # indexed by value
@@ -44,18 +44,18 @@
 
 @unique
 class MessageKind(IntEnum):
-    """What a message asks for or answers."""
+    """The kind of a message; PING and PING_REQUEST ask for a reply."""
 
     PING = 0
-    ACK = 1  # of a ping; with a `target`, a relay's word that the target answered
-    PING_REQUEST = 2  # ping the `target` on behalf of the sender
-    NACK = 3  # a relay's word that it is present, but the target has not answered it
-    LEAVE = 4  # the sender's incarnation ends as planned
+    ACK = 1  # acknowledges a ping; with a `target`, a relay reports that the target acknowledged its ping
+    PING_REQUEST = 2  # asks a relay to ping the `target` on behalf of the sender
+    NACK = 3  # a relay reports that the target has not acknowledged its ping
+    LEAVE = 4  # announces that the sender's incarnation ends as planned
 
 
 @unique
 class DropReason(StrEnum):
-    """Why a datagram, or an update in it, was not taken; the values are keys of the metrics."""
+    """Why a datagram, or an update in it, was dropped; the values are keys of the metrics."""
 
     UNKNOWN_SENDER = "a stranger"
     TOO_LONG = "too long"
@@ -73,10 +73,10 @@
 
 
 class MembershipUpdate(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True, gc=False):
-    """That an incarnation of a member is in a state.
+    """A statement that an incarnation of a member is in a state.
 
-    `status` holds the number of refutations so far and the state.  Incarnation 0 stands for a member that was
-    never heard of.  `reported_by` is the member that saw it, or the member itself.
+    `status` holds the number of refutations so far and the state.  Incarnation 0 stands for a member of which
+    no incarnation is known.  `reported_by` is the member that observed the state, or the member itself.
     """
 
     member: MemberNumber
@@ -88,7 +88,7 @@
     def create(
         member: int, incarnation: int, state: MemberState, refutations: int, reported_by: int
     ) -> MembershipUpdate:
-        """Make an update from its parts; state and refutations share one field."""
+        """Create an update; state and refutations are packed into `status`."""
         return MembershipUpdate(member, incarnation, (refutations << _STATE_BITS) | state, reported_by)
 
     @property
@@ -98,12 +98,12 @@
 
     @property
     def refutations(self) -> int:
-        """How many suspicions this incarnation has refuted."""
+        """The number of suspicions that this incarnation has refuted."""
         return self.status >> _STATE_BITS
 
     @property
     def is_unknown(self) -> bool:
-        """Whether no incarnation of the member was ever heard of."""
+        """Whether no incarnation of the member is known."""
         return self.incarnation == 0 and self.state is MemberState.PRESENT
 
     @property
@@ -113,9 +113,10 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Total order of the updates of one member, of which the greatest is believed.
+        """The sort key of the updates about one member: the greatest update is in force.
 
-        A later incarnation takes precedence, then its end, then a later refutation, then a suspicion.
+        A later incarnation comes first, then the end of an incarnation, then the number of refutations; with
+        equally many refutations, suspected takes precedence over present.
         """
         state = self.status & _STATE_MASK
         if state >= MemberState.DEAD:
@@ -140,14 +141,14 @@
 
 
 class _Head(msgspec.Struct, array_like=True):
-    """What every format version begins with."""
+    """The fields with which messages of every format version begin."""
 
     format_version: int
     cluster: int
 
 
 class InvalidDatagramError(Exception):
-    """A datagram that is not taken."""
+    """A datagram that is dropped for `reason`."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
@@ -160,12 +161,16 @@
 
 
 def cluster_id(name: str) -> int:
-    """The number of a cluster by its name, which tells its datagrams from those of other clusters."""
+    """Return the hash of a cluster's name, which marks the datagrams of that cluster."""
     return crc32(name.encode())
 
 
 def decode(data: bytes, cluster: int, sender: int) -> Message:
-    """Decode what came from the address of `sender`; raise InvalidDatagramError on any other form."""
+    """Decode a datagram that came from the address of `sender`.
+
+    Raises:
+        InvalidDatagramError: if its form, cluster or sender is wrong.
+    """
     if len(data) > MAX_DATAGRAM_BYTES:
         raise InvalidDatagramError(DropReason.TOO_LONG)
     try:
@@ -190,12 +195,12 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a message; its updates have to fit, see `UpdatePacker`."""
+    """Encode a message; `UpdatePacker` makes sure that its updates fit into a datagram."""
     return _ENCODER.encode(message)
 
 
 def _integer_size_bytes(number: int) -> int:
-    """How many bytes MessagePack needs for a non-negative integer."""
+    """Return the number of bytes of a non-negative integer in MessagePack."""
     if number < 0x80:
         return 1
     if number < 0x100:
@@ -204,7 +209,7 @@
 
 
 class UpdatePacker:
-    """Adds updates to a message as long as the datagram does not become too long."""
+    """Adds updates to a message as long as they fit into the datagram."""
 
     def __init__(self, message: Message) -> None:
         used_bytes = len(_ENCODER.encode(message)) + _ARRAY_HEADER_GROWTH_BYTES
@@ -213,8 +218,8 @@
 
     def try_add(self, update: MembershipUpdate) -> bool:
         """Add an update; return False if it does not fit."""
-        numbers = (update.member, update.incarnation, update.status, update.reported_by)
-        size_bytes = 1 + sum(map(_integer_size_bytes, numbers))
+        fields = (update.member, update.incarnation, update.status, update.reported_by)
+        size_bytes = 1 + sum(map(_integer_size_bytes, fields))
         if size_bytes > self._free_bytes or len(self._updates) >= _MAX_UPDATES:
             return False
         self._free_bytes -= size_bytes
--- a/sidecar/cluster/outbox.py
+++ b/sidecar/cluster/outbox.py
@@ -1,4 +1,4 @@
-"""What leaves the local member: actions in order, and the composition of each datagram."""
+"""Collects the actions of the local member and composes its datagrams."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class Outbox:
-    """Collects one member's actions until they are drained."""
+    """The actions that the local member has not returned to its caller yet, in order."""
 
     def __init__(self, cluster: int, local: LocalMember, table: MemberTable) -> None:
         self.dissemination = DisseminationQueue()
-        self.views_differ = True  # whether the member heard last had another table
+        self.digests_differ = True  # whether the last sender's table had another digest
         self._cluster, self._local, self._table = cluster, local, table
-        self._sketch_first = 0  # first member of the piece of the table that the next sketch describes
+        self._sketch_first = 0  # first member that the next sketch covers
         self._actions: list[MembershipAction] = []
 
     def add(self, action: MembershipAction) -> None:
-        """Collect an action for the next `drain`."""
+        """Append an action for the next `drain`."""
         self._actions.append(action)
 
     def drain(self) -> list[MembershipAction]:
@@ -51,10 +51,11 @@
     ) -> None:
         """Send a message to one member, or to all (None).
 
-        Its updates are what the receiver has to hear about itself, then what it requested, then news.
+        As far as they fit, the message carries an update about the receiver if it is not believed present,
+        then the requested updates, then updates from the dissemination queue.
         """
         sketch_first, sketch_bytes = 0, b""
-        if kind is MessageKind.PING and self.views_differ:
+        if kind is MessageKind.PING and self.digests_differ:
             sketch_first, sketch_bytes = self._next_sketch(sequence_number)
         message = Message(
             FORMAT_VERSION,
@@ -79,20 +80,20 @@
         self._actions.append(SendDatagram(receiver, encode(message)))
 
     def table_resized(self) -> None:
-        """Discard updates about members that are no longer in the table."""
+        """Discard queued updates about members that are no longer in the table."""
         self.dissemination.discard_from(len(self._table))
         self._sketch_first = 0
 
     def _pack_updates_about(self, receiver: int, packer: UpdatePacker) -> None:
-        """Tell a member that it is not believed present, so that it can refute it."""
+        """Add the update about the receiver if it is not believed present, so that it can refute it."""
         record = self._table[receiver]
         update = record.disputed_death or record.update
         if update.state is not MemberState.PRESENT:
             packer.try_add(update)
 
     def _next_sketch(self, salt: int) -> tuple[int, bytes]:
-        """The next piece of the table, as its first member and a sketch."""
+        """Return the first member and the sketch of the next section of the table."""
         first = self._sketch_first
-        following = first + MAX_SKETCH_MEMBERS
-        self._sketch_first = following if following < len(self._table) else 0
+        next_first = first + MAX_SKETCH_MEMBERS
+        self._sketch_first = next_first if next_first < len(self._table) else 0
         return first, sketch(self._table.updates(first, MAX_SKETCH_MEMBERS), salt)
--- a/sidecar/cluster/pings.py
+++ b/sidecar/cluster/pings.py
@@ -1,4 +1,4 @@
-"""Pings that wait for an acknowledgement: one of the local member's own, and those relayed for others."""
+"""Pings that wait for an acknowledgement: one sent for the local member, and those relayed for others."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 from sidecar.cluster.message import MAX_SEQUENCE_NUMBER
 
-_MAX_RELAYED = 32  # at a time; the oldest is discarded
+_MAX_RELAYED = 32  # relayed pings pending at a time; the oldest is discarded
 
 
 @dataclass(slots=True)
 class Ping:
-    """A ping of the local member's own: direct at first, then through relays."""
+    """A ping sent for the local member: direct at first, then through relays."""
 
     sequence_number: int
     target: int
     sent_at: int
-    relays_due_at: int  # when relays are asked, if the target has not answered
+    relays_due_at: int  # when ping-requests are sent, if the target has not acknowledged the ping
     fails_at: int
     relays: list[int] = field(default_factory=list)
     nacks: int = 0
@@ -25,7 +25,7 @@
 
     @property
     def next_deadline(self) -> int:
-        """Clock time in microseconds at which this ping is relayed or has failed."""
+        """The time in microseconds at which ping-requests are sent or the ping has failed."""
         return self.relays_due_at if self.is_direct else self.fails_at
 
 
@@ -36,7 +36,7 @@
     origin: int
     origin_sequence_number: int
     target: int
-    nack_due_at: int  # when the origin hears that the target does not answer
+    nack_due_at: int  # when a nack is sent to the origin, if the target has not acknowledged the ping
 
 
 class PendingPings:
@@ -53,12 +53,12 @@
         return len(self._relayed)
 
     def next_sequence_number(self) -> int:
-        """A sequence number that no other pending ping has."""
+        """Return a sequence number that no other pending ping has."""
         self._last_sequence_number = (self._last_sequence_number + 1) % (MAX_SEQUENCE_NUMBER + 1)
         return self._last_sequence_number
 
     def add_relayed(self, relayed: RelayedPing) -> int:
-        """Keep a relayed ping; return the sequence number of the ping to its target."""
+        """Add a relayed ping; return the sequence number for the ping to its target."""
         while len(self._relayed) >= _MAX_RELAYED:
             self._relayed.popitem(last=False)
         sequence_number = self.next_sequence_number()
@@ -66,27 +66,27 @@
         return sequence_number
 
     def take_acknowledged(self, sequence_number: int, sender: int) -> RelayedPing | None:
-        """Remove and return the relayed ping that its target acknowledges, if there is one."""
+        """Remove and return the relayed ping that `sender` acknowledges; None if there is none."""
         relayed = self._relayed.get(sequence_number)
         if relayed is None or relayed.target != sender:
             return None
         return self._relayed.pop(sequence_number)
 
     def take_expired(self, now: int) -> list[RelayedPing]:
-        """Remove and return the relayed pings whose origin is to hear that there was no answer."""
+        """Remove and return the relayed pings for which a nack is due."""
         expired = [number for number, relayed in self._relayed.items() if relayed.nack_due_at <= now]
         return [self._relayed.pop(number) for number in expired]
 
     @property
     def next_deadline(self) -> int | None:
-        """The earliest clock time in microseconds at which a ping is due; None without pending pings."""
+        """The earliest time in microseconds at which a pending ping times out; None without pending pings."""
         deadlines = [relayed.nack_due_at for relayed in self._relayed.values()]
         if self.own is not None:
             deadlines.append(self.own.next_deadline)
         return min(deadlines, default=None)
 
     def discard_from(self, size: int) -> None:
-        """Discard the pings that concern members from this number on; all of them from 0 on."""
+        """Discard the pings whose target or origin has a number of at least `size`; 0 discards all."""
         if self.own is not None and self.own.target >= size:
             self.own = None
         discarded = [
--- a/sidecar/cluster/rate_limiter.py
+++ b/sidecar/cluster/rate_limiter.py
@@ -1,21 +1,22 @@
-"""Token bucket, filled at a steady rate and by each request that the sidecar takes."""
+"""A token bucket that is filled at a constant rate and by each client request."""
 
 from __future__ import annotations
 
 import math
 
 _DEFAULT_CAPACITY_S = 6.0
-_REPLY_OVERDRAFT = 16.0  # replies may exceed the bucket: a member that does not reply is suspected
-_REQUEST_DECAY_US = 5_000_000  # the rate of requests is averaged over this
+# Replies may overdraw the bucket by this many tokens, because a member that does not reply is suspected.
+_REPLY_OVERDRAFT = 16.0
+_REQUEST_DECAY_US = 5_000_000  # time constant of the average over recent requests
 
 
 class RateLimiter:
-    """How many datagrams may be sent, or lines logged.  All times are microseconds."""
+    """Limits the rate of datagrams or log lines.  All times are microseconds."""
 
     def __init__(
         self, now: int, per_s: float, per_request: float, capacity_s: float = _DEFAULT_CAPACITY_S
     ) -> None:
-        """What is unused may be saved up for `capacity_s` seconds."""
+        """Create a full bucket, which holds the tokens of `capacity_s` seconds."""
         self.per_s, self.per_request = per_s, per_request
         self._capacity_s = capacity_s
         self._tokens = per_s * capacity_s
@@ -23,18 +24,18 @@
         self._recent_requests = 0.0  # decays exponentially
 
     def add_requests(self, now: int, requests: int) -> None:
-        """The sidecar took this many requests."""
+        """Add the tokens of this many client requests."""
         self._refill(now)
         self._recent_requests += requests
         self._tokens = min(self._tokens + requests * self.per_request, self._capacity())
 
     def rate_per_s(self, now: int) -> float:
-        """The rate in tokens a second at which the bucket fills at present."""
+        """Return the current fill rate in tokens per second."""
         self._refill(now)
         return self.per_s + self.per_request * self._recent_requests / (_REQUEST_DECAY_US / 1e6)
 
     def try_acquire(self, now: int, *, is_reply: bool = False) -> bool:
-        """Take the token of one datagram or line; return False if there is none."""
+        """Take one token; return False if there is none."""
         self._refill(now)
         if self._tokens - 1 < (-_REPLY_OVERDRAFT if is_reply else 0.0):
             return False
--- a/sidecar/cluster/refutation.py
+++ b/sidecar/cluster/refutation.py
@@ -1,4 +1,4 @@
-"""Refutes what others say about the local member, and notices another process of its number."""
+"""Refutes suspicions and deaths of the local member, and detects another process with its number."""
 
 from __future__ import annotations
 
@@ -6,35 +6,38 @@
 from sidecar.cluster.member_context import MemberContext
 from sidecar.cluster.message import MAX_REFUTATIONS, MembershipUpdate, MemberState
 
-_STARTUP_US = 5_000_000  # for so long after it first heard anybody a process supersedes a later incarnation
-_YIELD_US = 60_000_000  # and for so long it yields to a duplicate process that was found later
+# Until this long after its first valid datagram, a process replaces a later incarnation of its member that
+# others report: that incarnation is an earlier process, whose clock was ahead.
+_STARTUP_US = 5_000_000
+# A later incarnation that appears afterwards is a duplicate process; this process yields to it for this long.
+_YIELD_US = 60_000_000
 
 
 class Refutation:
-    """Speaks for the local member.  All times are microseconds."""
+    """Processes updates about the local member and answers them.  All times are microseconds."""
 
     def __init__(self, context: MemberContext) -> None:
         self._context = context
-        self._startup_until: int | None = None  # None: it has heard nobody yet
-        self._yields_until: int | None = None  # another process of this number takes precedence
+        self._startup_until: int | None = None  # None: no valid datagram received yet
+        self._yields_until: int | None = None  # None: no duplicate process takes precedence
 
     @property
     def is_duplicate(self) -> bool:
-        """Whether another process of this number takes precedence over this one."""
+        """Whether another process with the same member number takes precedence over this one."""
         return self._yields_until is not None
 
     @property
     def next_deadline(self) -> int | None:
-        """Clock time in microseconds at which yielding ends; None while it does not yield."""
+        """The time at which this process stops yielding to a duplicate; None while it does not yield."""
         return self._yields_until
 
     def datagram_accepted(self, now: int) -> None:
-        """A valid datagram came from another member."""
+        """Begin the startup interval with the first valid datagram from another member."""
         if self._startup_until is None:
             self._startup_until = now + _STARTUP_US
 
     def announce(self, now: int) -> None:
-        """Disseminate that the local member is present, unless another process speaks for it."""
+        """Disseminate that the local member is present, unless this process yields to a duplicate."""
         if self.is_duplicate:
             return
         update = self._context.local.update()
@@ -42,20 +45,20 @@
         self._context.outbox.dissemination.enqueue(update)
 
     def local_update_received(self, now: int, update: MembershipUpdate) -> None:
-        """Another member says something about the local one."""
+        """Process an update about the local member that another member sent."""
         local = self._context.local
         if update.incarnation < local.incarnation:
             return
         if update.incarnation == local.incarnation:
             self._refute(now, update)
         elif update.has_ended or self._is_starting(now):
-            # An earlier process of this number, whose clock was ahead, or one that has ended.
+            # The update is about an earlier process of this member, whose clock was ahead, or an ended one.
             self._begin_incarnation(now, update.incarnation + 1)
         elif update.precedence > self._context.table[local.number].update.precedence:
             self._yield_to(now, update)
 
     def tick(self, now: int) -> None:
-        """Stop yielding to another process of this number after a time."""
+        """Stop yielding to a duplicate process when the time has come, with a new incarnation."""
         if self._yields_until is not None and self._yields_until <= now:
             believed = self._context.table[self._context.local.number].update
             self._begin_incarnation(now, believed.incarnation + 1)
@@ -73,7 +76,7 @@
             self.announce(now)
 
     def _begin_incarnation(self, now: int, incarnation: int) -> None:
-        """Go on as a new incarnation: others believe, or may believe, that the old one ended."""
+        """Begin a new incarnation, because other members consider the old one ended, or may do so."""
         self._context.local.begin_incarnation(incarnation)
         self._yields_until = None
         self.announce(now)
--- a/sidecar/cluster/rollout.py
+++ b/sidecar/cluster/rollout.py
@@ -194,7 +194,7 @@
         """Keep this round; if it says anything new, others have to hear of it soon."""
         state = self._state
         replaced, state.round = state.round, round_
-        if replaced.says_same_as(round_):
+        if replaced.equals_ignoring_start(round_):
             return
         is_next_round = replaced.version == round_.version and replaced.number != round_.number
         if is_next_round and now - replaced.started_at >= state.round_completion_us:
--- a/sidecar/cluster/suspicion.py
+++ b/sidecar/cluster/suspicion.py
@@ -1,33 +1,36 @@
-"""Suspicion of a member that did not answer: it has time to refute it before it is declared dead.
+"""Suspicion of a member that did not answer a ping; it is declared dead unless it refutes it in time.
 
-The time-out starts long and shrinks as other members suspect it independently (Lifeguard).
+The suspicion timeout starts long and shrinks with each other member that suspects it too (Lifeguard).
 """
 
 from __future__ import annotations
 
 import math
 
-_MAX_CONFIRMATIONS = 3  # members besides the first that suspect it, from which on the time-out is the least
+_MAX_CONFIRMATIONS = 3  # confirmations by other members at which the timeout reaches its minimum
 
 
 class Suspicion:
-    """One member under suspicion.  All times are microseconds."""
+    """The suspicion of one member.  All times are microseconds."""
 
     __slots__ = ("_max_timeout_us", "_min_timeout_us", "_needed_confirmations", "_started_at", "reporters")
 
     def __init__(self, now: int, reporter: int, min_timeout_us: int, timeout_ratio: float, size: int) -> None:
-        """`timeout_ratio` is the greatest time-out divided by the least; `size` that of the cluster."""
+        """Start a suspicion that member `reporter` raised, in a cluster of `size` members.
+
+        The timeout without confirmations is `min_timeout_us` times `timeout_ratio`.
+        """
         self._started_at = now
         self.reporters = {reporter}
         self._min_timeout_us = min_timeout_us
-        # There are `size - 3` members besides it, the first reporter and the local one.
+        # Only members other than the suspected one, the first reporter and the local one can confirm.
         self._needed_confirmations = max(min(_MAX_CONFIRMATIONS, size - 3), 0)
         self._max_timeout_us = (
             int(min_timeout_us * timeout_ratio) if self._needed_confirmations else min_timeout_us
         )
 
     def confirm(self, reporter: int) -> bool:
-        """Another member suspects it too; return False if that is known or needs no dissemination."""
+        """Add a reporter; return False if it is known already or no more confirmations are needed."""
         if reporter in self.reporters or len(self.reporters) > self._needed_confirmations:
             return False
         self.reporters.add(reporter)
@@ -35,7 +38,7 @@
 
     @property
     def expires_at(self) -> int:
-        """When the member is declared dead, if it does not refute the suspicion before."""
+        """The time at which the member is declared dead, unless it refutes the suspicion before."""
         if not self._needed_confirmations:
             return self._started_at + self._min_timeout_us
         confirmed = math.log(len(self.reporters)) / math.log(self._needed_confirmations + 1)
@@ -43,10 +46,10 @@
         return self._started_at + int(self._max_timeout_us - range_us * confirmed)
 
     def restart(self, now: int) -> None:
-        """Count the time-out from now on: what passed while the local process stood still says nothing."""
+        """Restart the timeout: while the local process stalled, it may have missed the refutation."""
         self._started_at = now
 
 
 def min_timeout_us(size: int, period_us: int, periods: float) -> int:
-    """The least time-out: this many protocol periods, times the decimal digits of the cluster's size."""
+    """Return the minimum timeout: `periods` protocol periods times log10 of the size, and no fewer."""
     return int(periods * max(math.log10(max(size, 1)), 1.0) * period_us)
--- a/sidecar/cluster/target_selection.py
+++ b/sidecar/cluster/target_selection.py
@@ -1,4 +1,4 @@
-"""Which member to ping next: each in turn, in an order shuffled anew for each round (SWIM, section 4.3)."""
+"""Selects the member to ping next: each in turn, in an order shuffled for each pass (SWIM, section 4.3)."""
 
 from __future__ import annotations
 
@@ -6,24 +6,25 @@
 
 from sidecar.cluster.member_table import MemberTable
 
-_ANY_MEMBER_EVERY = 4  # of so many pings one goes to any member, also a dead one: it finds a healed partition
+# One in this many pings goes to any member, dead ones included, so that a healed partition is detected.
+_ANY_MEMBER_EVERY = 4
 
 
 class TargetSelector:
-    """Chooses the targets of pings."""
+    """Selects the targets of the local member's pings."""
 
-    def __init__(self, own_number: int, table: MemberTable, rng: random.Random) -> None:
-        self._own_number, self._table, self._random = own_number, table, rng
+    def __init__(self, local_number: int, table: MemberTable, rng: random.Random) -> None:
+        self._local_number, self._table, self._random = local_number, table, rng
         self._selections = rng.randrange(_ANY_MEMBER_EVERY)
         self._order: list[int] = []
 
     def next(self) -> int | None:
-        """The next target; None if there is no other member."""
+        """Return the next target; None if all other members are dead or have left."""
         size = len(self._table)
         self._selections += 1
         if self._selections % _ANY_MEMBER_EVERY == 0 and size > 1:
             other = self._random.randrange(size - 1)
-            return other + (other >= self._own_number)
+            return other + (other >= self._local_number)
         for _ in range(2):
             while self._order:
                 target = self._order.pop()
@@ -34,13 +35,13 @@
         return None
 
     def live_members(self) -> list[int]:
-        """All other members that are neither dead nor have left."""
+        """Return all other members that are neither dead nor have left."""
         return [
             number
             for number, record in enumerate(self._table.records)
-            if number != self._own_number and not record.has_ended
+            if number != self._local_number and not record.has_ended
         ]
 
     def reset(self) -> None:
-        """Begin a new order."""
+        """Discard the current order; the next call of `next` draws a new one."""
         self._order = []
--- a/sidecar/cluster/update_processing.py
+++ b/sidecar/cluster/update_processing.py
@@ -1,4 +1,4 @@
-"""Membership updates about other members: merged into the table, disseminated, and turned into suspicions."""
+"""Merges updates about other members into the table, disseminates them and keeps the suspicions."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
     @property
     def suspicion_count(self) -> int:
-        """The number of members that are suspected at present."""
+        """The number of running suspicion timeouts."""
         return len(self._suspicions)
 
     @property
     def suspicion_deadlines(self) -> list[int]:
-        """Clock times in microseconds at which the suspicions expire."""
+        """The times at which the suspicions expire."""
         return [suspicion.expires_at for suspicion in self._suspicions.values()]
 
     def update_received(self, now: int, update: MembershipUpdate) -> None:
-        """Another member passes on an update about a member other than the local one."""
+        """Process an update from a datagram, about a member other than the local one."""
         if update.state is MemberState.DEAD and self._acknowledged_recently(now, update):
             self._dispute_death(now, update)
         else:
             self.apply(now, update)
 
     def apply(self, now: int, update: MembershipUpdate) -> None:
-        """Believe an update about another member, and disseminate it, if it is news."""
+        """Apply an update about another member; if it takes precedence, disseminate and report it."""
         if update.member == self._context.local.number:
             return
         record = self._context.table[update.member]
@@ -51,34 +51,37 @@
             self._context.outbox.add(changed)
 
     def suspect(self, now: int, number: int) -> None:
-        """The member did not answer the local one."""
+        """Suspect a member that did not acknowledge a ping of the local member."""
         self._apply_in_state(now, number, MemberState.SUSPECTED, self._context.local.number)
 
     def declare_expired_dead(self, now: int) -> None:
-        """Declare the members dead whose suspicion has timed out."""
+        """Declare dead the members whose suspicion has timed out."""
         for number, suspicion in list(self._suspicions.items()):
             if suspicion.expires_at <= now:
                 self._declare_dead(now, number)
 
     def restart_suspicions(self, now: int) -> None:
-        """Start the timeouts of all suspicions again from `now`, in microseconds."""
+        """Restart the timeouts of all suspicions at `now`."""
         for suspicion in self._suspicions.values():
             suspicion.restart(now)
 
     def discard_from(self, size: int) -> None:
-        """Discard the suspicions of members from this number on."""
+        """Discard the suspicions of members whose number is at least `size`."""
         remaining = {number: suspicion for number, suspicion in self._suspicions.items() if number < size}
         self._suspicions = remaining
 
     def _acknowledged_recently(self, now: int, update: MembershipUpdate) -> bool:
-        """Whether that incarnation answered the local member of late, so that its death is hearsay."""
+        """Whether the incarnation in the update acknowledged a ping of the local member recently.
+
+        A reported death of it is doubtful then.  Recent means within the minimum suspicion timeout.
+        """
         record = self._context.table[update.member]
         if record.update.incarnation != update.incarnation or record.has_ended or record.last_ack_at is None:
             return False
         return now - record.last_ack_at < self._context.min_suspicion_timeout_us(now)
 
     def _dispute_death(self, now: int, update: MembershipUpdate) -> None:
-        """Suspect the member instead: it has to hear of its death, and may refute it."""
+        """Suspect a member that is reported dead, and keep the report, so that the member can refute it."""
         record = self._context.table[update.member]
         record.disputed_death = update
         if record.state is MemberState.PRESENT:
@@ -96,15 +99,13 @@
             self._apply_in_state(now, number, MemberState.DEAD, self._context.local.number)
 
     def _apply_in_state(self, now: int, number: int, state: MemberState, reported_by: int) -> None:
-        """Apply an update to another state of the incarnation that is believed."""
-        believed = self._context.table[number].update
-        update = MembershipUpdate.create(
-            number, believed.incarnation, state, believed.refutations, reported_by
-        )
+        """Change the state of a member, within the incarnation and refutation in force."""
+        current = self._context.table[number].update
+        update = MembershipUpdate.create(number, current.incarnation, state, current.refutations, reported_by)
         self.apply(now, update)
 
     def _confirm_suspicion(self, update: MembershipUpdate) -> None:
-        """An update that changes nothing may be another member's suspicion of the same incarnation."""
+        """Confirm a suspicion if an update that changed nothing in the table reports the same suspicion."""
         suspicion = self._suspicions.get(update.member)
         if suspicion is None or update.state is not MemberState.SUSPECTED:
             return
--- a/tests/test_rollout_message.py
+++ b/tests/test_rollout_message.py
@@ -69,7 +69,7 @@
     given = decode(payload, CLUSTER, 3)
     assert given.kind is kind
     told = given.aggregation_round(1_000_000)
-    assert told.says_same_as(round_) and abs(told.started_at - round_.started_at) <= 100_000
+    assert told.equals_ignoring_start(round_) and abs(told.started_at - round_.started_at) <= 100_000
 
 
 def test_membership_drops_rollout_message_as_other_format_version() -> None:
