--- a/bench/member.py
+++ b/bench/member.py
@@ -138,7 +138,7 @@
 
     def _asked(self, action: SendDatagram) -> int | None:
         """The sequence number of the pending ping, where this datagram is it."""
-        own = self.member._failure_detector.pings.own
+        own = self.member._failure_detector.pings.local
         return own.sequence_number if own is not None and own.target == action.receiver else None
 
 
--- a/sidecar/cluster/failure_detector.py
+++ b/sidecar/cluster/failure_detector.py
@@ -62,14 +62,14 @@
 
     def check_pending_ping(self, now: int) -> None:
         """Send ping-requests when the direct ping times out; later, fail the ping."""
-        ping = self.pings.own
+        ping = self.pings.local
         if ping is None or ping.next_deadline > now:
             return
         if ping.is_direct:
             ping.is_direct = False
             self._request_relays(now, ping)
         else:
-            self.pings.own = None
+            self.pings.local = None
             self._ping_failed(now, ping)
 
     def ping_if_due(self, now: int) -> None:
@@ -79,7 +79,7 @@
         period_us = self.period_us = self._context.period_us(now)
         jitter = 1 - _PERIOD_JITTER / 2 + _PERIOD_JITTER * self._context.random.random()
         self._next_ping_at = now + int(period_us * jitter)
-        if self.pings.own is not None or not self._context.limiter.try_acquire(now):
+        if self.pings.local is not None or not self._context.limiter.try_acquire(now):
             return
         target = self._targets.next()
         if target is None:
@@ -87,7 +87,7 @@
         sequence_number = self.pings.next_sequence_number()
         relays_due_at = now + int(_DIRECT_TIMEOUT_PERIODS * period_us)
         fails_at = now + int(_PING_TIMEOUT_PERIODS * period_us)
-        self.pings.own = Ping(sequence_number, target, now, relays_due_at, fails_at)
+        self.pings.local = Ping(sequence_number, target, now, relays_due_at, fails_at)
         self._context.outbox.send(target, MessageKind.PING, sequence_number)
 
     # Messages
@@ -108,7 +108,7 @@
 
     def ack_received(self, now: int, message: Message) -> None:
         """Process an acknowledgement: of the local member's ping, or of a ping relayed for another member."""
-        ping = self.pings.own
+        ping = self.pings.local
         if ping is not None and ping.sequence_number == message.sequence_number:
             self._local_ping_acknowledged(now, ping, message)
             return
@@ -133,7 +133,7 @@
 
     def nack_received(self, message: Message) -> None:
         """Count a relay that is reachable, but got no acknowledgement from the target of the ping."""
-        ping = self.pings.own
+        ping = self.pings.local
         if ping is None or ping.sequence_number != message.sequence_number:
             return
         if message.sender in ping.relays:
@@ -144,7 +144,7 @@
         is_relayed = message.sender in ping.relays and message.target == ping.target
         if not is_direct and not is_relayed:
             return
-        self.pings.own = None
+        self.pings.local = None
         self._context.health.ping_acknowledged()
         self._next_ping_at = min(self._next_ping_at, now + self._context.period_us(now))
         if is_direct:
--- a/sidecar/cluster/pings.py
+++ b/sidecar/cluster/pings.py
@@ -44,7 +44,7 @@
 
     def __init__(self, first_sequence_number: int) -> None:
         self._last_sequence_number = first_sequence_number % (MAX_SEQUENCE_NUMBER + 1)
-        self.own: Ping | None = None
+        self.local: Ping | None = None
         self._relayed: OrderedDict[int, RelayedPing] = OrderedDict()
 
     @property
@@ -81,14 +81,14 @@
     def next_deadline(self) -> int | None:
         """The earliest time in microseconds at which a pending ping times out; None without pending pings."""
         deadlines = [relayed.nack_due_at for relayed in self._relayed.values()]
-        if self.own is not None:
-            deadlines.append(self.own.next_deadline)
+        if self.local is not None:
+            deadlines.append(self.local.next_deadline)
         return min(deadlines, default=None)
 
     def discard_from(self, size: int) -> None:
         """Discard the pings whose target or origin has a number of at least `size`; 0 discards all."""
-        if self.own is not None and self.own.target >= size:
-            self.own = None
+        if self.local is not None and self.local.target >= size:
+            self.local = None
         discarded = [
             number for number, relayed in self._relayed.items() if max(relayed.target, relayed.origin) >= size
         ]
--- a/sidecar/peers.py
+++ b/sidecar/peers.py
@@ -17,14 +17,14 @@
         self,
         peers: tuple[Address, ...],
         broadcast_address: Address | None,
-        own_number: int,
+        local_number: int,
         on_datagram: Callable[[int, bytes], None],
     ) -> None:
         """`peers` are the addresses of all members by number; a datagram to all goes to `broadcast_address`.
 
         `on_datagram` is called with the number of the sender and the payload.
         """
-        self._own_number = own_number
+        self._local_number = local_number
         self._on_datagram = on_datagram
         self._transport: asyncio.DatagramTransport | None = None
         self.unknown_sender_count = 0  # datagrams that no other member sent, or that are too long
@@ -63,7 +63,7 @@
             self._transport.sendto(payload, self._broadcast_address)
         else:
             for number, address in enumerate(self._peers):
-                if number != self._own_number:
+                if number != self._local_number:
                     self._transport.sendto(payload, address)
         return True
 
@@ -81,7 +81,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Called by the event loop: a datagram came from this address."""
         number = self._numbers.get((addr[0], addr[1]))
-        if number is None or number == self._own_number or len(data) > MAX_DATAGRAM_BYTES:
+        if number is None or number == self._local_number or len(data) > MAX_DATAGRAM_BYTES:
             self.unknown_sender_count += 1
             return
         self._on_datagram(number, data)
--- a/testbed/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -104,11 +104,11 @@
     def send(self, receiver: int | None, payload: bytes) -> bool:
         """Send a datagram to one member, or to all; lost ones count as sent."""
         if receiver is None:
-            others = [each for each in range(len(self._peers)) if each != self._own_number]
+            others = [each for each in range(len(self._peers)) if each != self._local_number]
             told = [self.send(each, payload) for each in others]
             return all(told)
         self._counts.sent.add(payload)
-        if self._ground.loses(self._own_number, receiver):
+        if self._ground.loses(self._local_number, receiver):
             return True  # nobody who sends a datagram hears that it is lost
         if receiver < len(self._ground.real):
             self._ground.real[receiver].heard.add(payload)
@@ -123,7 +123,7 @@
                 self._ground.real[sender].sent.add(data)
             # A hollow sender has asked already whether it is lost.
             is_lost = self._ground.loses if is_real else self._ground.is_cut
-            if is_lost(sender, self._own_number):
+            if is_lost(sender, self._local_number):
                 return
             self._counts.heard.add(data)
         super().datagram_received(data, addr)
