--- a/fuzz/fuzz_membership.py
+++ b/fuzz/fuzz_membership.py
@@ -1,7 +1,7 @@
-"""Coverage-guided fuzzing of membership's datagrams: `make fuzz`.
+"""Coverage-guided fuzzing of membership datagrams: `make fuzz`.
 
-An input is a row of datagrams, each behind a byte for its sender and one for its length.  Whatever comes,
-there is no exception and no growth, and what is not well formed changes nothing.
+An input is a sequence of datagrams, each preceded by one byte for its sender and one for its length.  No
+input may raise an exception or make the state grow without bound, and a dropped datagram must change nothing.
 """
 
 import random
@@ -21,8 +21,8 @@
 SIZE = 5
 
 
-def one(data: bytes) -> None:
-    """Play one input; an exception is a finding."""
+def run_input(data: bytes) -> None:
+    """Deliver the datagrams of one input to a member; an exception is a finding."""
     member = Membership(0, SIZE, "a", MembershipSettings(), random.Random(1), 0, 1.8e9)
     member.start(0)
     now = 0
@@ -45,5 +45,5 @@
 
 
 if __name__ == "__main__":
-    atheris.Setup(sys.argv, one)
+    atheris.Setup(sys.argv, run_input)
     atheris.Fuzz()
--- a/fuzz/fuzz_rollout.py
+++ b/fuzz/fuzz_rollout.py
@@ -1,8 +1,8 @@
-"""Coverage-guided fuzzing of datagrams about versions of the configuration: `make fuzz`.
+"""Coverage-guided fuzzing of rollout datagrams: `make fuzz`.
 
-An input is a row of datagrams, each behind a byte for its sender and one for its length.  Whatever comes,
-there is no exception and no growth, what is not well formed changes nothing, and the version that is in force
-is only ever changed by the file.
+An input is a sequence of datagrams, each preceded by one byte for its sender and one for its length.  No
+input may raise an exception or make the state grow without bound, and a dropped datagram must change nothing.
+No datagram may change the version in force, which only the configuration file determines.
 """
 
 import random
@@ -25,8 +25,8 @@
 SIZE = 5
 
 
-def one(data: bytes) -> None:
-    """Play one input; an exception is a finding."""
+def run_input(data: bytes) -> None:
+    """Deliver the datagrams of one input to a member; an exception is a finding."""
     member = Rollout(0, "a", MemberTable(SIZE, 0), RolloutSettings(), random.Random(1), 0, 1, 5)
     member.start(0)
     now, reads = 0, 0
@@ -48,5 +48,5 @@
 
 
 if __name__ == "__main__":
-    atheris.Setup(sys.argv, one)
+    atheris.Setup(sys.argv, run_input)
     atheris.Fuzz()
--- a/sidecar/cluster/aggregation.py
+++ b/sidecar/cluster/aggregation.py
@@ -24,7 +24,7 @@
     min_digest: int = NO_DIGESTS[0]  # lowest digest of the contents in force under this version
     max_digest: int = NO_DIGESTS[1]  # highest digest
     in_force: int = 0  # members that reported the version in force
-    reported_behind: int = 0  # members that reported an earlier version in force; `in_force` takes precedence
+    reported_behind: int = 0  # members that reported it not in force; `in_force` takes precedence
 
     @property
     def key(self) -> tuple[int, int]:
@@ -33,7 +33,7 @@
 
     @property
     def behind(self) -> int:
-        """The members that reported an earlier version and have not reported this one in force since."""
+        """The members that reported the version not in force, and have not reported it in force since."""
         return self.reported_behind & ~self.in_force
 
     @property
--- a/sidecar/cluster/rollout_actions.py
+++ b/sidecar/cluster/rollout_actions.py
@@ -1,4 +1,4 @@
-"""Actions that `Rollout` returns besides datagrams and the next tick: reports, and reading the file."""
+"""Actions that `Rollout` returns besides datagrams and the next tick: reports and reads of the file."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutConcluded:
-    """Once for each version: it is in force everywhere, or is not although it should be by now."""
+    """Report that a version is in force everywhere, or late; each at most once per version."""
 
-    after_us: int  # since the version was heard of here
+    after_us: int  # since the local member learnt of the version
     status: RolloutStatus
 
 
 @dataclass(frozen=True, slots=True)
 class AmbiguousVersion:
-    """Members have different contents under one version."""
+    """Report that members have different contents under one version."""
 
     version: int
     min_digest: int
@@ -32,16 +32,16 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionMissing:
-    """This sidecar's file does not have the newest version; it is read but rarely from now on."""
+    """Report that this sidecar's file does not have the newest version; from now on it is read less often."""
 
     version: int
     first_reported_by: int
-    after_us: int  # since the version was heard of here
+    after_us: int  # since the local member learnt of the version
 
 
 @dataclass(frozen=True, slots=True)
 class VersionForgotten:
-    """A version that nobody has in force any more."""
+    """Report that a version is no longer considered, because no member has it in force any more."""
 
     version: int
     first_reported_by: int
--- a/sidecar/cluster/rollout_exchanges.py
+++ b/sidecar/cluster/rollout_exchanges.py
@@ -1,8 +1,8 @@
-"""Exchanges with other members: whom to send a round to, and how soon.
+"""Exchanges of aggregation rounds with other members.
 
-A newer version is pushed to a few members at once (rumor mongering); besides, each member exchanges rounds
-with one other at a time (push-pull anti-entropy).  Source: Demers et al.: "Epidemic Algorithms for Replicated
-Database Maintenance" (1987).
+A newer version is pushed to a few members at once (rumor mongering).  In addition, each member periodically
+exchanges rounds with one random member (push-pull anti-entropy).  Source: Demers et al.: "Epidemic Algorithms
+for Replicated Database Maintenance" (1987).
 """
 
 from __future__ import annotations
@@ -14,49 +14,50 @@
 from sidecar.cluster.rollout_message import ExchangeKind, encode
 from sidecar.cluster.rollout_state import RolloutState
 
-_MAX_DATAGRAMS_PER_S = 10.0  # in all, whatever comes
+_MAX_DATAGRAMS_PER_S = 10.0  # pushes, exchanges and replies together, also under a flood of datagrams
 _SPREADING_INTERVAL_US = 250_000  # between two exchanges while a new version spreads, ...
-_SPREADING_US = 10_000_000  # ... for so long since it was heard of
-_QUIET_EXCHANGES = 4  # in a row that brought nothing new: then the interval is longer
-_QUIET_INTERVAL_PERIODS = 5
+_SPREADING_US = 10_000_000  # ... which is assumed for this long after this member learnt of it
+_QUIET_EXCHANGES = 4  # per chunk, in a row without a change of the round: then the interval is longer
+_QUIET_INTERVAL_PERIODS = 5  # the longer interval, in exchange periods
 _PARTNER_DRAWS = 8
-_ANY_MEMBER_EVERY = 8  # of so many exchanges one may go to a dead member: it finds a healed partition
+# One in this many exchanges may go to a dead member, so that a healed partition is detected.
+_ANY_MEMBER_EVERY = 8
 
 
 class RolloutExchanges:
-    """Sends one member's datagrams about versions.  All times are microseconds."""
+    """Schedules the local member's exchanges and composes its datagrams.  All times are microseconds."""
 
     def __init__(self, state: RolloutState, cluster: int, now: int) -> None:
         self._state, self._cluster = state, cluster
         self._limiter = RateLimiter(now, _MAX_DATAGRAMS_PER_S, 0.0)
         self._exchanges = 0
-        self._quiet_exchanges = 0  # in a row that brought nothing new
+        self._quiet_exchanges = 0  # since the local round changed last
         self.next_at = now
         self._datagrams: list[SendDatagram] = []
 
     def drain(self) -> list[SendDatagram]:
-        """Return the datagrams to be sent since the last call."""
+        """Return the datagrams composed since the last call."""
         datagrams, self._datagrams = self._datagrams, []
         return datagrams
 
     def schedule_within(self, now: int, interval_us: int) -> None:
-        """Begin the next exchange at most this much later."""
+        """Bring the next exchange forward to at most `interval_us` from now."""
         self.next_at = min(self.next_at, now + interval_us)
 
     def round_changed(self, now: int) -> None:
-        """The local round says something new: others have to hear of it soon."""
+        """Schedule an exchange soon, because the reports in the local round changed."""
         self._quiet_exchanges = 0
         self.schedule_within(now, self._state.jittered(self._interval_us(now)))
 
     def push_newer_version(self, now: int, sender: int) -> None:
-        """Tell some members at once about a version that was news here."""
+        """Push a version that is new here to `fanout` random members at once, but not to its sender."""
         self.schedule_within(now, int(_SPREADING_INTERVAL_US * self._state.random.random()))
         partners = {self._draw_partner() for _ in range(self._state.settings.fanout)} - {None, sender}
         for partner in partners:
             self._send(now, partner, ExchangeKind.PUSH, chunk_of(self._state.number))
 
     def begin(self, now: int) -> None:
-        """Exchange with one other member."""
+        """Exchange one chunk of the round with a random member."""
         self._exchanges += 1
         chunk = self._exchanges % self._state.chunk_count
         self._send(now, self._draw_partner(), ExchangeKind.PUSH_PULL, chunk)
@@ -64,12 +65,12 @@
         self.next_at = now + self._state.jittered(self._interval_us(now))
 
     def reply(self, now: int, receiver: int, remote: AggregationRound, chunk: int) -> None:
-        """Send one chunk to a member that asked, if it lacks anything of it."""
-        if self._lacks_something(remote, chunk):
+        """Send one chunk to a member that requested it, if it lacks any part of it."""
+        if self._needs_reply(remote, chunk):
             self._send(now, receiver, ExchangeKind.PUSH, chunk, is_reply=True)
 
     def _interval_us(self, now: int) -> int:
-        """Until the next exchange."""
+        """Return the mean time until the next exchange."""
         state = self._state
         is_quiet = self._quiet_exchanges >= _QUIET_EXCHANGES * state.chunk_count
         is_recent = now - state.newest_received_at < _SPREADING_US
@@ -79,7 +80,7 @@
         return state.exchange_period_us * (_QUIET_INTERVAL_PERIODS if is_quiet else 1)
 
     def _draw_partner(self) -> int | None:
-        """Any other member; None if none was drawn."""
+        """Draw a random other member; None if no suitable one was found in `_PARTNER_DRAWS` draws."""
         state = self._state
         size = len(state.table)
         may_have_ended = self._exchanges % _ANY_MEMBER_EVERY == 0
@@ -89,13 +90,14 @@
                 return member
         return None
 
-    def _lacks_something(self, remote: AggregationRound, chunk: int) -> bool:
+    def _needs_reply(self, remote: AggregationRound, chunk: int) -> bool:
+        """Return whether the sender of a round lacks any part of the local one, as far as `chunk` shows."""
         local = self._state.round
         if local.key != remote.key:
             return local.key > remote.key
-        local_head = (local.first_reported_by, local.min_digest, local.max_digest)
-        remote_head = (remote.first_reported_by, remote.min_digest, remote.max_digest)
-        return local_head != remote_head or local.chunk(chunk) != remote.chunk(chunk)
+        local_header = (local.first_reported_by, local.min_digest, local.max_digest)
+        remote_header = (remote.first_reported_by, remote.min_digest, remote.max_digest)
+        return local_header != remote_header or local.chunk(chunk) != remote.chunk(chunk)
 
     def _send(
         self, now: int, receiver: int | None, kind: ExchangeKind, chunk: int, *, is_reply: bool = False
--- a/sidecar/cluster/rollout_message.py
+++ b/sidecar/cluster/rollout_message.py
@@ -1,8 +1,8 @@
-"""Datagrams about configuration versions: MessagePack arrays with a format version of their own.
+"""Encoding of rollout datagrams as MessagePack arrays, with a format version other than membership's.
 
-A message is [2, cluster, sender, kind, version, round, age of the round, first reported by, least digest,
-greatest digest, chunk, members with the version in force, members behind].  Programs that know membership
-alone drop it as a datagram of another format version (`sidecar.cluster.message`).
+A message is [2, cluster, sender, kind, version, round number, age of the round, first reported by, minimum
+digest, maximum digest, chunk, members with the version in force, members behind].  Releases without rollout
+drop it as a membership datagram of another format version (`sidecar.cluster.message`).
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 MAX_ROUND_AGE = 0xFFFF  # tenths of seconds
 _ROUND_AGE_UNIT_US = 100_000
 _MAX_CHUNK = chunk_of(MAX_MEMBERS - 1)
-_ARRAY_HEADER = 0x90  # of a MessagePack array of up to 15 entries; its length is in the lower half
+_ARRAY_HEADER = 0x90  # of a MessagePack array of up to 15 entries; the low four bits hold its length
 _ARRAY_HEADER_MASK = 0xF0
 
 
 @unique
 class ExchangeKind(IntEnum):
-    """Whether the sender wants to hear what it lacks."""
+    """Whether the sender asks for a reply."""
 
     PUSH = 0
-    PUSH_PULL = 1
+    PUSH_PULL = 1  # the receiver replies with what the sender lacks
 
 
 Uint32 = Annotated[int, msgspec.Meta(ge=0, le=MAX_UINT32)]
@@ -57,7 +57,7 @@
     behind: Chunk
 
     def aggregation_round(self, now: int) -> AggregationRound:
-        """What it says, of the members of its chunk; `now` in microseconds."""
+        """Return the round in this message, with the members of its chunk only; `now` in microseconds."""
         return AggregationRound(
             self.version,
             self.round_number,
@@ -75,14 +75,18 @@
 
 
 def is_rollout_message(payload: bytes) -> bool:
-    """Whether a datagram begins as a rollout message does; all others are membership's."""
+    """Return whether a datagram begins like a rollout message; all others belong to membership."""
     if payload[1:2] != _FORMAT_VERSION_BYTE:
         return False
     return payload[0] & _ARRAY_HEADER_MASK == _ARRAY_HEADER
 
 
 def decode(payload: bytes, cluster: int, sender: int) -> RolloutMessage:
-    """Decode what came from the address of `sender`; raise InvalidDatagramError on any other form."""
+    """Decode a datagram that came from the address of `sender`.
+
+    Raises:
+        InvalidDatagramError: if its form, cluster or sender is wrong.
+    """
     if len(payload) > MAX_DATAGRAM_BYTES:
         raise InvalidDatagramError(DropReason.TOO_LONG)
     try:
@@ -104,7 +108,7 @@
 def encode(
     cluster: int, sender: int, kind: ExchangeKind, round_: AggregationRound, chunk: int, now: int
 ) -> bytes:
-    """One chunk of a round as a datagram; `now` in microseconds."""
+    """Encode one chunk of a round as a datagram; `now` in microseconds."""
     age = (now - round_.started_at) // _ROUND_AGE_UNIT_US
     in_force, behind = round_.chunk(chunk)
     return _ENCODER.encode(
--- a/sidecar/cluster/rollout_status.py
+++ b/sidecar/cluster/rollout_status.py
@@ -1,4 +1,4 @@
-"""Whether a configuration version is in force everywhere, as members say themselves."""
+"""Whether a configuration version is in force everywhere, according to the members' reports."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from sidecar.cluster.message import MemberState
 from sidecar.cluster.rollout_state import RolloutState
 
-MAX_LISTED_MEMBERS = 16  # by number; further ones are counted
+MAX_LISTED_MEMBERS = 16  # listed by number; further ones are only counted
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutStatus:
-    """The newest version that was heard of, by the latest aggregation round that can tell."""
+    """The rollout of the newest known version, evaluated from the latest complete aggregation round."""
 
     version: int
-    is_in_force_everywhere: bool | None  # None: unknown, as the word of some member is missing
+    is_in_force_everywhere: bool | None  # None: unknown, because reports of some members are missing
     in_force_count: int
-    required_count: int  # members whose word is needed: all that neither left nor were declared dead
-    behind: tuple[int, ...]  # say that they have it not; MAX_LISTED_MEMBERS at most
+    required_count: int  # members whose reports are required: all that neither left nor were declared dead
+    behind: tuple[int, ...]  # reported another version; at most MAX_LISTED_MEMBERS
     behind_count: int
-    missing: tuple[int, ...]  # not heard in that round; MAX_LISTED_MEMBERS at most
+    missing: tuple[int, ...]  # no report in the round; at most MAX_LISTED_MEMBERS
     missing_count: int
-    min_digest: int  # of the contents that members have under this version
-    max_digest: int
+    min_digest: int  # lowest digest of the contents that members have under this version
+    max_digest: int  # highest digest
     round_number: int
-    round_age_us: int  # no member's word is older
+    round_age_us: int  # upper bound of the age of the reports
 
     @property
     def is_ambiguous(self) -> bool:
@@ -36,14 +36,14 @@
 
 
 def rollout_status(state: RolloutState, now: int) -> RolloutStatus:
-    """Evaluate the latest round, or the one before as long as the latest has not had time to fill."""
+    """Evaluate the latest round, and the previous one too until the latest has had time to complete."""
     round_ = state.round
     in_force, behind = round_.in_force, round_.behind
     min_digest, max_digest = round_.min_digest, round_.max_digest
     required = _required_members(state.table)
     is_incomplete = now - round_.started_at < state.round_completion_us
     if state.previous_round is not None and required & ~in_force and is_incomplete:
-        # What was said in the latest round takes precedence already.
+        # Reports in the latest round take precedence.
         round_ = state.previous_round
         in_force |= round_.in_force & ~behind
         behind |= round_.behind & ~in_force
@@ -68,9 +68,10 @@
 
 
 def _required_members(table: MemberTable) -> int:
-    """The members whose word is needed; a member in a minority needs that of the dead too.
+    """Return the set of members whose reports are required.
 
-    It is rather the local member that is cut off then.
+    While the local member is in a minority, it is more likely cut off than the others dead, so the reports of
+    members declared dead are required too.
     """
     required = dead = 0
     for number, record in enumerate(table.records):
--- a/sidecar/cluster/settings.py
+++ b/sidecar/cluster/settings.py
@@ -1,6 +1,6 @@
-"""Settings of membership and of the rollout of configuration versions: units, defaults, bounds.
+"""Settings of membership and of the rollout of configuration versions, with defaults and bounds.
 
-A field that has another name than its key in the configuration names the key in its metadata.
+A field whose key in the configuration differs from its name has the key in its metadata.
 """
 
 from __future__ import annotations
@@ -9,66 +9,75 @@
 from dataclasses import Field, dataclass, field, fields
 from typing import Any
 
-_KEY, _BOUNDS = "key", "bounds"  # of a field's metadata
-# Keys of the configuration that a reload applies, and that a digest may cover.
+_KEY, _BOUNDS = "key", "bounds"  # keys of a field's metadata
+# Keys of the configuration that take effect at a reload; only these can be covered by the digest.
 RELOADED_KEYS = ("discovery", "peers", "peers_all", "membership", "rollout")
 
 
 def _number(default: float, minimum: float, maximum: float, key: str | None = None) -> Any:
-    """A field for a number within bounds, an integer if its default is one."""
+    """Return a dataclass field for a number within bounds; only whole numbers if the default is one."""
     metadata = {_BOUNDS: (minimum, maximum)}
     return field(default=default, metadata=metadata if key is None else {**metadata, _KEY: key})
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """Whether and how this sidecar takes part in membership."""
+    """Settings under the key `membership` of the configuration."""
 
-    on: bool = True  # only where the platform's settings allow datagrams
-    informs: bool = True  # whether load balancing hears of the cluster's size
-    datagrams_per_s: float = _number(1.0, 0.1, 1.0)  # sent at rest, on average
-    datagrams_per_request: float = _number(0.05, 0.0, 0.05)  # and for each request taken
-    # The least protocol period, however many requests there are.
+    on: bool = True  # has no effect where the platform's settings forbid datagrams
+    informs: bool = True  # whether load balancing uses the cluster size as membership reports it
+    datagrams_per_s: float = _number(1.0, 0.1, 1.0)  # average rate at rest
+    datagrams_per_request: float = _number(0.05, 0.0, 0.05)  # added to it for each client request
+    # Lower bound of the protocol period, which shrinks as client requests allow more datagrams.
     min_period_ms: int = _number(1_000, 200, 10_000, key="least_period_ms")
-    relays: int = _number(3, 0, 8)  # members that a ping-request goes to
-    # The least time-out of a suspicion, for each decimal digit of the cluster's size.
+    relays: int = _number(3, 0, 8)  # number of members to which a ping-request is sent
+    # Minimum suspicion timeout in protocol periods; multiplied by log10 of the cluster's size from 10 on.
     suspicion_periods: float = _number(3.0, 1, 20)
-    # The greatest time-out, while no other member confirms the suspicion, divided by the least.
+    # Timeout of a suspicion that no other member has confirmed, divided by the minimum.
     suspicion_timeout_ratio: float = _number(4.0, 1, 10, key="suspicion_stretch")
 
     @staticmethod
-    def from_mapping(given: object) -> MembershipSettings:
-        """Read them from the configuration; raise ValueError, naming the key, on invalid values."""
-        return MembershipSettings(**_read(given, fields(MembershipSettings)))
+    def from_mapping(document: object) -> MembershipSettings:
+        """Read the settings from a part of the configuration; None stands for the defaults.
+
+        Raises:
+            ValueError: if it is no object, has an unknown key or an invalid value; the text names the key.
+        """
+        return MembershipSettings(**_read(document, fields(MembershipSettings)))
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutSettings:
-    """Whether and how this sidecar compares its configuration version with other members."""
-
-    on: bool = True  # only where the file has a `version`, and membership is on
-    datagrams_per_s: float = _number(1.0, 0.1, 5.0)  # while there is news; a fifth of it otherwise
-    fanout: int = _number(3, 0, 8)  # members that a newer version is pushed to at once
-    round_interval_s: float = _number(30.0, 5, 600, key="wave_s")  # longer in large clusters
-    # Members that hear of a version read their files within this, so that not all call discovery at once.
+    """Settings under the key `rollout` of the configuration."""
+
+    on: bool = True  # has no effect without a `version` in the file, or while membership is off
+    datagrams_per_s: float = _number(1.0, 0.1, 5.0)  # while rounds change; a fifth of it otherwise
+    fanout: int = _number(3, 0, 8)  # number of members to which a newer version is pushed at once
+    round_interval_s: float = _number(30.0, 5, 600, key="wave_s")  # extended in large clusters
+    # Members read their files at a random time within this after they learn of a version, so that not all of
+    # them call discovery at once.
     file_read_spread_s: float = _number(1.0, 0, 4, key="spread_s")
-    digest_of: tuple[str, ...] = RELOADED_KEYS  # keys that all files of one version have alike
+    digest_of: tuple[str, ...] = RELOADED_KEYS  # keys whose values are equal in all files of one version
 
     @staticmethod
-    def from_mapping(given: object) -> RolloutSettings:
-        """Read them from the configuration; raise ValueError, naming the key, on invalid values."""
-        return RolloutSettings(**_read(given, fields(RolloutSettings)))
+    def from_mapping(document: object) -> RolloutSettings:
+        """Read the settings from a part of the configuration; None stands for the defaults.
+
+        Raises:
+            ValueError: if it is no object, has an unknown key or an invalid value; the text names the key.
+        """
+        return RolloutSettings(**_read(document, fields(RolloutSettings)))
 
 
-def _read(given: object, settings: tuple[Field[Any], ...]) -> dict[str, Any]:
-    """The values of the settings that are given, by the names of their fields."""
-    if given is None:
+def _read(document: object, settings: tuple[Field[Any], ...]) -> dict[str, Any]:
+    """Return the checked values in `document` by the names of their fields."""
+    if document is None:
         return {}
-    if not isinstance(given, Mapping):
+    if not isinstance(document, Mapping):
         raise ValueError("an object is needed")  # noqa: TRY004 - callers catch ValueError for any invalid input
     by_key = {setting.metadata.get(_KEY, setting.name): setting for setting in settings}
     values: dict[str, Any] = {}
-    for key, value in given.items():
+    for key, value in document.items():
         if key not in by_key:
             raise ValueError(f"{key}: no such key: {', '.join(by_key)} are known")
         values[by_key[key].name] = _checked(key, value, by_key[key])
--- a/sidecar/cluster_membership.py
+++ b/sidecar/cluster_membership.py
@@ -1,6 +1,6 @@
-"""Membership of this process in the cluster: its settings, log lines and metrics.
+"""Membership of this process in the cluster: settings, timer, log lines and metrics.
 
-`sidecar.cluster` decides what is believed about other members, without I/O.
+The protocol itself is in `sidecar.cluster`, without I/O.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from sidecar.peers import Peers
 from sidecar.protocol_runner import ProtocolRunner
 
-_LOG_INTERVAL_S = 1.0  # changes are logged in one line, at most this often
-_MAX_LOGGED_CHANGES = 8  # in one line; further ones are counted
-_MAX_LISTED_MEMBERS = 64  # one by one in the metrics; the view holds all
+_LOG_INTERVAL_S = 1.0  # changes within this are logged together in one line
+_MAX_LOGGED_CHANGES = 8  # written out in one line; further ones are only counted
+_MAX_LISTED_MEMBERS = 64  # absent members with details in the metrics; `view` has the states of all
 _STATE_LETTERS = {
     MemberState.PRESENT: "p",
     MemberState.SUSPECTED: "s",
@@ -35,7 +35,7 @@
 
 
 class ClusterMembership(ProtocolRunner[Membership, MembershipAction]):
-    """Takes part in the cluster while it is switched on and the platform allows datagrams."""
+    """Runs the membership protocol while it is switched on and the platform allows datagrams."""
 
     _label = "membership"
 
@@ -49,28 +49,31 @@
         log: EventLog,
         on_size: Callable[[ClusterSize], None],
     ) -> None:
-        """`on_size` is called with the cluster's size after each event, changed or not."""
+        """Create it switched off; `configure` starts the protocol.
+
+        `on_size` is called with the cluster's size after each event, also if it has not changed.
+        """
         super().__init__(clock, peers, log)
         self._number, self._cluster = number, cluster
         self._random = random.Random(f"members {seed}")
         self._on_size = on_size
-        self._requests = 0  # taken since the last event
-        self._changes: list[str] = []  # to be logged
-        self._further_changes = 0  # beyond those that one line names
+        self._requests = 0  # received since the last event
+        self._changes: list[str] = []  # waiting to be logged
+        self._further_changes = 0  # beyond those that are written out in one line
         self._log_timer: asyncio.TimerHandle | None = None
         self._informs = True
 
     @property
     def membership(self) -> Membership | None:
-        """None while it is off."""
+        """The state of the protocol; None while it is off."""
         return self.protocol
 
     def configure(self, settings: MembershipSettings) -> None:
-        """Be on or off, with these settings and the peers that are configured now."""
+        """Start, stop or reconfigure the protocol by the settings and the number of configured peers."""
         size, now = self._peers.size, self._clock.now()
         self._informs = settings.informs
         if not (settings.on and settings.informs):
-            # From here on load balancing goes by the configured size.
+            # From now on load balancing uses the configured size.
             self._on_size(ClusterSize(size, size, 0, 0, 0, 0))
         if not settings.on or not 0 <= self._number < size:
             self.leave()
@@ -82,28 +85,28 @@
             self._carry_out(self.protocol.configure(now, size, settings))
 
     def datagram_received(self, sender: int, payload: bytes) -> None:
-        """A datagram came from the address of the member `sender`."""
+        """Process a datagram that came from the address of member `sender`."""
         self._deliver(lambda membership, now: membership.datagram_received(now, sender, payload))
 
     def request_received(self) -> None:
-        """The sidecar took a request; membership hears of it at its next event."""
+        """Count a client request; the protocol gets the count with its next event."""
         self._requests += 1
 
     def leave(self, *, has_successor: bool = False) -> None:
-        """This process ends: announce it, unless another continues as this member."""
+        """Stop the protocol and announce that this member leaves, unless another process continues as it."""
         membership, self.protocol = self.protocol, None
         self._timer.cancel()
         if membership is not None:
             self._carry_out(membership.leave(has_successor=has_successor))
 
     def close(self) -> None:
-        """Hold no timer any more."""
+        """Cancel all timers."""
         self._timer.cancel()
         if self._log_timer is not None:
             self._log_timer.cancel()
 
     def metrics(self) -> dict[str, object] | None:
-        """The metrics that operators read; None while it is off."""
+        """Return the metrics of membership; None while it is off."""
         membership = self.protocol
         if membership is None:
             return None
@@ -163,7 +166,7 @@
     # Log lines
 
     def _log_change(self, change: str) -> None:
-        """Log a change soon, together with others."""
+        """Add a change to the next log line, which follows within `_LOG_INTERVAL_S`."""
         if len(self._changes) < _MAX_LOGGED_CHANGES:
             self._changes.append(change)
         else:
@@ -192,7 +195,7 @@
 
 
 def _absent_members(records: Sequence[MemberRecord], now: int) -> list[dict[str, object]]:
-    """The members that are not believed present, as metrics."""
+    """Return the members that are not believed present, for the metrics."""
     return [
         {
             "member": number,
--- a/sidecar/cluster_service.py
+++ b/sidecar/cluster_service.py
@@ -1,6 +1,7 @@
-"""The other sidecars of the cluster, for this process: datagrams, membership and configuration versions.
+"""Communication with the other sidecars of the cluster: datagrams, membership and rollout of versions.
 
-Membership and versions are imported when they are first switched on: a process without them saves memory.
+Membership and rollout are imported when they are first switched on, which saves memory in processes without
+them.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class ClusterService:
-    """Sends and receives datagrams, and keeps membership and versions as configured."""
+    """Owns the datagram endpoint, membership and rollout, and applies the configuration to them."""
 
     def __init__(
         self,
@@ -32,18 +33,21 @@
         on_newer_version: Callable[[], None],
         log: EventLog,
     ) -> None:
-        """`on_newer_version` is called when another sidecar has a newer version of the configuration."""
+        """Create the service; it sends and receives nothing before `listen`.
+
+        `on_newer_version` is called when another sidecar has a newer version of the configuration.
+        """
         self._configuration = configuration
         self._number = configuration.settings.instance_index
         self._clock = clock
         self._dispatch = dispatch
         self._on_newer_version = on_newer_version
         self._log = log
-        self._last_size: ClusterSizeChanged | None = None  # as dispatched last
+        self._last_size: ClusterSizeChanged | None = None  # the last one dispatched
         self._is_shut_down = False
         self.peers = self.create_peers(configuration)
         self.membership: ClusterMembership | None = None  # None: never switched on
-        self.rollout: ConfigurationRollout | None = None  # likewise
+        self.rollout: ConfigurationRollout | None = None  # None: never switched on
 
     def create_peers(self, configuration: Configuration) -> Peers:
         """Return the datagram endpoint; a subclass may return another one."""
@@ -54,13 +58,22 @@
         """Return the membership of this process; a subclass may return another one."""
         from sidecar.cluster_membership import ClusterMembership
 
-        own = self._configuration
+        configuration = self._configuration
         return ClusterMembership(
-            self._number, own.cluster, own.seed, self._clock, self.peers, self._log, self.size_changed
+            self._number,
+            configuration.cluster,
+            configuration.seed,
+            self._clock,
+            self.peers,
+            self._log,
+            self.size_changed,
         )
 
     async def listen(self, *, is_port_shared: bool) -> None:
-        """Receive datagrams, if configured; an address that can't be bound is logged and delays nothing."""
+        """Start to receive datagrams, if configured.
+
+        An address that can't be bound is only logged: the sidecar then serves without membership.
+        """
         address = self._configuration.peer_listen_address
         if address is None or not self._configuration.settings.limits.may_message_peers:
             return
@@ -74,9 +87,9 @@
 
     def check_version(self, configuration: Configuration) -> None:
         """Raise ConfigurationError if the version of a configuration is older than that in force."""
-        refusal = None if self.rollout is None else self.rollout.rejection(configuration)
-        if refusal is not None:
-            raise ConfigurationError(refusal)
+        reason = None if self.rollout is None else self.rollout.rejection(configuration)
+        if reason is not None:
+            raise ConfigurationError(reason)
 
     def reconfigure(self, configuration: Configuration, *, is_fully_applied: bool) -> None:
         """Apply a configuration; unless `is_fully_applied`, a part of it takes effect only at a restart."""
@@ -87,41 +100,41 @@
 
     @property
     def version(self) -> int | None:
-        """The version of the configuration that is in force; None where versions are not compared."""
+        """The version of the configuration that is in force; None while rollout is off."""
         return None if self.rollout is None else self.rollout.version
 
     def metrics(self) -> dict[str, object]:
-        """Return the metrics of what is switched on, by name."""
+        """Return the metrics of membership and rollout, as far as they are on, by their keys."""
         membership = None if self.membership is None else self.membership.metrics()
-        versions = None if self.rollout is None else self.rollout.metrics()
+        rollout = None if self.rollout is None else self.rollout.metrics()
         metrics: dict[str, object] = {}
         if membership is not None:
             metrics["membership"] = membership
-        if versions is not None:
-            metrics["configuration"] = versions
+        if rollout is not None:
+            metrics["configuration"] = rollout
         return metrics
 
     def request_received(self) -> None:
-        """Count a client's request: membership uses the rate as a measure of local load."""
+        """Count a client request: the request rate raises membership's limit on datagrams."""
         if self.membership is not None:
             self.membership.request_received()
 
     def message_received(self, sender: int, payload: bytes) -> None:
-        """Hand a datagram to membership or versions while they are on, else to the balancer."""
+        """Pass a datagram to rollout or membership, or to the balancer while membership is off."""
         if self.membership is None or self.membership.membership is None:
             self._dispatch(PeerMessageReceived(sender, payload))
         elif self.rollout is None or not self.rollout.datagram_received(sender, payload):
             self.membership.datagram_received(sender, payload)
 
     def size_changed(self, size: ClusterSize) -> None:
-        """Dispatch the size of the cluster if it differs from the last one."""
+        """Dispatch the size of the cluster if it differs from the last one dispatched."""
         event = ClusterSizeChanged(size.configured, size.at_most, size.at_least, size.is_in_minority)
         if event != self._last_size:
             self._last_size = event
             self._dispatch(event)
 
     def shut_down(self, *, has_successor: bool) -> None:
-        """Leave the cluster, unless a successor stays in it: then all datagrams are the successor's."""
+        """Leave the cluster; with a successor, close the socket instead, so that it gets all datagrams."""
         self._is_shut_down = True
         if self.rollout is not None:
             self.rollout.close()
@@ -157,11 +170,11 @@
     def _create_rollout(self) -> ConfigurationRollout:
         from sidecar.configuration_rollout import ConfigurationRollout
 
-        own = self._configuration
+        configuration = self._configuration
         return ConfigurationRollout(
             self._number,
-            own.cluster,
-            own.seed,
+            configuration.cluster,
+            configuration.seed,
             self._clock,
             self.peers,
             self._log,
--- a/sidecar/configuration_rollout.py
+++ b/sidecar/configuration_rollout.py
@@ -1,6 +1,6 @@
-"""Rollout of configuration versions, as this process takes part in it: settings, log lines and metrics.
+"""Rollout of configuration versions in this process: settings, timer, log lines and metrics.
 
-`sidecar.cluster.rollout` keeps what is known of other members; the file is applied as at SIGHUP.
+The protocol itself is in `sidecar.cluster.rollout`; a newer file is applied in the same way as at SIGHUP.
 """
 
 from __future__ import annotations
@@ -37,12 +37,13 @@
 from sidecar.peers import Peers
 from sidecar.protocol_runner import ProtocolRunner
 
-_LOG_LINES_PER_S = 0.1  # whatever other members say, the log grows no faster, ...
-_LOG_BURST_S = 200.0  # ... after 20 lines at once
+# Limits the log lines about reports, whatever datagrams other members send.
+_LOG_LINES_PER_S = 0.1
+_LOG_BURST_S = 200.0  # unused lines of this time may be logged at once: 20 lines
 
 
 class ConfigurationRollout(ProtocolRunner[Rollout, RolloutAction]):
-    """Compares versions with other members while the configuration has one and membership is on."""
+    """Runs the rollout protocol while the configuration has a version and membership is on."""
 
     _label = "versions"
 
@@ -56,10 +57,13 @@
         log: EventLog,
         read_configuration: Callable[[], None],
     ) -> None:
-        """`read_configuration` reads the file again, and passes what it holds to `configure`."""
+        """Create it switched off; `configure` starts the protocol.
+
+        `read_configuration` reads the configuration file again and passes the result to `configure`.
+        """
         super().__init__(clock, peers, log)
-        self._table: MemberTable | None = None  # membership's, that the rollout goes by
-        self._rejected_files = 0  # with a lower version, since the start
+        self._table: MemberTable | None = None  # membership's table, which the protocol reads
+        self._rejected_files = 0  # files with a lower version than in force, since the start
         self._number, self._cluster = number, cluster
         self._random = random.Random(f"rollout {seed}")
         self._read_configuration = read_configuration
@@ -67,11 +71,14 @@
 
     @property
     def version(self) -> int | None:
-        """The version in force; None while versions are not compared."""
+        """The version in force; None while rollout is off."""
         return None if self.protocol is None else self.protocol.version
 
     def rejection(self, config: Configuration) -> str | None:
-        """Why a file may not be applied; one in which this is switched off always may."""
+        """Return why a configuration must not be applied, and count it; None if it may be applied.
+
+        A configuration that switches rollout off may always be applied.
+        """
         if self.protocol is None or config.version is None or not config.rollout.on:
             return None
         if self.protocol.permits(config.version):
@@ -91,19 +98,19 @@
             self._reconfigure(self.protocol, config, config.version, is_fully_applied=is_fully_applied)
 
     def datagram_received(self, sender: int, payload: bytes) -> bool:
-        """Take a datagram from a member; return False if it is not about versions, or this is off."""
+        """Process a rollout datagram; return False if it is of another kind, or rollout is off."""
         if self.protocol is None or not is_rollout_message(payload):
             return False
         self._deliver(lambda rollout, now: rollout.datagram_received(now, sender, payload))
         return True
 
     def close(self) -> None:
-        """Compare no more, and hold no timer."""
+        """Stop the protocol and cancel its timer."""
         self.protocol = self._table = None
         self._timer.cancel()
 
     def metrics(self) -> dict[str, object] | None:
-        """The metrics that operators read; None while it is off."""
+        """Return the metrics of the rollout; None while it is off."""
         rollout = self.protocol
         if rollout is None:
             return None
@@ -138,7 +145,7 @@
         digest = config.digest
         if not is_fully_applied:
             if self.protocol is None:
-                return  # which version is in force here is known after the restart
+                return  # the version in force here is unknown until the restart
             version, digest = self.protocol.version, self.protocol.digest
         now = self._clock.now()
         rng = random.Random(self._random.getrandbits(64))
@@ -171,7 +178,7 @@
 
 
 def log_event(report: RolloutReport) -> LogEvent:
-    """The event that tells operators of a report."""
+    """Return the log event for a report."""
     match report:
         case RolloutConcluded(after_us, status):
             return _conclusion_event(after_us / 1e6, status)
--- a/sidecar/peers.py
+++ b/sidecar/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between the sidecars of a cluster."""
+"""The datagram endpoint for messages between the sidecars of a cluster."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Sends to the members of the cluster by number, and passes on datagrams with their sender's number."""
+    """Sends datagrams to members by number, and passes received ones on with the sender's number."""
 
     def __init__(
         self,
@@ -20,39 +20,47 @@
         local_number: int,
         on_datagram: Callable[[int, bytes], None],
     ) -> None:
-        """`peers` are the addresses of all members by number; a datagram to all goes to `broadcast_address`.
+        """Create the endpoint; `peers` are the addresses of all members by number, the local one included.
 
+        A datagram to all members is sent once to `broadcast_address`, or to each member if that is None.
         `on_datagram` is called with the number of the sender and the payload.
         """
         self._local_number = local_number
         self._on_datagram = on_datagram
         self._transport: asyncio.DatagramTransport | None = None
-        self.unknown_sender_count = 0  # datagrams that no other member sent, or that are too long
+        self.unknown_sender_count = 0  # dropped datagrams: not from another member's address, or too long
         self.set_addresses(peers, broadcast_address)
 
     @property
     def is_listening(self) -> bool:
-        """Whether datagrams are received at present."""
+        """Whether the socket is open."""
         return self._transport is not None
 
     @property
     def size(self) -> int:
-        """How many members the cluster has, this one included."""
+        """The number of configured members, the local one included."""
         return len(self._peers)
 
     def set_addresses(self, peers: tuple[Address, ...], broadcast_address: Address | None) -> None:
-        """The members have these addresses from now on."""
+        """Replace the addresses of the members."""
         self._peers, self._broadcast_address = peers, broadcast_address
         self._numbers = {address: number for number, address in enumerate(peers)}
 
     async def listen(self, address: Address, *, shared: bool = False) -> None:
-        """Receive at this address, `shared` with another process of this sidecar; raise OSError."""
+        """Open the socket; `shared` allows another process of this sidecar to bind the same address.
+
+        Raises:
+            OSError: if the address can't be bound.
+        """
         await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, local_addr=address, reuse_port=shared or None
         )
 
     def send(self, receiver: int | None, payload: bytes) -> bool:
-        """Send to one member, or to all others (None); return False if that is not possible."""
+        """Send to one member, or to all others (None).
+
+        Returns False if the socket is closed, the payload is too long or there is no such member.
+        """
         if self._transport is None or len(payload) > MAX_DATAGRAM_BYTES:
             return False
         if receiver is not None:
@@ -68,18 +76,18 @@
         return True
 
     def close(self) -> None:
-        """Close the socket; it may listen again."""
+        """Close the socket; `listen` may open it again."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the event loop: the socket is open."""
-        # uvloop's class does not derive from DatagramTransport, so there is nothing to check.
+        """Keep the transport; called by the event loop when the socket is open."""
+        # A cast, as uvloop's transport does not derive from DatagramTransport, so isinstance would fail.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Called by the event loop: a datagram came from this address."""
+        """Pass on a datagram with its sender's number; called by the event loop."""
         number = self._numbers.get((addr[0], addr[1]))
         if number is None or number == self._local_number or len(data) > MAX_DATAGRAM_BYTES:
             self.unknown_sender_count += 1
@@ -87,4 +95,4 @@
         self._on_datagram(number, data)
 
     def error_received(self, exc: Exception) -> None:
-        """An error says no more than that a datagram may be lost."""
+        """Ignore an error of an earlier send: datagrams may be lost anyway."""
