--- a/tests/cluster_vocabulary.py
+++ b/tests/cluster_vocabulary.py
@@ -1,7 +1,7 @@
-"""The one place where the recorded conversation names the cluster's classes: events in, neutral lists out.
+"""Adapter between the cluster protocols and the recorded conversation, whose events and outputs are lists.
 
-Renaming a class, a method or a member of an enumeration changes this module and nothing else of the
-recorded conversation.
+The names in these lists are part of the recorded files and stay.  When a class, method or enum member of the
+protocols is renamed, only this module follows.
 """
 
 from __future__ import annotations
@@ -34,17 +34,17 @@
 
 
 class Process:
-    """One sidecar's part in the cluster: who is there, and which configuration is in force where."""
+    """Membership and rollout of one sidecar."""
 
-    def __init__(self, me: int, size: int, seed: int, now: int, unix_s: float, version: int) -> None:
+    def __init__(self, number: int, size: int, seed: int, now: int, unix_s: float, version: int) -> None:
         settings = MembershipSettings()
-        self._membership = Membership(me, size, "cluster", settings, random.Random(seed), now, unix_s)
+        self._membership = Membership(number, size, "cluster", settings, random.Random(seed), now, unix_s)
         self._settings = RolloutSettings(round_interval_s=10.0)
         table, rng = self._membership.table, random.Random(seed + 1)
-        self._rollout = Rollout(me, "cluster", table, self._settings, rng, now, version, 1_000 + version)
+        self._rollout = Rollout(number, "cluster", table, self._settings, rng, now, version, 1_000 + version)
 
-    def play(self, now: int, event: Event) -> list[Output]:  # noqa: PLR0911 - dispatch by kind of event
-        """Take one event; give what came of it, of membership and then of configuration versions."""
+    def handle(self, now: int, event: Event) -> list[Output]:  # noqa: PLR0911 - dispatch by kind of event
+        """Process one event; return the outputs of membership, then those of the rollout."""
         membership, rollout = self._membership, self._rollout
         match event:
             case ["start"]:
@@ -66,72 +66,71 @@
             case ["waiting", version]:
                 return self._rendered([], rollout.configuration_pending(now, version))
             case ["configure", size]:
-                steps = membership.configure(now, size, MembershipSettings())
-                return self._rendered(steps, rollout.configure(now, self._settings))
+                actions = membership.configure(now, size, MembershipSettings())
+                return self._rendered(actions, rollout.configure(now, self._settings))
             case ["leave", has_successor]:
                 return self._rendered(membership.leave(has_successor=has_successor), [])
         raise ValueError(f"unknown event {event!r}")
 
     def belief(self, now: int) -> Output:
-        """What is believed of the others, and of the version that is in force."""
+        """Return the member table, the cluster size, the local incarnation and the rollout status."""
         membership = self._membership
-        members = [
-            [m.update.incarnation, m.update.status, m.update.reported_by] for m in membership.table.records
-        ]
+        updates = [record.update for record in membership.table.records]
+        members = [[update.incarnation, update.status, update.reported_by] for update in updates]
         size = membership.size()
         counts = [size.configured, size.present, size.suspected, size.unknown, size.dead, size.left]
-        return [members, counts, membership.incarnation, _answer(self._rollout.status(now))]
+        return [members, counts, membership.incarnation, _rendered_status(self._rollout.status(now))]
 
     def dropped(self) -> list[dict[str, int]]:
-        """How many datagrams were not taken, by reason, of either kind."""
+        """Return the counts of dropped datagrams by reason, of membership and of the rollout."""
         return [
             {reason.value: count for reason, count in self._membership.dropped.items()},
             {reason.value: count for reason, count in self._rollout.dropped.items()},
         ]
 
     @staticmethod
-    def _rendered(membership: list[Any], versions: list[Any]) -> list[Output]:
-        parts = (("membership", membership), ("versions", versions))
-        return [_rendered(part, action) for part, actions in parts for action in actions]
+    def _rendered(membership_actions: list[Any], rollout_actions: list[Any]) -> list[Output]:
+        protocols = (("membership", membership_actions), ("versions", rollout_actions))
+        return [_rendered(protocol, action) for protocol, actions in protocols for action in actions]
 
 
-def _answer(answer: RolloutStatus) -> Output:
+def _rendered_status(status: RolloutStatus) -> Output:
     return [
-        answer.version,
-        answer.is_in_force_everywhere,
-        answer.in_force_count,
-        answer.required_count,
-        list(answer.behind),
-        answer.behind_count,
-        list(answer.missing),
-        answer.missing_count,
-        answer.min_digest,
-        answer.max_digest,
-        answer.round_number,
-        answer.round_age_us,
+        status.version,
+        status.is_in_force_everywhere,
+        status.in_force_count,
+        status.required_count,
+        list(status.behind),
+        status.behind_count,
+        list(status.missing),
+        status.missing_count,
+        status.min_digest,
+        status.max_digest,
+        status.round_number,
+        status.round_age_us,
     ]
 
 
-def _rendered(part: str, action: object) -> Output:  # noqa: PLR0911 - dispatch by kind of action
+def _rendered(protocol: str, action: object) -> Output:  # noqa: PLR0911 - dispatch by kind of action
     match action:
         case SendDatagram(receiver, payload):
             return ["send", receiver, payload.hex()]
         case ScheduleTick(at):
-            return ["wake", part, at]
-        case MemberStateChanged(member, state, life, by):
-            return ["news", member, int(state), life, by]
+            return ["wake", protocol, at]
+        case MemberStateChanged(member, state, incarnation, reported_by):
+            return ["news", member, int(state), incarnation, reported_by]
         case DuplicateMember(member):
             return ["doubled", member]
-        case ProcessStalled(late_us):
-            return ["slept", late_us]
+        case ProcessStalled(duration_us):
+            return ["slept", duration_us]
         case ReadConfiguration():
             return ["look"]
-        case RolloutConcluded(after_us, answer):
-            return ["settled", after_us, _answer(answer)]
-        case AmbiguousVersion(version, low, high):
-            return ["ambiguous", version, low, high]
-        case VersionMissing(version, by, after_us):
-            return ["missing", version, by, after_us]
-        case VersionForgotten(version, by):
-            return ["forgotten", version, by]
+        case RolloutConcluded(after_us, status):
+            return ["settled", after_us, _rendered_status(status)]
+        case AmbiguousVersion(version, min_digest, max_digest):
+            return ["ambiguous", version, min_digest, max_digest]
+        case VersionMissing(version, first_reported_by, after_us):
+            return ["missing", version, first_reported_by, after_us]
+        case VersionForgotten(version, first_reported_by):
+            return ["forgotten", version, first_reported_by]
     raise ValueError(f"unknown action {action!r}")
