--- a/tests/cluster_conversation.py
+++ b/tests/cluster_conversation.py
@@ -1,7 +1,7 @@
 """A deterministic simulation of a small cluster, recorded from the view of two of its members.
 
-`python tests/cluster_conversation.py` rewrites `tests/data/samples/conversation-*.json`.  Do so only for a new
-format version of the datagrams: sidecars of the recorded release have to understand each recorded byte.
+`python tests/cluster_conversation.py` rewrites `tests/data/samples/conversation-*.json`.  Do so only for a
+new format version of the datagrams: sidecars of the recorded release have to understand each recorded byte.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from cluster_vocabulary import Event, Output, Process
+from cluster_adapter import Event, Output, Process
 
 MS = 1_000
 S = 1_000_000
--- a/tests/test_cluster_conversation.py
+++ b/tests/test_cluster_conversation.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 import pytest
+from cluster_adapter import Process
 from cluster_conversation import SAMPLES, record_conversation
-from cluster_vocabulary import Process
 
 RECORDS = ["conversation-killed", "conversation-lasting", "conversation-restarted"]
 
