--- a/tests/test_aggregation.py
+++ b/tests/test_aggregation.py
@@ -1,11 +1,11 @@
-"""The laws of the round_, in any order of tellings; datagrams read strictly; whatever comes is bounded."""
+"""Aggregation rounds: the algebraic laws of merging, chunks, and correct reports under random events."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 from hypothesis import HealthCheck, given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from sidecar.cluster.aggregation import NO_DIGESTS, AggregationRound
@@ -13,25 +13,25 @@
 from testbed.cluster_simulation.versions import File, VersionedCluster
 
 SIZE = 5
-QUICKLY = how(max_examples=150, deadline=None, derandomize=True)
+FEW_EXAMPLES = hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
 
 
 @st.composite
-def rounds(draw: st.DrawFn, versions: int = 3, waves: int = 3) -> AggregationRound:
-    low, high = draw(st.sampled_from([NO_DIGESTS, (4, 4), (4, 9), (7, 7)]))
+def rounds(draw: st.DrawFn, max_version: int = 3, max_number: int = 3) -> AggregationRound:
+    min_digest, max_digest = draw(st.sampled_from([NO_DIGESTS, (4, 4), (4, 9), (7, 7)]))
     return AggregationRound(
-        draw(st.integers(1, versions)),
-        draw(st.integers(1, waves)),
+        draw(st.integers(1, max_version)),
+        draw(st.integers(1, max_number)),
         draw(st.integers(0, SIZE - 1)),
         draw(st.integers(0, 5)),
-        low,
-        high,
+        min_digest,
+        max_digest,
         draw(st.integers(0, 2**SIZE - 1)),
         draw(st.integers(0, 2**SIZE - 1)),
     )
 
 
-@QUICKLY
+@FEW_EXAMPLES
 @given(rounds(), rounds(), rounds())
 def test_merge_is_idempotent_commutative_and_associative(
     one: AggregationRound, two: AggregationRound, three: AggregationRound
@@ -42,15 +42,15 @@
     assert one.merged_with(two).merged_with(two) == one.merged_with(two)
 
 
-@QUICKLY
+@FEW_EXAMPLES
 @given(rounds(), rounds())
-def test_merge_only_grows(one: AggregationRound, two: AggregationRound) -> None:
-    both = one.merged_with(two)
-    assert both.key == max(one.key, two.key)
-    for each in (one, two):
-        if each.key == both.key:
-            assert both.in_force & each.in_force == each.in_force and both.behind & both.in_force == 0
-            assert both.min_digest <= each.min_digest and both.max_digest >= each.max_digest
+def test_merge_keeps_all_reports_of_the_greatest_key(one: AggregationRound, two: AggregationRound) -> None:
+    merged = one.merged_with(two)
+    assert merged.key == max(one.key, two.key)
+    for part in (one, two):
+        if part.key == merged.key:
+            assert merged.in_force & part.in_force == part.in_force and merged.behind & merged.in_force == 0
+            assert merged.min_digest <= part.min_digest and merged.max_digest >= part.max_digest
 
 
 def test_in_force_takes_precedence_over_behind() -> None:
@@ -60,17 +60,17 @@
     assert round_.with_in_force(3, 9).merged_with(round_) == round_.with_in_force(3, 9)
 
 
-@QUICKLY
+@FEW_EXAMPLES
 @given(st.sets(st.integers(0, 3 * CHUNK_MEMBERS - 1), max_size=40))
-def test_chunks_hold_the_complete_set(held: set[int]) -> None:
-    bits = sum(member_bit(each) for each in held)
+def test_chunks_together_contain_the_complete_set(members: set[int]) -> None:
+    bits = sum(member_bit(member) for member in members)
     round_ = AggregationRound(1, 1, 0, 0, 1, 1, bits)
     assert sum(decode_chunk(round_.chunk(number)[0], number) for number in range(3)) == bits
-    assert first_members(bits, 10**6) == sorted(held)
-    assert first_members(bits, 5) == sorted(held)[:5]
+    assert first_members(bits, 10**6) == sorted(members)
+    assert first_members(bits, 5) == sorted(members)[:5]
 
 
-# Which member reports for which
+# Reports under random events
 
 
 EVENTS = st.lists(
@@ -82,14 +82,14 @@
 
 
 class History:
-    """A cluster under random events, and which versions each member ever had in force."""
+    """A cluster under random events, with the versions that each member ever had in force."""
 
     def __init__(self, seed: int) -> None:
         self.cluster = VersionedCluster(SIZE, seed, is_membership_on=False)
         self.had_in_force = {number: {1} for number in range(SIZE)}
         self.newest = 1
 
-    def play(self, event: str, number: int) -> None:
+    def apply(self, event: str, number: int) -> None:
         cluster = self.cluster
         match event:
             case "publish":
@@ -113,7 +113,7 @@
         self.cluster.is_cut, self.cluster.loss = lambda source, target: False, 0.0
 
     def settle(self) -> None:
-        """All members run, hear each other and have the newest file."""
+        """Remove all faults, start all members and give all of them the newest file."""
         self.heal()
         for number in range(SIZE):
             self.cluster.files[number] = File.of(self.newest)
@@ -124,7 +124,10 @@
         self.cluster.run(30.0)
 
     def check(self) -> None:
-        """No member is said to have a version in force that it never had, and each speaks for itself."""
+        """Check that no round reports a version in force at a member that never had it.
+
+        A member's own round must report that member, and must not be about an older version than its own.
+        """
         for number, processes in self.cluster.processes.items():
             assert len(processes) == 1
             self.had_in_force[number].add(self.cluster.versioned(number).rollout.version)
@@ -137,14 +140,16 @@
             assert round_.version >= process.rollout.version
 
 
-@how(max_examples=60, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
+@hypothesis_settings(
+    max_examples=60, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
+)
 @given(EVENTS, st.integers(0, 1_000))
 def test_no_member_is_reported_to_have_a_version_it_never_had(
     events: list[tuple[str, int]], seed: int
 ) -> None:
     history = History(seed)
     for event, number in events:
-        history.play(event, number)
+        history.apply(event, number)
         history.check()
     history.settle()
     history.check()
@@ -152,6 +157,6 @@
     assert all(history.cluster.status(number).is_in_force_everywhere for number in range(SIZE))
 
 
-def test_merged_round_starts_at_the_earlier_start() -> None:
+def test_merged_round_has_the_earlier_start_time() -> None:
     round_ = AggregationRound(1, 1, 0, 5_000_000)
     assert round_.merged_with(replace(round_, started_at=1_000_000)).started_at == 1_000_000
--- a/tests/test_member_table.py
+++ b/tests/test_member_table.py
@@ -1,4 +1,4 @@
-"""The table of members: merging in any order, and sketches of what differs."""
+"""The member table: merging updates in any order, and finding differences by sketches."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(UPDATE_FIELDS, max_size=12), st.randoms(use_true_random=False))
-def test_updates_in_any_order_and_number_give_same_table(
-    given_updates: list[tuple[int, int, int, int]], rng: random.Random
+def test_table_does_not_depend_on_order_or_repetition_of_updates(
+    update_fields: list[tuple[int, int, int, int]], rng: random.Random
 ) -> None:
-    made = [MembershipUpdate(*each) for each in given_updates]
-    shuffled = [*made, *made]
+    updates = [MembershipUpdate(*fields) for fields in update_fields]
+    shuffled = [*updates, *updates]
     rng.shuffle(shuffled)
     tables = MemberTable(6, 0), MemberTable(6, 0)
-    for table, order in zip(tables, (made, shuffled), strict=True):
-        for update in order:
+    for table, sequence in zip(tables, (updates, shuffled), strict=True):
+        for update in sequence:
             table.apply(update, 1)
     one, other = tables
     assert one.digest == other.digest
-    assert [each.update.precedence for each in one.records] == [
-        each.update.precedence for each in other.records
+    assert [record.update.precedence for record in one.records] == [
+        record.update.precedence for record in other.records
     ]
 
 
 def differing_from(one: MemberTable, other: MemberTable, first: int, salt: int) -> list[MembershipUpdate]:
-    """What `other` would tell `one` after a ping with a sketch of one piece of its table."""
-    sent = sketch(one.updates(first, MAX_SKETCH_MEMBERS), salt)
-    return other.updates_differing_from(first, salt, sent)
+    """Return the updates with which `other` answers a ping with a sketch of one section of `one`."""
+    sketch_bytes = sketch(one.updates(first, MAX_SKETCH_MEMBERS), salt)
+    return other.updates_differing_from(first, salt, sketch_bytes)
 
 
 @pytest.mark.parametrize(("first", "differing"), [(0, {3, 7}), (200, {222})])
@@ -47,6 +47,6 @@
         incarnation = 5 + (number in (3, 7, 222))
         one.apply(MembershipUpdate.create(number, 5, MemberState.PRESENT, 0, number), 1)
         other.apply(MembershipUpdate.create(number, incarnation, MemberState.PRESENT, 0, number), 1)
-    # One in sixteen is equal by chance, but not with every salt.
+    # With one salt, one in sixteen differing members has equal sketch bits by chance, so several are used.
     found = {update.member for salt in range(20) for update in differing_from(one, other, first, salt)}
     assert found == differing
--- a/tests/test_membership_settings.py
+++ b/tests/test_membership_settings.py
@@ -1,4 +1,4 @@
-"""Settings of membership and of the rollout as they are read from the configuration."""
+"""Settings of membership and rollout, read from the configuration."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("given", "named"),
+    ("document", "named"),
     [
         ({"on": 1}, "on"),
         ({"datagrams_per_s": 2.0}, "datagrams_per_s"),
@@ -20,14 +20,14 @@
         ([], "object"),
     ],
 )
-def test_invalid_setting_names_its_key(given: object, named: str) -> None:
+def test_error_about_invalid_setting_names_its_key(document: object, named: str) -> None:
     with pytest.raises(ValueError, match=named):
-        MembershipSettings.from_mapping(given)
+        MembershipSettings.from_mapping(document)
 
 
 def test_settings_are_read_from_mapping() -> None:
-    given = {"on": False, "relays": 0, "datagrams_per_s": 1}
-    assert MembershipSettings.from_mapping(given) == MembershipSettings(on=False, relays=0)
+    document = {"on": False, "relays": 0, "datagrams_per_s": 1}
+    assert MembershipSettings.from_mapping(document) == MembershipSettings(on=False, relays=0)
 
 
 def test_missing_settings_are_defaults() -> None:
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize(
-    ("given", "settings"),
+    ("document", "settings"),
     [
         ({"on": False}, MembershipSettings(on=False)),
         ({"informs": False}, MembershipSettings(informs=False)),
@@ -48,12 +48,12 @@
     ],
     ids=str,
 )
-def test_key_sets_its_field(given: dict[str, object], settings: MembershipSettings) -> None:
-    assert MembershipSettings.from_mapping(given) == settings
+def test_key_sets_its_field(document: dict[str, object], settings: MembershipSettings) -> None:
+    assert MembershipSettings.from_mapping(document) == settings
 
 
 @pytest.mark.parametrize(
-    ("given", "settings"),
+    ("document", "settings"),
     [
         ({"on": False}, RolloutSettings(on=False)),
         ({"datagrams_per_s": 5}, RolloutSettings(datagrams_per_s=5.0)),
@@ -64,11 +64,11 @@
     ],
     ids=str,
 )
-def test_rollout_key_sets_its_field(given: dict[str, object], settings: RolloutSettings) -> None:
-    assert RolloutSettings.from_mapping(given) == settings
+def test_rollout_key_sets_its_field(document: dict[str, object], settings: RolloutSettings) -> None:
+    assert RolloutSettings.from_mapping(document) == settings
 
 
-def test_unknown_key_is_answered_with_the_known_ones() -> None:
+def test_error_about_unknown_key_lists_the_known_ones() -> None:
     known = "on, datagrams_per_s, fanout, wave_s, spread_s, digest_of are known"
     with pytest.raises(ValueError, match=f"speed: no such key: {known}"):
         RolloutSettings.from_mapping({"speed": 1})
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between sidecars, over loopback sockets."""
+"""The datagram endpoint between sidecars, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -10,28 +10,31 @@
 from sidecar.peers import Peers
 
 
-def test_peers_receive_from_each_other_and_nobody_else() -> None:
-    # Guards against an endpoint that never comes up: its failure is only a line in the log.
+def test_peers_receive_datagrams_only_from_each_other() -> None:
+    # Also detects an endpoint that never opens, which the sidecar itself only reports by a log line.
     async def work() -> None:
         addresses = free_for_datagrams(2)
-        heard: asyncio.Queue[tuple[int, int, bytes]] = asyncio.Queue()
+        received: asyncio.Queue[tuple[int, int, bytes]] = asyncio.Queue()  # receiver, sender, payload
 
-        def ear(me: int) -> Peers:
-            return Peers(addresses, None, me, lambda by, what: heard.put_nowait((me, by, what)))
+        def endpoint(number: int) -> Peers:
+            def on_datagram(sender: int, payload: bytes) -> None:
+                received.put_nowait((number, sender, payload))
 
-        first, second = ear(0), ear(1)
+            return Peers(addresses, None, number, on_datagram)
+
+        first, second = endpoint(0), endpoint(1)
         await first.listen(addresses[0])
         await second.listen(addresses[1])
         assert first.send(1, b"to one")
-        assert await soon(heard.get()) == (1, 0, b"to one")
+        assert await soon(received.get()) == (1, 0, b"to one")
         assert second.send(None, b"to all")
-        assert await soon(heard.get()) == (0, 1, b"to all")
+        assert await soon(received.get()) == (0, 1, b"to all")
         assert first.send(1, b"x" * 256) and not first.send(1, b"x" * 257) and not first.send(2, b"nobody")
-        assert await soon(heard.get()) == (1, 0, b"x" * 256)
+        assert await soon(received.get()) == (1, 0, b"x" * 256)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"from a stranger", addresses[1])
         assert first.send(1, b"after it")
-        assert await soon(heard.get()) == (1, 0, b"after it")
+        assert await soon(received.get()) == (1, 0, b"after it")
         first.close()
         second.close()
 
--- a/tests/test_rollout_message.py
+++ b/tests/test_rollout_message.py
@@ -1,4 +1,4 @@
-"""Datagrams about configuration versions: decoded strictly, and bounded whatever comes."""
+"""Rollout datagrams: decoded strictly, limited in size, and harmless whatever they contain."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from test_aggregation import rounds
 
@@ -32,10 +32,10 @@
 
 SIZE = 5
 CLUSTER = cluster_id("a")
-QUICKLY = how(max_examples=150, deadline=None, derandomize=True)
+FEW_EXAMPLES = hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
 
 
-GREATEST = AggregationRound(
+LARGEST_ROUND = AggregationRound(
     MAX_CONFIGURATION_VERSION,
     MAX_ROUND_NUMBER,
     MAX_MEMBERS - 1,
@@ -52,44 +52,46 @@
         0xFFFF_FFFF,
         MAX_MEMBERS - 1,
         ExchangeKind.PUSH_PULL,
-        GREATEST,
+        LARGEST_ROUND,
         (MAX_MEMBERS - 1) // CHUNK_MEMBERS - 1,
         0,
     )
     assert 200 < len(payload) <= MAX_DATAGRAM_BYTES
-    given = decode(payload, 0xFFFF_FFFF, MAX_MEMBERS - 1)
-    assert given.round_age == MAX_ROUND_AGE and len(given.in_force) == CHUNK_MEMBERS // 8
+    decoded = decode(payload, 0xFFFF_FFFF, MAX_MEMBERS - 1)
+    assert decoded.round_age == MAX_ROUND_AGE and len(decoded.in_force) == CHUNK_MEMBERS // 8
 
 
-@QUICKLY
+@FEW_EXAMPLES
 @given(rounds(), st.sampled_from(list(ExchangeKind)))
-def test_encoded_round_is_decoded_alike(round_: AggregationRound, kind: ExchangeKind) -> None:
+def test_decoding_restores_the_encoded_round(round_: AggregationRound, kind: ExchangeKind) -> None:
     payload = encode(CLUSTER, 3, kind, round_, 0, 1_000_000)
     assert is_rollout_message(payload)
-    given = decode(payload, CLUSTER, 3)
-    assert given.kind is kind
-    told = given.aggregation_round(1_000_000)
-    assert told.equals_ignoring_start(round_) and abs(told.started_at - round_.started_at) <= 100_000
+    decoded = decode(payload, CLUSTER, 3)
+    assert decoded.kind is kind
+    restored = decoded.aggregation_round(1_000_000)
+    assert restored.equals_ignoring_start(round_)
+    assert abs(restored.started_at - round_.started_at) <= 100_000
 
 
 def test_membership_drops_rollout_message_as_other_format_version() -> None:
     payload = encode(CLUSTER, 1, ExchangeKind.PUSH_PULL, AggregationRound(1, 1, 1, 0), 0, 0)
     with pytest.raises(InvalidDatagramError, match="another version"):
         message.decode(payload, CLUSTER, 1)
-    own = message.Message(1, CLUSTER, 1, 7, message.MessageKind.PING, 0, -1, 0, 0, b"", [])
-    assert not is_rollout_message(message.encode(own))
+    ping = message.Message(1, CLUSTER, 1, 7, message.MessageKind.PING, 0, -1, 0, 0, b"", [])
+    assert not is_rollout_message(message.encode(ping))
     assert not is_rollout_message(b"") and not is_rollout_message(b"\x9d")
 
 
-def fields(**changes: object) -> bytes:
-    good = msgspec.to_builtins(
+def encoded_fields(**changes: object) -> bytes:
+    """Encode a valid message with some fields replaced, also by values that `encode` would not allow."""
+    valid = msgspec.to_builtins(
         RolloutMessage(2, CLUSTER, 1, ExchangeKind.PUSH, 7, 1, 0, 1, 5, 5, 0, b"\x02", b"")
     )
     names = RolloutMessage.__struct_fields__
-    raw: list[object] = [*good[:-2], b"\x02", b""]
-    for key, value in changes.items():
-        raw[names.index(key)] = value
-    return msgspec.msgpack.encode(raw)
+    values: list[object] = [*valid[:-2], b"\x02", b""]
+    for name, value in changes.items():
+        values[names.index(name)] = value
+    return msgspec.msgpack.encode(values)
 
 
 @pytest.mark.parametrize(
@@ -97,25 +99,25 @@
     [
         (b"", DropReason.MALFORMED),
         (b"\x9d\x02", DropReason.MALFORMED),
-        (fields() + b"\0", DropReason.MALFORMED),
-        (fields(format_version=3), DropReason.MALFORMED),
-        (fields(cluster=CLUSTER ^ 1), DropReason.OTHER_CLUSTER),
-        (fields(sender=2), DropReason.WRONG_SENDER),
-        (fields(sender=-1), DropReason.MALFORMED),
-        (fields(kind=2), DropReason.MALFORMED),
-        (fields(version=-1), DropReason.MALFORMED),
-        (fields(version=MAX_CONFIGURATION_VERSION + 1), DropReason.MALFORMED),
-        (fields(version=7.0), DropReason.MALFORMED),
-        (fields(round_number=0), DropReason.MALFORMED),
-        (fields(round_number=MAX_ROUND_NUMBER + 1), DropReason.MALFORMED),
-        (fields(round_age=MAX_ROUND_AGE + 1), DropReason.MALFORMED),
-        (fields(first_reported_by=MAX_MEMBERS), DropReason.MALFORMED),
-        (fields(min_digest=6, max_digest=5), DropReason.MALFORMED),
-        (fields(chunk=82), DropReason.MALFORMED),
-        (fields(in_force=bytes(101)), DropReason.MALFORMED),
-        (fields(in_force=b"\x02\0"), DropReason.MALFORMED),
-        (fields(behind=b"\0"), DropReason.MALFORMED),
-        (fields(in_force="text"), DropReason.MALFORMED),
+        (encoded_fields() + b"\0", DropReason.MALFORMED),
+        (encoded_fields(format_version=3), DropReason.MALFORMED),
+        (encoded_fields(cluster=CLUSTER ^ 1), DropReason.OTHER_CLUSTER),
+        (encoded_fields(sender=2), DropReason.WRONG_SENDER),
+        (encoded_fields(sender=-1), DropReason.MALFORMED),
+        (encoded_fields(kind=2), DropReason.MALFORMED),
+        (encoded_fields(version=-1), DropReason.MALFORMED),
+        (encoded_fields(version=MAX_CONFIGURATION_VERSION + 1), DropReason.MALFORMED),
+        (encoded_fields(version=7.0), DropReason.MALFORMED),
+        (encoded_fields(round_number=0), DropReason.MALFORMED),
+        (encoded_fields(round_number=MAX_ROUND_NUMBER + 1), DropReason.MALFORMED),
+        (encoded_fields(round_age=MAX_ROUND_AGE + 1), DropReason.MALFORMED),
+        (encoded_fields(first_reported_by=MAX_MEMBERS), DropReason.MALFORMED),
+        (encoded_fields(min_digest=6, max_digest=5), DropReason.MALFORMED),
+        (encoded_fields(chunk=82), DropReason.MALFORMED),
+        (encoded_fields(in_force=bytes(101)), DropReason.MALFORMED),
+        (encoded_fields(in_force=b"\x02\0"), DropReason.MALFORMED),
+        (encoded_fields(behind=b"\0"), DropReason.MALFORMED),
+        (encoded_fields(in_force="text"), DropReason.MALFORMED),
         (msgspec.msgpack.encode([2, CLUSTER, 1]), DropReason.MALFORMED),
         (msgspec.msgpack.encode([*range(14)]), DropReason.MALFORMED),
         (b"\x91" * 257, DropReason.TOO_LONG),
@@ -123,9 +125,9 @@
     ids=repr,
 )
 def test_invalid_datagram_is_counted_and_changes_nothing(payload: bytes, reason: DropReason) -> None:
-    rollout, before = new_rollout()
+    rollout, initial_round = new_rollout()
     assert rollout.datagram_received(0, 1, payload) == []
-    assert rollout.dropped == {reason: 1} and rollout.round == before
+    assert rollout.dropped == {reason: 1} and rollout.round == initial_round
 
 
 def new_rollout() -> tuple[Rollout, AggregationRound]:
@@ -136,37 +138,44 @@
 
 @pytest.mark.parametrize("sender", [-1, 0, SIZE, 70_000])
 def test_datagram_of_unknown_sender_is_counted_and_dropped(sender: int) -> None:
-    rollout, before = new_rollout()
-    assert rollout.datagram_received(0, sender, fields()) == []
-    assert rollout.dropped == {DropReason.UNKNOWN_SENDER: 1} and rollout.round == before
+    rollout, initial_round = new_rollout()
+    assert rollout.datagram_received(0, sender, encoded_fields()) == []
+    assert rollout.dropped == {DropReason.UNKNOWN_SENDER: 1} and rollout.round == initial_round
+
+
+def with_byte_replaced(payload: bytes, position: int, byte: int) -> bytes:
+    return bytes([*payload[:position], byte, *payload[position + 1 :]])
 
 
 PAYLOADS = st.one_of(
     st.binary(max_size=300),
     st.binary(max_size=40).map(lambda tail: b"\x9d\x02" + tail),
-    st.tuples(rounds(versions=9, waves=9), st.sampled_from(list(ExchangeKind)), st.integers(0, 82)).map(
-        lambda given: encode(CLUSTER, 1, given[1], given[0], given[2], 0)
-    ),
+    st.tuples(
+        rounds(max_version=9, max_number=9), st.sampled_from(list(ExchangeKind)), st.integers(0, 82)
+    ).map(lambda drawn: encode(CLUSTER, 1, drawn[1], drawn[0], drawn[2], 0)),
     st.tuples(st.integers(0, 40), st.integers(0, 255)).map(
-        lambda given: bytes([*fields()[: given[0]], given[1], *fields()[given[0] + 1 :]])
+        lambda position_and_byte: with_byte_replaced(encoded_fields(), *position_and_byte)
     ),
 )
 
 
-@how(max_examples=300, deadline=None, derandomize=True)
+@hypothesis_settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, SIZE), PAYLOADS, st.integers(0, 3_000_000)), max_size=30))
-def test_arbitrary_datagrams_raise_nothing_and_grow_nothing(rows: list[tuple[int, bytes, int]]) -> None:
+def test_arbitrary_datagrams_raise_no_error_and_keep_the_state_bounded(
+    datagrams: list[tuple[int, bytes, int]],
+) -> None:
     rollout, _ = new_rollout()
     now = 0
-    for sender, payload, later in rows:
-        now += later
-        before, dropped = rollout.round, rollout.dropped.total()
-        out = rollout.datagram_received(now, sender, payload)
-        if rollout.dropped.total() > dropped and not out:
-            assert rollout.round == before
+    for sender, payload, elapsed_us in datagrams:
+        now += elapsed_us
+        round_before, dropped_before = rollout.round, rollout.dropped.total()
+        actions = rollout.datagram_received(now, sender, payload)
+        if rollout.dropped.total() > dropped_before and not actions:
+            assert rollout.round == round_before
         assert len(rollout.dropped) <= 6 and rollout.version == 1
-        out += rollout.tick(now)
-        assert len(out) <= 16
-        assert all(len(each.payload) <= MAX_DATAGRAM_BYTES for each in out if isinstance(each, SendDatagram))
+        actions += rollout.tick(now)
+        assert len(actions) <= 16
+        sent = [action.payload for action in actions if isinstance(action, SendDatagram)]
+        assert all(len(datagram) <= MAX_DATAGRAM_BYTES for datagram in sent)
         assert rollout.round.in_force < 1 << MAX_MEMBERS
         assert rollout.status(now).required_count == SIZE
