--- a/tests/test_cluster_membership.py
+++ b/tests/test_cluster_membership.py
@@ -1,4 +1,4 @@
-"""Membership on loopback sockets: datagrams, timer, log lines and figures, and what SIGHUP changes."""
+"""`ClusterMembership` on loopback sockets: datagrams, timer, log lines, metrics and reconfiguration."""
 
 from __future__ import annotations
 
@@ -16,92 +16,94 @@
 from sidecar.log_events import EventLog
 from sidecar.peers import Peers
 
-QUICK = MembershipSettings(min_period_ms=200)
+SHORT_PERIOD = MembershipSettings(min_period_ms=200)
 
 
 @dataclass
 class Replica:
-    """One process: its membership, what it logged and which sizes it reported."""
+    """The membership of one simulated process, with its log lines and the cluster sizes that it reported."""
 
-    members: ClusterMembership
+    membership: ClusterMembership
     peers: Peers
     lines: list[str] = field(default_factory=list)
     sizes: list[ClusterSize] = field(default_factory=list)
 
-    def figure(self, name: str) -> object:
-        figures = self.members.metrics()
-        return None if figures is None else figures[name]
+    def metric(self, name: str) -> object:
+        metrics = self.membership.metrics()
+        return None if metrics is None else metrics[name]
 
+    def close(self) -> None:
+        self.membership.close()
+        self.peers.close()
 
-def logged(lines: list[str]) -> EventLog:
-    """A log that keeps its lines."""
+
+def log_to(lines: list[str]) -> EventLog:
+    """Return a log that appends its lines to a list."""
     return lambda event: lines.append(str(event))
 
 
-async def replicas(addresses: tuple[Address, ...], count: int) -> list[Replica]:
-    out: list[Replica] = []
+async def start_replicas(addresses: tuple[Address, ...], count: int) -> list[Replica]:
+    """Start the first `count` replicas of a cluster with these addresses."""
+    replicas: list[Replica] = []
 
-    def receive(me: int, sender: int, payload: bytes) -> None:
-        out[me].members.datagram_received(sender, payload)
+    def receive(number: int, sender: int, payload: bytes) -> None:
+        replicas[number].membership.datagram_received(sender, payload)
 
-    for me in range(count):
-        peers = Peers(addresses, None, me, partial(receive, me))
+    for number in range(count):
+        peers = Peers(addresses, None, number, partial(receive, number))
         lines: list[str] = []
         sizes: list[ClusterSize] = []
-        members = ClusterMembership(me, "0", me, Clock(), peers, logged(lines), sizes.append)
-        out.append(Replica(members, peers, lines, sizes))
-        await peers.listen(addresses[me])
-    for each in out:
-        each.members.configure(QUICK)
-    return out
+        membership = ClusterMembership(number, "0", number, Clock(), peers, log_to(lines), sizes.append)
+        replicas.append(Replica(membership, peers, lines, sizes))
+        await peers.listen(addresses[number])
+    for replica in replicas:
+        replica.membership.configure(SHORT_PERIOD)
+    return replicas
 
 
-def test_members_see_each_other_and_one_that_leaves() -> None:
+def test_members_report_each_other_present_and_one_that_leaves() -> None:
     async def work() -> None:
-        one, two, three = await replicas(free_for_datagrams(3), 3)
-        everybody = (one, two, three)
-        await until(lambda: all(each.figure("present") == 3 for each in everybody))
-        three.members.leave()
-        await until(lambda: one.figure("left") == two.figure("left") == 1)
-        assert three.members.metrics() is None
-        assert one.sizes[-1].at_most == 2 and one.figure("view") == "ppl"
-        assert "member" in str(one.figure("absent"))
+        one, two, three = await start_replicas(free_for_datagrams(3), 3)
+        replicas = (one, two, three)
+        await until(lambda: all(replica.metric("present") == 3 for replica in replicas))
+        three.membership.leave()
+        await until(lambda: one.metric("left") == two.metric("left") == 1)
+        assert three.membership.metrics() is None
+        assert one.sizes[-1].at_most == 2 and one.metric("view") == "ppl"
+        assert "member" in str(one.metric("absent"))
         await until(lambda: any("2 left (by 2)" in line for line in one.lines))
-        for each in everybody:
-            each.members.close()
-            each.peers.close()
+        for replica in replicas:
+            replica.close()
 
     play(work)
 
 
-def test_switched_off_reports_the_configured_size() -> None:
+def test_size_is_the_configured_one_after_membership_is_switched_off() -> None:
     async def work() -> None:
-        one, two = await replicas(free_for_datagrams(2), 2)
-        await until(lambda: one.figure("present") == 2)
-        two.members.leave()
+        one, two = await start_replicas(free_for_datagrams(2), 2)
+        await until(lambda: one.metric("present") == 2)
+        two.membership.leave()
         await until(lambda: one.sizes[-1].at_most == 1)
-        one.members.configure(MembershipSettings(on=False))
-        assert one.sizes[-1] == ClusterSize(2, 2, 0, 0, 0, 0) and one.members.metrics() is None
-        for each in (one, two):
-            each.members.close()
-            each.peers.close()
+        one.membership.configure(MembershipSettings(on=False))
+        assert one.sizes[-1] == ClusterSize(2, 2, 0, 0, 0, 0) and one.membership.metrics() is None
+        for replica in (one, two):
+            replica.close()
 
     play(work)
 
 
-def test_informing_again_reports_the_size_at_once() -> None:
+def test_size_is_reported_at_once_when_informing_is_switched_on_again() -> None:
     async def work() -> None:
-        one, two = await replicas(free_for_datagrams(2), 2)
-        await until(lambda: one.figure("present") == 2)
-        two.members.leave()
+        one, two = await start_replicas(free_for_datagrams(2), 2)
+        await until(lambda: one.metric("present") == 2)
+        two.membership.leave()
         await until(lambda: one.sizes[-1].at_most == 1)
-        one.members.configure(MembershipSettings(informs=False))
+        one.membership.configure(MembershipSettings(informs=False))
         assert one.sizes[-1].at_most == 2
-        one.members.configure(QUICK)
+        one.membership.configure(SHORT_PERIOD)
         assert one.sizes[-1].at_most == 1
-        for each in (one, two):
-            each.members.close()
-            each.peers.close()
+        for replica in (one, two):
+            replica.close()
 
     play(work)
 
@@ -109,15 +111,14 @@
 def test_reconfigured_peers_change_the_cluster_size() -> None:
     async def work() -> None:
         addresses = free_for_datagrams(3)
-        one, two = await replicas(addresses[:2], 2)
-        await until(lambda: one.figure("present") == 2)
-        for each in (one, two):
-            each.peers.set_addresses(addresses, None)
-            each.members.configure(QUICK)
-        assert one.figure("configured") == 3 and one.figure("unknown") == 1
-        for each in (one, two):
-            each.members.close()
-            each.peers.close()
+        one, two = await start_replicas(addresses[:2], 2)
+        await until(lambda: one.metric("present") == 2)
+        for replica in (one, two):
+            replica.peers.set_addresses(addresses, None)
+            replica.membership.configure(SHORT_PERIOD)
+        assert one.metric("configured") == 3 and one.metric("unknown") == 1
+        for replica in (one, two):
+            replica.close()
 
     play(work)
 
@@ -125,14 +126,13 @@
 def test_invalid_datagrams_are_counted_by_reason() -> None:
     async def work() -> None:
         addresses = free_for_datagrams(2)
-        (one,) = await replicas(addresses, 1)
+        (one,) = await start_replicas(addresses, 1)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"hello", addresses[0])
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.bind(addresses[1])
             other.sendto(b"hello", addresses[0])
-            await until(lambda: one.figure("dropped") == {"malformed": 1, "a stranger": 1})
-        one.members.close()
-        one.peers.close()
+            await until(lambda: one.metric("dropped") == {"malformed": 1, "a stranger": 1})
+        one.close()
 
     play(work)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership in virtual time: each hard case by name, on the lines that the sidecar runs."""
+"""Membership in virtual time, under faults; the simulated members run the sidecar's own code."""
 
 from __future__ import annotations
 
@@ -9,32 +9,30 @@
 from sidecar.cluster.settings import MembershipSettings
 from testbed.cluster_simulation.virtual import VirtualCluster
 
-HEALED_S = 60.0  # the bound that docs/membership.md states for clusters of up to 20, at rest
+# Time to agreement after a fault, as docs/membership.md states it for clusters of up to 20 members at rest.
+HEALED_S = 60.0
 
 
-def settled(size: int, **how: object) -> VirtualCluster:
-    """A cluster whose members know each other, and nothing told yet."""
-    cluster = VirtualCluster(size, **how)  # type: ignore[arg-type]
+def agreed_cluster(size: int, **options: object) -> VirtualCluster:
+    """Return a cluster whose members all know each other, with an empty list of reports."""
+    cluster = VirtualCluster(size, **options)  # type: ignore[arg-type]
     assert cluster.until_agreed(30.0) is not None
     cluster.run(10.0)
     cluster.reports.clear()
     return cluster
 
 
-def groups(*members: set[int]) -> dict[int, int]:
-    return {member: number for number, own in enumerate(members) for member in own}
-
-
-def cut_between(cluster: VirtualCluster, *members: set[int]) -> None:
-    side = groups(*members)
-    cluster.is_cut = lambda source, target: side[source] != side[target]
+def partition(cluster: VirtualCluster, *groups: set[int]) -> None:
+    """Cut all links between members of different groups."""
+    group_of = {member: number for number, group in enumerate(groups) for member in group}
+    cluster.is_cut = lambda source, target: group_of[source] != group_of[target]
 
 
 def heal(cluster: VirtualCluster) -> None:
     cluster.is_cut = lambda source, target: False
 
 
-def test_members_started_at_once_know_each_other_without_suspicions() -> None:
+def test_members_started_at_once_agree_without_suspicions() -> None:
     cluster = VirtualCluster(30)
     assert cluster.until_agreed(30.0) is not None
     assert not cluster.state_changes(MemberState.SUSPECTED) and not cluster.state_changes(MemberState.DEAD)
@@ -56,15 +54,15 @@
 
 
 def test_killed_member_is_declared_dead() -> None:
-    cluster = settled(12)
+    cluster = agreed_cluster(12)
     cluster.kill(3)
     assert cluster.until_agreed(40.0) is not None
     assert cluster.state_changes(MemberState.DEAD, 3)
     assert {change.member for _, _, change in cluster.state_changes(MemberState.DEAD)} == {3}
 
 
-def test_leaving_member_is_known_to_all_at_once_without_suspicion() -> None:
-    cluster = settled(12)
+def test_leave_is_known_to_all_at_once_without_suspicion() -> None:
+    cluster = agreed_cluster(12)
     cluster.leave(4)
     assert cluster.until_agreed(0.5) is not None
     assert {by for _, by, _ in cluster.state_changes(MemberState.LEFT, 4)} == set(cluster.alive)
@@ -72,40 +70,40 @@
 
 
 def test_restarted_member_has_later_incarnation() -> None:
-    cluster = settled(8)
-    old = cluster.of(2).incarnation
+    cluster = agreed_cluster(8)
+    old_incarnation = cluster.of(2).incarnation
     cluster.kill(2)
     cluster.run(0.3)
     cluster.start(2)
     assert cluster.until_agreed(HEALED_S) is not None
-    assert cluster.of(2).incarnation > old
+    assert cluster.of(2).incarnation > old_incarnation
     assert {cluster.of(number).table[2].update.incarnation for number in cluster.alive} == {
         cluster.of(2).incarnation
     }
 
 
 def test_restart_with_slow_clock_takes_later_incarnation() -> None:
-    cluster = settled(8)
-    old = cluster.of(2).incarnation
+    cluster = agreed_cluster(8)
+    old_incarnation = cluster.of(2).incarnation
     cluster.kill(2)
     cluster.start(2, ahead_s=-86_400.0)
     assert cluster.until_agreed(HEALED_S) is not None
-    assert cluster.of(2).incarnation > old
+    assert cluster.of(2).incarnation > old_incarnation
 
 
 @pytest.mark.parametrize("ahead_s", [-1e10, -3_600.0, 3_600.0, 1e10])
 def test_clock_step_between_starts_ends_in_agreement(ahead_s: float) -> None:
-    cluster = settled(5)
+    cluster = agreed_cluster(5)
     for step in (ahead_s, 0.0):
         cluster.kill(1)
         cluster.start(1, ahead_s=step)
         assert cluster.until_agreed(HEALED_S) is not None
 
 
-def test_partition_in_halves_is_noticed_and_heals() -> None:
-    cluster = settled(10)
+def test_partition_in_halves_puts_both_in_minority_and_heals() -> None:
+    cluster = agreed_cluster(10)
     one, other = set(range(5)), set(range(5, 10))
-    cut_between(cluster, one, other)
+    partition(cluster, one, other)
     cluster.run(120.0)
     for number in range(10):
         size = cluster.of(number).size()
@@ -116,8 +114,8 @@
 
 
 def test_partition_in_three_heals_and_small_parts_are_in_minority() -> None:
-    cluster = settled(10)
-    cut_between(cluster, {0, 1}, {2, 3}, {4, 5, 6, 7, 8, 9})
+    cluster = agreed_cluster(10)
+    partition(cluster, {0, 1}, {2, 3}, {4, 5, 6, 7, 8, 9})
     cluster.run(200.0)
     assert [cluster.of(number).size().is_in_minority for number in range(10)] == [True] * 4 + [False] * 6
     heal(cluster)
@@ -125,8 +123,8 @@
 
 
 def test_one_way_partition_ends_in_agreement() -> None:
-    cluster = settled(8)
-    cluster.is_cut = lambda source, target: source == 3  # it hears and is not heard
+    cluster = agreed_cluster(8)
+    cluster.is_cut = lambda source, target: source == 3  # member 3 receives, but nothing from it arrives
     cluster.run(100.0)
     assert all(cluster.of(number).table[3].has_ended for number in cluster.alive if number != 3)
     heal(cluster)
@@ -134,7 +132,7 @@
 
 
 def test_one_broken_link_declares_nobody_dead() -> None:
-    cluster = settled(8)
+    cluster = agreed_cluster(8)
     cluster.is_cut = lambda source, target: {source, target} == {1, 2}
     cluster.run(120.0)
     assert not cluster.state_changes(MemberState.DEAD)
@@ -142,30 +140,30 @@
     assert cluster.until_agreed(HEALED_S) is not None
 
 
-def test_short_pause_is_noticed_and_declares_nobody_dead() -> None:
-    cluster = settled(30, settings=MembershipSettings(suspicion_periods=20.0))
+def test_short_pause_is_reported_and_declares_nobody_dead() -> None:
+    cluster = agreed_cluster(30, settings=MembershipSettings(suspicion_periods=20.0))
     process = cluster.processes[4][0]
     process.pause()
     cluster.run(10.0)
     process.resume()
     assert cluster.until_agreed(HEALED_S) is not None
     assert not cluster.state_changes(MemberState.DEAD)
-    assert any(isinstance(what, ProcessStalled) for _, by, what in cluster.reports if by == 4)
+    assert any(isinstance(action, ProcessStalled) for _, reporter, action in cluster.reports if reporter == 4)
 
 
 def test_paused_member_declared_dead_returns_as_new_incarnation() -> None:
-    cluster = settled(7)
-    process, old = cluster.processes[4][0], cluster.of(4).incarnation
+    cluster = agreed_cluster(7)
+    process, old_incarnation = cluster.processes[4][0], cluster.of(4).incarnation
     process.pause()
     cluster.run(60.0)
     assert cluster.state_changes(MemberState.DEAD, 4)
     process.resume()
     assert cluster.until_agreed(HEALED_S) is not None
-    assert cluster.of(4).incarnation > old
+    assert cluster.of(4).incarnation > old_incarnation
 
 
 def test_resumed_member_degrades_its_own_health_and_suspects_nobody() -> None:
-    cluster = settled(20)
+    cluster = agreed_cluster(20)
     process = cluster.processes[4][0]
     process.pause()
     cluster.run(10.0)
@@ -174,22 +172,26 @@
     cluster.run(60.0)
     assert health == 7
     assert not [
-        what
-        for _, by, what in cluster.reports
-        if by == 4 and isinstance(what, MemberStateChanged) and what.reported_by == 4
+        action
+        for _, reporter, action in cluster.reports
+        if reporter == 4 and isinstance(action, MemberStateChanged) and action.reported_by == 4
     ]
 
 
-def test_isolated_member_degrades_its_own_health_first() -> None:
-    cluster = settled(20)
-    cut_between(cluster, {4}, set(range(20)) - {4})
+def test_isolated_member_degrades_its_own_health_before_it_suspects_others() -> None:
+    cluster = agreed_cluster(20)
+    partition(cluster, {4}, set(range(20)) - {4})
     cluster.run(12.0)
     assert cluster.of(4).health.score >= 2
-    assert not [what for _, by, what in cluster.reports if by == 4 and isinstance(what, MemberStateChanged)]
+    assert not [
+        action
+        for _, reporter, action in cluster.reports
+        if reporter == 4 and isinstance(action, MemberStateChanged)
+    ]
 
 
-def test_mass_failure_is_detected_and_members_return() -> None:
-    cluster = settled(20)
+def test_mass_failure_is_detected_and_restarted_members_rejoin() -> None:
+    cluster = agreed_cluster(20)
     for number in range(14):
         cluster.kill(number)
     assert cluster.until_agreed(120.0) is not None
@@ -200,7 +202,7 @@
 
 
 def test_rolling_restart_declares_nobody_dead() -> None:
-    cluster = settled(20)
+    cluster = agreed_cluster(20)
     for first in range(0, 20, 2):
         for number in (first, first + 1):
             cluster.leave(number)
@@ -213,18 +215,18 @@
 
 
 def test_flapping_member_ends_in_agreement() -> None:
-    cluster = settled(8)
+    cluster = agreed_cluster(8)
     for _ in range(20):
         cluster.kill(3)
         cluster.run(0.5)
         cluster.start(3)
         cluster.run(0.5)
     assert cluster.until_agreed(HEALED_S) is not None
-    assert {what.member for _, _, what in cluster.state_changes(MemberState.DEAD)} <= {3}
+    assert {change.member for _, _, change in cluster.state_changes(MemberState.DEAD)} <= {3}
 
 
 def test_duplicated_and_reordered_datagrams_declare_nobody_dead() -> None:
-    cluster = settled(8)
+    cluster = agreed_cluster(8)
     cluster.double = cluster.late = 0.5
     cluster.run(200.0)
     assert not cluster.state_changes(MemberState.DEAD)
@@ -233,7 +235,7 @@
 
 
 def test_delayed_datagrams_do_not_revive_dead_member() -> None:
-    cluster = settled(8)
+    cluster = agreed_cluster(8)
     until = cluster.queue.now + 30_000_000
     cluster.held_until = lambda source, target: until if source == 3 else 0
     cluster.run(5.0)
@@ -244,8 +246,8 @@
     assert not cluster.state_changes(MemberState.PRESENT, 3)
 
 
-def test_heavy_loss_heals_and_a_death_is_detected_under_it() -> None:
-    cluster = settled(7)
+def test_members_agree_after_heavy_loss_and_detect_a_death_under_it() -> None:
+    cluster = agreed_cluster(7)
     cluster.loss = 0.3
     cluster.run(600.0)
     cluster.loss = 0.0
@@ -258,21 +260,21 @@
 
 
 def test_upgrade_with_two_processes_is_one_live_member() -> None:
-    cluster = settled(10)
-    before = cluster.of(4).incarnation
+    cluster = agreed_cluster(10)
+    old_incarnation = cluster.of(4).incarnation
     cluster.upgrade(4, overlap_us=20_000_000)
     cluster.run(19.0)
     assert {cluster.of(number).table[4].update.incarnation for number in cluster.alive} == {
         cluster.of(4).incarnation
     }
     cluster.run(20.0)
-    assert cluster.is_agreed() and cluster.of(4).incarnation > before
+    assert cluster.is_agreed() and cluster.of(4).incarnation > old_incarnation
     for state in (MemberState.SUSPECTED, MemberState.DEAD, MemberState.LEFT):
         assert not cluster.state_changes(state, 4)
 
 
-def test_old_process_ending_at_upgrade_announces_nothing() -> None:
-    cluster = settled(10)
+def test_old_process_announces_nothing_when_an_upgrade_ends_it() -> None:
+    cluster = agreed_cluster(10)
     cluster.upgrade(4, overlap_us=0)
     assert cluster.until_agreed(HEALED_S) is not None
     for state in (MemberState.SUSPECTED, MemberState.DEAD, MemberState.LEFT):
@@ -280,18 +282,18 @@
 
 
 def test_duplicate_processes_are_reported_and_stay_present() -> None:
-    cluster = settled(6)
+    cluster = agreed_cluster(6)
     cluster.start(2)
     cluster.run(300.0)
-    named = [at for at, _, what in cluster.reports if isinstance(what, DuplicateMember)]
-    assert 2 <= len(named) <= 12  # again and again, but seldom
+    reports = [action for _, _, action in cluster.reports if isinstance(action, DuplicateMember)]
+    assert 2 <= len(reports) <= 12  # repeated, but at a low rate
     assert not cluster.state_changes(MemberState.DEAD) and not cluster.state_changes(MemberState.LEFT)
     assert all(cluster.of(number).size().present == 6 for number in cluster.alive if number != 2)
 
 
 def test_peers_reconfigured_during_partition_end_in_agreement() -> None:
-    cluster = settled(6)
-    cut_between(cluster, {0, 1, 2}, {3, 4, 5, 6, 7})
+    cluster = agreed_cluster(6)
+    partition(cluster, {0, 1, 2}, {3, 4, 5, 6, 7})
     cluster.run(60.0)
     cluster.size = 8
     for number in cluster.alive:
@@ -313,7 +315,7 @@
 
 
 def test_slow_members_are_not_declared_dead() -> None:
-    cluster = settled(20)
+    cluster = agreed_cluster(20)
     for number in (3, 7):
         cluster.processes[number][0].late_us = 300_000
     cluster.run(300.0)
@@ -321,15 +323,15 @@
 
 
 def test_datagrams_at_rest_stay_within_rate_limit() -> None:
-    cluster = settled(20)
+    cluster = agreed_cluster(20)
     sent_before = {number: cluster.processes[number][0].sent for number in cluster.alive}
     cluster.run(100.0)
     sent = [cluster.processes[number][0].sent - sent_before[number] for number in cluster.alive]
-    assert max(sent) <= 106  # one a second, and what was saved up
+    assert max(sent) <= 106  # one per second, and the tokens that were unused before
 
 
 def test_requests_shorten_the_protocol_period() -> None:
-    cluster = settled(20)
+    cluster = agreed_cluster(20)
     member = cluster.of(0)
     period_at_rest_us = member._context.period_us(cluster.queue.now)
     member.requests_received(cluster.queue.now, 200)
--- a/tests/test_membership_datagrams.py
+++ b/tests/test_membership_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams of membership: invalid ones change nothing, and sent ones stay within their bounds."""
+"""Membership datagrams: invalid ones change nothing, and sent ones stay within size and rate limits."""
 
 from __future__ import annotations
 
@@ -30,40 +30,44 @@
 PACK = msgspec.msgpack.encode
 
 
-def member_of_three() -> Membership:
+def member_of_cluster_of_three() -> Membership:
     cluster = VirtualCluster(3, name=CLUSTER)
     cluster.run(5.0)
     return cluster.of(0)
 
 
-def a_message(**changed: object) -> bytes:
-    life = 10
-    plain = Message(1, cluster_id(CLUSTER), 1, life, MessageKind.PING, 5, -1, 0, 0, b"", [])
-    return encode(msgspec.structs.replace(plain, **changed))
+def encoded_ping(**changes: object) -> bytes:
+    incarnation = 10
+    ping = Message(1, cluster_id(CLUSTER), 1, incarnation, MessageKind.PING, 5, -1, 0, 0, b"", [])
+    return encode(msgspec.structs.replace(ping, **changes))
 
 
 @pytest.mark.parametrize(
     ("payload", "reason"),
     [
-        pytest.param(a_message()[:-3], DropReason.MALFORMED, id="truncated"),
+        pytest.param(encoded_ping()[:-3], DropReason.MALFORMED, id="truncated"),
         pytest.param(b"", DropReason.MALFORMED, id="empty"),
         pytest.param(b"\xff" * 40, DropReason.MALFORMED, id="garbage"),
-        pytest.param(a_message() + b"\0" * MAX_DATAGRAM_BYTES, DropReason.TOO_LONG, id="too long"),
-        pytest.param(a_message() + b"\0", DropReason.MALFORMED, id="trailing byte"),
-        pytest.param(a_message(sender=2), DropReason.WRONG_SENDER, id="number of another member"),
-        pytest.param(a_message(format_version=2), DropReason.OTHER_FORMAT_VERSION, id="newer format version"),
-        pytest.param(a_message(format_version=0), DropReason.OTHER_FORMAT_VERSION, id="older format version"),
-        pytest.param(a_message(cluster=cluster_id("b")), DropReason.OTHER_CLUSTER, id="other cluster"),
+        pytest.param(encoded_ping() + b"\0" * MAX_DATAGRAM_BYTES, DropReason.TOO_LONG, id="too long"),
+        pytest.param(encoded_ping() + b"\0", DropReason.MALFORMED, id="trailing byte"),
+        pytest.param(encoded_ping(sender=2), DropReason.WRONG_SENDER, id="number of another member"),
         pytest.param(
-            a_message(updates=[(2, 10, 1 << 30, 1)]), DropReason.MALFORMED, id="update of no such state"
+            encoded_ping(format_version=2), DropReason.OTHER_FORMAT_VERSION, id="newer format version"
         ),
         pytest.param(
-            a_message(updates=[(2, 0xFFFF_FFFF, 2, 1)]), DropReason.MALFORMED, id="last incarnation"
+            encoded_ping(format_version=0), DropReason.OTHER_FORMAT_VERSION, id="older format version"
+        ),
+        pytest.param(encoded_ping(cluster=cluster_id("b")), DropReason.OTHER_CLUSTER, id="other cluster"),
+        pytest.param(
+            encoded_ping(updates=[(2, 10, 1 << 30, 1)]), DropReason.MALFORMED, id="update of no such state"
+        ),
+        pytest.param(
+            encoded_ping(updates=[(2, 0xFFFF_FFFF, 2, 1)]), DropReason.MALFORMED, id="last incarnation"
         ),
     ],
 )
 def test_invalid_datagram_is_counted_and_changes_nothing(payload: bytes, reason: DropReason) -> None:
-    member = member_of_three()
+    member = member_of_cluster_of_three()
     updates_before = [record.update for record in member.table.records]
     assert member.datagram_received(6_000_000, 1, payload) == []
     assert member.dropped == {reason: 1}
@@ -72,8 +76,8 @@
 
 @pytest.mark.parametrize("sender", [-1, 0, 3, 70_000])
 def test_datagram_of_unknown_sender_is_counted_and_dropped(sender: int) -> None:
-    member = member_of_three()
-    assert member.datagram_received(6_000_000, sender, a_message()) == []
+    member = member_of_cluster_of_three()
+    assert member.datagram_received(6_000_000, sender, encoded_ping()) == []
     assert member.dropped == {DropReason.UNKNOWN_SENDER: 1}
 
 
@@ -95,18 +99,18 @@
 
 
 def test_update_about_unknown_member_is_counted_and_the_ping_acknowledged() -> None:
-    member = member_of_three()
+    member = member_of_cluster_of_three()
     updates = [MembershipUpdate.create(77, 10, MemberState.DEAD, 0, 1)]
-    actions = member.datagram_received(6_000_000, 1, a_message(updates=updates))
+    actions = member.datagram_received(6_000_000, 1, encoded_ping(updates=updates))
     assert member.dropped == {DropReason.UNKNOWN_MEMBER: 1} and len(member.table) == 3
     assert any(isinstance(action, SendDatagram) for action in actions)
 
 
-def test_flood_of_pings_is_answered_within_rate_limit() -> None:
+def test_replies_to_a_flood_of_pings_are_rate_limited() -> None:
     cluster = VirtualCluster(3, name=CLUSTER)
-    cluster.run(20.0)  # its rate limiter has saved up what it may
+    cluster.run(20.0)  # fills the token bucket
     member, now = cluster.of(0), cluster.queue.now
-    pings = [a_message(sequence_number=number) for number in range(200)]
+    pings = [encoded_ping(sequence_number=number) for number in range(200)]
     actions = [action for ping in pings for action in member.datagram_received(now, 1, ping)]
     assert 10 <= len([action for action in actions if isinstance(action, SendDatagram)]) <= 30
 
@@ -116,11 +120,11 @@
     sizes: list[int] = []
     carry = cluster.carry
 
-    def measured(source: object, datagram: SendDatagram) -> None:
+    def carry_and_record_size(source: object, datagram: SendDatagram) -> None:
         sizes.append(len(datagram.payload))
         carry(source, datagram)  # type: ignore[arg-type]
 
-    cluster.carry = measured  # type: ignore[method-assign]
+    cluster.carry = carry_and_record_size  # type: ignore[method-assign]
     cluster.run(40.0)
     assert max(sizes) > 200 and max(sizes) <= MAX_DATAGRAM_BYTES
 
@@ -149,7 +153,7 @@
 ).map(list)
 
 
-def member_of_four() -> Membership:
+def member_of_cluster_of_four() -> Membership:
     member = Membership(0, SIZE, "a", MembershipSettings(), random.Random(1), 0, 1.8e9)
     member.start(0)
     return member
@@ -157,10 +161,10 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(st.one_of(st.binary(max_size=300), VALUES.map(PACK), NEARLY_VALID.map(PACK)), max_size=12))
-def test_arbitrary_datagrams_raise_nothing_and_grow_nothing(
+def test_arbitrary_datagrams_raise_no_error_and_keep_the_state_bounded(
     payloads: list[bytes],
 ) -> None:
-    member, now = member_of_four(), 0
+    member, now = member_of_cluster_of_four(), 0
     for payload in payloads:
         now += 50_000
         updates_before = [record.update for record in member.table.records]
@@ -175,7 +179,7 @@
         member.tick(now + 10_000)
 
 
-def test_encoded_message_is_decoded_alike() -> None:
+def test_decoding_restores_the_encoded_message() -> None:
     update = MembershipUpdate.create(3, 77, MemberState.SUSPECTED, 9, 2)
     assert (update.state, update.refutations) == (MemberState.SUSPECTED, 9)
     message = Message(1, 2, 3, 4, MessageKind.PING, 5, -1, 6, 7, b"ab", [update])
