--- a/tests/test_configuration_rollout.py
+++ b/tests/test_configuration_rollout.py
@@ -1,4 +1,4 @@
-"""The configuration's version in real copies: one signal, all follow; switched off, nothing is loaded."""
+"""Rollout of configuration versions in real replicas, and its settings, log lines and memory use."""
 
 from __future__ import annotations
 
@@ -39,51 +39,55 @@
 from sidecar.sidecar import Sidecar
 from testbed import events as log
 from testbed.clock import DayClock
-from testbed.emulator.copies import Sidecar as Copy
+from testbed.emulator.copies import Sidecar as ReplicaProcess
 from testbed.emulator.copies import _asked
 from testbed.emulator.datagrams import Relay
 from testbed.links import Links
 
-QUICK = {"rollout": {"wave_s": 5, "datagrams_per_s": 5, "spread_s": 0, "digest_of": ["peers", "membership"]}}
+SHORT_ROUNDS = {
+    "rollout": {"wave_s": 5, "datagrams_per_s": 5, "spread_s": 0, "digest_of": ["peers", "membership"]}
+}
 
 
-# Several copies of the program
+# Several replicas as processes
 
 
-class Fleet:
-    """Real copies, with lossy links between them."""
+class Cluster:
+    """Replicas as processes, with lossy links between them."""
 
-    def __init__(self, copies: list[Copy]) -> None:
-        self.copies = copies
+    def __init__(self, replicas: list[ReplicaProcess]) -> None:
+        self.replicas = replicas
 
-    def publish(self, copy: int, version: int) -> None:
-        """Put a file of this version in the place of a copy's, as a whole; nobody is told."""
-        path = self.copies[copy].folder / "config.json"
-        held = json.loads(path.read_text())
-        path.with_suffix(".new").write_text(json.dumps({**held, "version": version}))
+    def publish(self, number: int, version: int) -> None:
+        """Replace a replica's configuration file atomically by one of this version, without a signal."""
+        path = self.replicas[number].folder / "config.json"
+        document = json.loads(path.read_text())
+        path.with_suffix(".new").write_text(json.dumps({**document, "version": version}))
         path.with_suffix(".new").rename(path)
-        self.copies[copy].config["version"] = version
+        self.replicas[number].config["version"] = version
 
-    async def figures(self, copy: int) -> dict[str, Any]:
-        door = self.copies[copy]._door
-        assert door is not None
-        told = await _asked(door, "/api/telemetry")
-        return {} if told is None else json.loads(told).get("configuration", {})
+    async def metrics(self, number: int) -> dict[str, Any]:
+        """Return the metrics of a replica's rollout; none if it does not answer or rollout is off."""
+        address = self.replicas[number]._door
+        assert address is not None
+        response = await _asked(address, "/api/telemetry")
+        return {} if response is None else json.loads(response).get("configuration", {})
 
-    async def until(self, **wanted: object) -> None:
-        """Wait until the figures of all say so."""
+    async def until(self, **expected: object) -> None:
+        """Wait until these metrics have these values in all replicas."""
         while True:
-            found = [await self.figures(number) for number in range(len(self.copies))]
-            if all(each.get(key) == value for each in found for key, value in wanted.items()):
+            all_metrics = [await self.metrics(number) for number in range(len(self.replicas))]
+            if all(metrics.get(key) == value for metrics in all_metrics for key, value in expected.items()):
                 return
             await asyncio.sleep(0.05)
 
-    def said(self, copy: int, line: str) -> bool:
-        return line in (self.copies[copy].folder / "stderr.log").read_text()
+    def has_logged(self, number: int, line: str) -> bool:
+        return line in (self.replicas[number].folder / "stderr.log").read_text()
 
 
 @asynccontextmanager
-async def fleet(count: int, folder: Path) -> AsyncIterator[Fleet]:
+async def running_cluster(count: int, folder: Path) -> AsyncIterator[Cluster]:
+    """Start replicas between which datagrams are lost, duplicated and reordered, 20% of each."""
     everywhere = {"between": ["copy:*"], "to": ["copy:*"]}
     faults = "".join(
         trouble(kind, 0.001, 300, amount=0.2, **everywhere) for kind in ("loss", "double", "reorder")
@@ -93,77 +97,78 @@
     clock = DayClock()
     with log.Writer(folder / "log.jsonl") as writer:
         relay = Relay(clock, Links(day), writer, random.Random(1))
-        copies = [
-            Copy(
+        replicas = [
+            ReplicaProcess(
                 day,
-                each,
+                replica,
                 PROGRAM,
                 ROOT,
-                folder / f"copy-{each.number}",
+                folder / f"copy-{replica.number}",
                 clock,
                 writer,
                 random.Random(2),
                 30.0,
             )
-            for each in day.copies
+            for replica in day.copies
         ]
-        await relay.start("127.15.0.1", [each.peer_listen for each in copies])
-        for each in copies:
-            each.configure(f"{HOST}:9", relay.peers, relay.everyone)
-            each.config |= {**QUICK, "version": 1}
-            each.listing = lambda: GOOD["known"]
+        await relay.start("127.15.0.1", [replica.peer_listen for replica in replicas])
+        for replica in replicas:
+            replica.configure(f"{HOST}:9", relay.peers, relay.everyone)
+            replica.config |= {**SHORT_ROUNDS, "version": 1}
+            replica.listing = lambda: GOOD["known"]
         clock.begin(0)
         try:
-            await asyncio.gather(*(each.start() for each in copies))
-            yield Fleet(copies)
+            await asyncio.gather(*(replica.start() for replica in replicas))
+            yield Cluster(replicas)
         finally:
-            for each in copies:
-                await each.close()
+            for replica in replicas:
+                await replica.close()
             relay.close()
 
 
 def test_one_signal_updates_all_processes_and_an_older_file_is_reported(tmp_path: Path) -> None:
     async def work() -> None:
-        async with fleet(4, tmp_path) as running:
-            await running.until(version=1, in_force_everywhere=True)
+        async with running_cluster(4, tmp_path) as cluster:
+            await cluster.until(version=1, in_force_everywhere=True)
             for number in range(4):
-                running.publish(number, 2)
-            running.copies[3].hang_up()
-            await running.until(version=2, in_force_everywhere=True, in_force=4)
+                cluster.publish(number, 2)
+            cluster.replicas[3].hang_up()
+            await cluster.until(version=2, in_force_everywhere=True, in_force=4)
             for number in range(4):
-                assert running.said(number, "configuration_reloaded: discovery is at")
+                assert cluster.has_logged(number, "configuration_reloaded: discovery is at")
                 line = "configuration_in_force_everywhere: version 2 "
-                await until(partial(running.said, number, line))
-            await running.copies[1].kill()
-            running.publish(1, 1)
-            await running.copies[1].start()
-            await running.until(newest_heard=2, in_force_everywhere=False, behind=[1], ambiguous=False)
-            assert (await running.figures(1))["version"] == 1
-            running.publish(1, 2)  # and nobody tells it
-            await running.until(version=2, in_force_everywhere=True, behind=[])
-            running.publish(0, 1)
-            running.copies[0].hang_up()
-            await until(lambda: running.said(0, "configuration_rejected: version: 1 is older than 2"))
-            assert (await running.figures(0))["refused"] == 1
-            await running.until(version=2)
+                await until(partial(cluster.has_logged, number, line))
+            await cluster.replicas[1].kill()
+            cluster.publish(1, 1)
+            await cluster.replicas[1].start()
+            await cluster.until(newest_heard=2, in_force_everywhere=False, behind=[1], ambiguous=False)
+            assert (await cluster.metrics(1))["version"] == 1
+            cluster.publish(1, 2)  # without a signal
+            await cluster.until(version=2, in_force_everywhere=True, behind=[])
+            cluster.publish(0, 1)
+            cluster.replicas[0].hang_up()
+            await until(lambda: cluster.has_logged(0, "configuration_rejected: version: 1 is older than 2"))
+            assert (await cluster.metrics(0))["refused"] == 1
+            await cluster.until(version=2)
 
     play(work)
 
 
-# One copy
+# One replica in the process of the test
 
 
-def given(own: Address, other: Address, **more: object) -> dict[str, Any]:
+def document(local: Address, other: Address, **changes: object) -> dict[str, Any]:
+    """Return a configuration file of a cluster of two, with some keys added or replaced."""
     return {
         **GOOD,
-        "peer_listen": f"{own[0]}:{own[1]}",
-        "peers": [f"{each[0]}:{each[1]}" for each in (own, other)],
+        "peer_listen": f"{local[0]}:{local[1]}",
+        "peers": [f"{host}:{port}" for host, port in (local, other)],
         "settings": {**GOOD["settings"], "bounds": {"mayTell": True}},
-        **more,
+        **changes,
     }
 
 
-OFF: list[dict[str, Any]] = [
+ROLLOUT_OFF: list[dict[str, Any]] = [
     {},
     {"rollout": {"fanout": 2}},
     {"version": 3, "rollout": {"on": False}},
@@ -171,32 +176,34 @@
 ]
 
 
-@pytest.mark.parametrize("more", OFF, ids=str)
-def test_without_version_nothing_is_sent_or_rejected(more: dict[str, Any]) -> None:
+@pytest.mark.parametrize("changes", ROLLOUT_OFF, ids=str)
+def test_without_rollout_no_version_is_sent_or_rejected(changes: dict[str, Any]) -> None:
     async def work() -> None:
-        own, other = free_for_datagrams(2)
-        heard: list[bytes] = []
+        local, other = free_for_datagrams(2)
+        received: list[bytes] = []
 
-        class Ear(asyncio.DatagramProtocol):
+        class Receiver(asyncio.DatagramProtocol):
             def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-                heard.append(data)
+                received.append(data)
 
-        ear, _ = await asyncio.get_running_loop().create_datagram_endpoint(Ear, local_addr=other)
-        sidecar = Sidecar(parse(given(own, other, **more)), print)
+        receiver, _ = await asyncio.get_running_loop().create_datagram_endpoint(Receiver, local_addr=other)
+        sidecar = Sidecar(parse(document(local, other, **changes)), print)
         await sidecar.start()
         assert sidecar._cluster.rollout is None and sidecar.version is None
         assert "configuration" not in sidecar.administration.metrics()
-        lower = parse(given(own, other, **{**more, "version": 1} if "version" in more else more))
-        assert sidecar.reconfigure(lower) == []  # taken over as ever
+        lower = parse(
+            document(local, other, **{**changes, "version": 1} if "version" in changes else changes)
+        )
+        assert sidecar.reconfigure(lower) == []  # applied, although its version is lower
         if sidecar._cluster.membership is not None:
-            await until(lambda: len(heard) >= 2)
+            await until(lambda: len(received) >= 2)
             exchange = encode(cluster_id("0"), 1, ExchangeKind.PUSH_PULL, AggregationRound(9, 1, 1, 0), 0, 0)
             sidecar._cluster.message_received(1, exchange)
             assert sidecar._cluster.membership.membership is not None
             assert sidecar._cluster.membership.membership.dropped[DropReason.OTHER_FORMAT_VERSION] == 1
-        assert all(each[1] == 1 for each in heard)  # membership's, as the version before sends them
+        assert all(payload[1] == 1 for payload in received)  # the format version of membership datagrams
         sidecar.close()
-        ear.close()
+        receiver.close()
 
     play(work)
 
@@ -212,45 +219,45 @@
 
 def test_without_version_rollout_modules_are_not_imported() -> None:
     assert len(ROLLOUT_MODULES) >= 11 and all(map(importlib.util.find_spec, ROLLOUT_MODULES))
-    own, other = free_for_datagrams(2)
+    local, other = free_for_datagrams(2)
     program = f"""
 import asyncio, sys
 from sidecar.configuration import parse
 from sidecar.sidecar import Sidecar
 async def work():
-    sidecar = Sidecar(parse({given(own, other)!r}), print)
+    sidecar = Sidecar(parse({document(local, other)!r}), print)
     await sidecar.start()
     assert "sidecar.cluster.membership" in sys.modules
     assert not {ROLLOUT_MODULES!r} & set(sys.modules)
     sidecar.close()
 asyncio.run(work())
 """
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    assert done.returncode == 0, done.stderr
+    assert result.returncode == 0, result.stderr
 
 
 def test_rollout_is_switched_on_and_off_by_reload() -> None:
     async def work() -> None:
-        own, other = free_for_datagrams(2)
+        local, other = free_for_datagrams(2)
 
-        def config(**more: object) -> Configuration:
-            return parse(given(own, other, **more))
+        def config(**changes: object) -> Configuration:
+            return parse(document(local, other, **changes))
 
         sidecar = Sidecar(config(), print)
         await sidecar.start()
         sidecar.reconfigure(config(version=5))
         assert sidecar.version == 5
-        figures = sidecar.administration.metrics()["configuration"]
-        assert isinstance(figures, dict)
-        assert figures["in_force_everywhere"] is None and figures["unheard"] == [1]
+        metrics = sidecar.administration.metrics()["configuration"]
+        assert isinstance(metrics, dict)
+        assert metrics["in_force_everywhere"] is None and metrics["unheard"] == [1]
         with pytest.raises(ConfigurationError, match="version: 4 is older than 5, which is in force"):
             sidecar.reconfigure(config(version=4))
         assert sidecar.version == 5
         sidecar.reconfigure(config(version=5, rollout={"on": False}))
         assert sidecar.version is None and "configuration" not in sidecar.administration.metrics()
-        sidecar.reconfigure(config(version=4))  # nothing was in force by a version
+        sidecar.reconfigure(config(version=4))  # allowed, as no version was in force while rollout was off
         assert sidecar.version == 4
         sidecar.reconfigure(config(version=6, membership={"on": False}))
         assert sidecar.version is None
@@ -265,17 +272,17 @@
 
 def test_version_pending_a_restart_is_not_in_force() -> None:
     async def work() -> None:
-        own, other = free_for_datagrams(2)
-        sidecar = Sidecar(parse(given(own, other, version=5)), print)
+        local, other = free_for_datagrams(2)
+        sidecar = Sidecar(parse(document(local, other, version=5)), print)
         await sidecar.start()
         assert sidecar.reconfigure(
-            parse(given(own, other, version=6, limits={**GOOD["limits"], "sockets": 999}))
+            parse(document(local, other, version=6, limits={**GOOD["limits"], "sockets": 999}))
         ) == ["sockets"]
         assert sidecar.version == 5
-        figures = sidecar.administration.metrics()["configuration"]
-        assert isinstance(figures, dict)
-        assert (figures["newest_heard"], figures["in_force"]) == (6, 0)
-        assert sidecar.reconfigure(parse(given(own, other, version=7))) == []
+        metrics = sidecar.administration.metrics()["configuration"]
+        assert isinstance(metrics, dict)
+        assert (metrics["newest_heard"], metrics["in_force"]) == (6, 0)
+        assert sidecar.reconfigure(parse(document(local, other, version=7))) == []
         assert sidecar.version == 7
         sidecar.close()
 
@@ -284,25 +291,27 @@
 
 def test_file_pending_a_restart_does_not_switch_rollout_on() -> None:
     async def work() -> None:
-        own, other = free_for_datagrams(2)
-        sidecar = Sidecar(parse(given(own, other)), print)
+        local, other = free_for_datagrams(2)
+        sidecar = Sidecar(parse(document(local, other)), print)
         await sidecar.start()
-        sidecar.reconfigure(parse(given(own, other, version=6, limits={**GOOD["limits"], "sockets": 999})))
+        sidecar.reconfigure(
+            parse(document(local, other, version=6, limits={**GOOD["limits"], "sockets": 999}))
+        )
         assert sidecar.version is None and "configuration" not in sidecar.administration.metrics()
         sidecar.close()
 
     play(work)
 
 
-def test_rejected_file_changes_nothing() -> None:
+def test_rejected_file_leaves_peers_and_discovery_unchanged() -> None:
     async def work() -> None:
-        own, other = free_for_datagrams(2)
-        sidecar = Sidecar(parse(given(own, other, version=5)), print)
+        local, other = free_for_datagrams(2)
+        sidecar = Sidecar(parse(document(local, other, version=5)), print)
         await sidecar.start()
-        moved = given(own, other, version=4, discovery=f"{HOST}:10")
-        moved["peers"] = moved["peers"][:1]
+        changed = document(local, other, version=4, discovery=f"{HOST}:10")
+        changed["peers"] = changed["peers"][:1]
         with pytest.raises(ConfigurationError):
-            sidecar.reconfigure(parse(moved))
+            sidecar.reconfigure(parse(changed))
         assert sidecar._cluster.peers.size == 2 and sidecar._discovery._address == (HOST, 9)
         sidecar.close()
 
@@ -310,7 +319,7 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "key"),
+    ("changes", "key"),
     [
         ({"version": -1}, "version"),
         ({"version": 1 << 63}, "version"),
@@ -330,23 +339,25 @@
     ],
     ids=str,
 )
-def test_invalid_setting_names_its_key(more: dict[str, Any], key: str) -> None:
-    with pytest.raises(ConfigurationError) as complaint:
-        parse({**GOOD, **more})
-    assert str(complaint.value).startswith(key)
+def test_error_about_invalid_setting_begins_with_its_key(changes: dict[str, Any], key: str) -> None:
+    with pytest.raises(ConfigurationError) as error:
+        parse({**GOOD, **changes})
+    assert str(error.value).startswith(key)
 
 
-def test_digest_covers_the_keys_shared_by_all_files() -> None:
-    own, other = free_for_datagrams(2)
-    first = parse(given(own, other, version=1))
+def test_digest_covers_only_the_keys_shared_by_all_files() -> None:
+    local, other = free_for_datagrams(2)
+    first = parse(document(local, other, version=1))
     assert (
-        parse(given(own, other, version=1, name="n7", seed="77", console=f"{HOST}:5")).digest == first.digest
+        parse(document(local, other, version=1, name="n7", seed="77", console=f"{HOST}:5")).digest
+        == first.digest
     )
-    assert parse(given(own, other, version=1, discovery=f"{HOST}:10")).digest != first.digest
-    left_out = {"rollout": {"digest_of": ["peers", "membership"]}}
-    some = parse(given(own, other, version=1, **left_out))
-    assert parse(given(own, other, version=1, discovery=f"{HOST}:10", **left_out)).digest == some.digest
-    assert parse(given(own, other)).digest == 0 and parse(given(own, other)).version is None
+    assert parse(document(local, other, version=1, discovery=f"{HOST}:10")).digest != first.digest
+    without_discovery = {"rollout": {"digest_of": ["peers", "membership"]}}
+    digest = parse(document(local, other, version=1, **without_discovery)).digest
+    changed = document(local, other, version=1, discovery=f"{HOST}:10", **without_discovery)
+    assert parse(changed).digest == digest
+    assert parse(document(local, other)).digest == 0 and parse(document(local, other)).version is None
     assert first.rollout == RolloutSettings()
 
 
@@ -390,5 +401,5 @@
     ],
     ids=["in force", "late", "ambiguous", "missing", "forgotten"],
 )
-def test_report_is_logged_in_these_words(report: RolloutReport, line: str) -> None:
+def test_report_has_the_documented_log_line(report: RolloutReport, line: str) -> None:
     assert str(log_event(report)) == line
