--- a/sidecar/cluster/failure_detector.py
+++ b/sidecar/cluster/failure_detector.py
@@ -153,6 +153,7 @@
     # Failures
 
     def _request_relays(self, now: int, ping: Ping) -> None:
+        """Ask random members to ping the target of a ping that was not acknowledged directly."""
         if self._context.table[ping.target].has_ended:
             return  # a check whether an ended member is back is not worth further datagrams
         relays = [
@@ -171,6 +172,10 @@
         return record.state is MemberState.PRESENT and not record.is_unknown
 
     def _ping_failed(self, now: int, ping: Ping) -> None:
+        """Suspect the target of a failed ping, unless the local member has received nothing at all since.
+
+        Relays that sent no nack lower the local health, because the local member may be the one cut off.
+        """
         if self._context.table[ping.target].has_ended:
             return
         health = self._context.health
--- a/sidecar/cluster/member_context.py
+++ b/sidecar/cluster/member_context.py
@@ -29,7 +29,10 @@
     random: random.Random
 
     def period_us(self, now: int) -> int:
-        """Return the protocol period that the rate limit allows, times the local health multiplier."""
+        """Return the protocol period: as the rate limit allows, times the local health multiplier.
+
+        It is never shorter than the configured minimum.
+        """
         allowed_us = int(_DATAGRAMS_PER_PERIOD / self.limiter.rate_per_s(now) * 1e6)
         return max(allowed_us, self.settings.min_period_ms * 1_000) * self.health.multiplier
 
--- a/sidecar/cluster/refutation.py
+++ b/sidecar/cluster/refutation.py
@@ -6,10 +6,10 @@
 from sidecar.cluster.member_context import MemberContext
 from sidecar.cluster.message import MAX_REFUTATIONS, MembershipUpdate, MemberState
 
-# Until this long after its first valid datagram, a process replaces a later incarnation of its member that
-# others report: that incarnation is an earlier process, whose clock was ahead.
+# For this long after its first valid datagram, a process that learns of a later incarnation of its member
+# takes it for an earlier process whose clock was ahead, and replaces it.
 _STARTUP_US = 5_000_000
-# A later incarnation that appears afterwards is a duplicate process; this process yields to it for this long.
+# After that it takes a later incarnation for a duplicate process, and yields to it for this long.
 _YIELD_US = 60_000_000
 
 
@@ -67,6 +67,10 @@
         return self._startup_until is None or now < self._startup_until
 
     def _refute(self, now: int, update: MembershipUpdate) -> None:
+        """Refute a suspicion of this incarnation, or replace it if it was declared dead.
+
+        It is also replaced when its number of refutations has reached the maximum.
+        """
         local = self._context.local
         if update.has_ended or update.refutations >= MAX_REFUTATIONS:
             self._begin_incarnation(now, local.incarnation + 1)
@@ -82,6 +86,7 @@
         self.announce(now)
 
     def _yield_to(self, now: int, update: MembershipUpdate) -> None:
+        """Report a duplicate process, unless it is known, and adopt its incarnation in the table."""
         if not self.is_duplicate:
             self._context.outbox.add(DuplicateMember(self._context.local.number))
         self._yields_until = now + _YIELD_US
--- a/sidecar/cluster/rollout.py
+++ b/sidecar/cluster/rollout.py
@@ -55,8 +55,8 @@
         self._exchanges = RolloutExchanges(self._state, self._cluster, now)
         self._file_checks = ConfigurationFileChecks(self._state, now)
         self._reports = RolloutReports(self._state)
-        self._forgotten_version: VersionForgotten | None = None  # to be reported
-        self._forgotten_round: tuple[int, int] | None = None
+        self._forgotten_version: VersionForgotten | None = None  # to be reported with the next actions
+        self._forgotten_round: tuple[int, int] | None = None  # key of the round whose datagrams are dropped
         self._corrected_at: int | None = None  # when a round was last started to correct a wrong report
 
     # Events
@@ -142,12 +142,12 @@
 
     @property
     def newest_received_at(self) -> int:
-        """The time at which this member learnt of the newest version."""
+        """The time at which this member learned of the newest version."""
         return self._state.newest_received_at
 
     @property
     def newest_received_from(self) -> int:
-        """The member that told this one of the newest version; the local member if its own file had it."""
+        """The member from which this one learned of the newest version; itself if its own file had it."""
         return self._state.newest_received_from
 
     @property
@@ -175,6 +175,7 @@
         return self._new_round(current.version, current.number + 1, current.first_reported_by, now)
 
     def _merge(self, now: int, sender: int, remote: AggregationRound) -> None:
+        """Merge a received round into the local one; rounds with a lower key are ignored."""
         state = self._state
         if remote.version > state.round.version:
             self._start_newer_version(now, sender, remote)
@@ -229,6 +230,7 @@
         return self._state.has_newest_in_force and self._state.round.number < MAX_ROUND_NUMBER
 
     def _forget_version(self, now: int) -> None:
+        """Replace the round by the first one about the version in force here; report a forgotten version."""
         state = self._state
         self._forgotten_round = state.round.key
         if not state.has_newest_in_force:
@@ -246,6 +248,7 @@
         return decode(payload, self._cluster, sender)
 
     def _begin_exchange(self, now: int) -> None:
+        """Exchange the round with a member, after adding the local report if this member is behind."""
         state = self._state
         if not state.has_newest_in_force:
             state.round = state.round.with_behind(state.number)
@@ -257,7 +260,7 @@
         """Return the event's actions; the last ones schedule the next tick and read the file.
 
         The tick comes before the read, because reading the file may deliver another event, which schedules a
-        tick of its own.
+        new tick that must not be overwritten.
         """
         actions: list[RolloutAction] = []
         if self._forgotten_version is not None:
--- a/sidecar/cluster/rollout_actions.py
+++ b/sidecar/cluster/rollout_actions.py
@@ -17,7 +17,7 @@
 class RolloutConcluded:
     """Report that a version is in force everywhere, or late; each at most once per version."""
 
-    after_us: int  # since the local member learnt of the version
+    after_us: int  # since the local member learned of the version
     status: RolloutStatus
 
 
@@ -36,7 +36,7 @@
 
     version: int
     first_reported_by: int
-    after_us: int  # since the local member learnt of the version
+    after_us: int  # since the local member learned of the version
 
 
 @dataclass(frozen=True, slots=True)
--- a/sidecar/cluster/rollout_exchanges.py
+++ b/sidecar/cluster/rollout_exchanges.py
@@ -16,7 +16,7 @@
 
 _MAX_DATAGRAMS_PER_S = 10.0  # pushes, exchanges and replies together, also under a flood of datagrams
 _SPREADING_INTERVAL_US = 250_000  # between two exchanges while a new version spreads, ...
-_SPREADING_US = 10_000_000  # ... which is assumed for this long after this member learnt of it
+_SPREADING_US = 10_000_000  # ... which is assumed for this long after this member learned of it
 _QUIET_EXCHANGES = 4  # per chunk, in a row without a change of the round: then the interval is longer
 _QUIET_INTERVAL_PERIODS = 5  # the longer interval, in exchange periods
 _PARTNER_DRAWS = 8
@@ -50,7 +50,7 @@
         self.schedule_within(now, self._state.jittered(self._interval_us(now)))
 
     def push_newer_version(self, now: int, sender: int) -> None:
-        """Push a version that is new here to `fanout` random members at once, but not to its sender."""
+        """Push a version that is new here to up to `fanout` random members at once, but not to its sender."""
         self.schedule_within(now, int(_SPREADING_INTERVAL_US * self._state.random.random()))
         partners = {self._draw_partner() for _ in range(self._state.settings.fanout)} - {None, sender}
         for partner in partners:
--- a/sidecar/cluster/rollout_reports.py
+++ b/sidecar/cluster/rollout_reports.py
@@ -35,6 +35,7 @@
         return reports
 
     def _conclusion(self, now: int) -> RolloutConcluded | None:
+        """Return the report that the newest version is in force everywhere or late, if it is due."""
         state, version = self._state, self._state.round.version
         if state.reported_in_force == version:
             return None
--- a/sidecar/cluster/rollout_state.py
+++ b/sidecar/cluster/rollout_state.py
@@ -12,8 +12,8 @@
 from sidecar.cluster.settings import RolloutSettings
 
 NO_VERSION = -1
-# Exchanges of each member until a round has the reports of all: push-pull about doubles the number of members
-# reached in each period, and the last few members take some more exchanges.
+# Exchanges of each member until a round has the reports of all: some for each doubling of the number of
+# members reached by push-pull, and further ones for the last few members.
 _EXCHANGES_PER_DOUBLING = 2.0
 _FURTHER_EXCHANGES = 6.0
 
--- a/sidecar/cluster/rollout_status.py
+++ b/sidecar/cluster/rollout_status.py
@@ -14,15 +14,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutStatus:
-    """The rollout of the newest known version, evaluated from the latest complete aggregation round."""
+    """The state of the rollout of the newest known version, according to the latest aggregation rounds."""
 
     version: int
     is_in_force_everywhere: bool | None  # None: unknown, because reports of some members are missing
     in_force_count: int
     required_count: int  # members whose reports are required: all that neither left nor were declared dead
-    behind: tuple[int, ...]  # reported another version; at most MAX_LISTED_MEMBERS
+    behind: tuple[int, ...]  # reported the version not in force; at most MAX_LISTED_MEMBERS
     behind_count: int
-    missing: tuple[int, ...]  # no report in the round; at most MAX_LISTED_MEMBERS
+    missing: tuple[int, ...]  # made no report; at most MAX_LISTED_MEMBERS
     missing_count: int
     min_digest: int  # lowest digest of the contents that members have under this version
     max_digest: int  # highest digest
--- a/sidecar/cluster/update_processing.py
+++ b/sidecar/cluster/update_processing.py
@@ -88,6 +88,7 @@
             self._apply_in_state(now, update.member, MemberState.SUSPECTED, update.reported_by)
 
     def _declare_dead(self, now: int, number: int) -> None:
+        """End a suspicion and declare the member dead, by the disputed report of its death if any."""
         del self._suspicions[number]
         record = self._context.table[number]
         if record.state is not MemberState.SUSPECTED:
@@ -114,6 +115,7 @@
             self._context.outbox.dissemination.enqueue(update)
 
     def _start_suspicion(self, now: int, update: MembershipUpdate) -> None:
+        """Start the suspicion timeout of a member, unless it is running already."""
         if update.member not in self._suspicions:
             self._suspicions[update.member] = Suspicion(
                 now,
