--- a/sidecar/configuration_rollout.py
+++ b/sidecar/configuration_rollout.py
@@ -145,7 +145,7 @@
         digest = config.digest
         if not is_fully_applied:
             if self.protocol is None:
-                return  # no version is in force here before the restart
+                return  # which version is in force here is known only after the restart
             version, digest = self.protocol.version, self.protocol.digest
         now = self._clock.now()
         rng = random.Random(self._random.getrandbits(64))
