--- a/tests/cluster_conversation.py
+++ b/tests/cluster_conversation.py
@@ -121,6 +121,7 @@
                 self.at(self._now + 50 * MS, lambda: self.deliver(process, ["in force", 2, 1_002]))
 
     def _has_outdated_file(self, number: int) -> bool:
+        """Return whether a read finds no newer version; member 2 applies its file only by the schedule."""
         return number == 2 or (number == RESTARTED and self._now in OUTDATED_FILE_US)
 
     def _tick(self, process: Recorder, protocol: str, due: int) -> None:
--- a/tests/test_member_table.py
+++ b/tests/test_member_table.py
@@ -48,5 +48,5 @@
         one.apply(MembershipUpdate.create(number, 5, MemberState.PRESENT, 0, number), 1)
         other.apply(MembershipUpdate.create(number, incarnation, MemberState.PRESENT, 0, number), 1)
     # With one salt, one in sixteen differing members has equal sketch bits by chance, so several are used.
-    found = {update.member for salt in range(20) for update in differing_from(one, other, first, salt)}
-    assert found == differing
+    detected = {update.member for salt in range(20) for update in differing_from(one, other, first, salt)}
+    assert detected == differing
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -65,7 +65,7 @@
     cluster = agreed_cluster(12)
     cluster.leave(4)
     assert cluster.until_agreed(0.5) is not None
-    assert {by for _, by, _ in cluster.state_changes(MemberState.LEFT, 4)} == set(cluster.alive)
+    assert {reporter for _, reporter, _ in cluster.state_changes(MemberState.LEFT, 4)} == set(cluster.alive)
     assert not cluster.state_changes(MemberState.SUSPECTED, 4)
 
 
