--- a/tests/test_configuration_rollout.py
+++ b/tests/test_configuration_rollout.py
@@ -194,7 +194,7 @@
         lower = parse(
             document(local, other, **{**changes, "version": 1} if "version" in changes else changes)
         )
-        assert sidecar.reconfigure(lower) == []  # applied, although its version is lower
+        assert sidecar.reconfigure(lower) == []  # applied, even if its version is lower
         if sidecar._cluster.membership is not None:
             await until(lambda: len(received) >= 2)
             exchange = encode(cluster_id("0"), 1, ExchangeKind.PUSH_PULL, AggregationRound(9, 1, 1, 0), 0, 0)
