--- a/bench/staged.py
+++ b/bench/staged.py
@@ -119,7 +119,7 @@
         assert self._head is not None
         incoming = parse_request(self._head, b"", _CLASSES, frozenset())
         if self._decisions is not None:
-            number, server = self._decisions.arrived(incoming.key, incoming.remaining_us)
+            number, server = self._decisions.arrived(incoming.affinity_key, incoming.remaining_us)
             self._open = number, server, time.monotonic()
         message = incoming.to_outgoing(incoming.remaining_us)
         super().data_received(request_head(message.method, message.target, message.headers))
--- a/sidecar/attempts.py
+++ b/sidecar/attempts.py
@@ -65,7 +65,7 @@
         attempt.sent_at = self._clock.now()
         request.attempts.append(attempt)
         request.attempts_in_flight += 1
-        self._upstream.start(attempt, is_late=attempt_number > 0)
+        self._upstream.start(attempt, check_is_wanted=attempt_number > 0)
 
     def cancel(self, action: CancelAttempt) -> None:
         """Stop waiting for an attempt; one that does not exist is ignored."""
--- a/sidecar/downstream/downstream.py
+++ b/sidecar/downstream/downstream.py
@@ -50,7 +50,7 @@
         self.on_disconnect = on_disconnect
         self.is_draining = False  # every further response closes its connection
         self.fails_health_checks = False  # and health checks tell clients to go elsewhere
-        self.last_opened = 0.0
+        self.last_opened_at = 0.0
         self._classes = {service_class.name: service_class for service_class in settings.classes}
         self._tenants = frozenset(tenant.name for tenant in settings.tenants)
         self._max_connections = max_connections
@@ -67,10 +67,10 @@
         """Accept connections from this socket."""
         self._listener = Listener(listening, lambda: DownstreamConnection(self), self._evict_connection)
 
-    def stop_listening(self, *, accept_the_rest: bool = False) -> None:
-        """Accept no more; `accept_the_rest`: except for what the system has accepted already."""
+    def stop_listening(self, *, accept_queued: bool = False) -> None:
+        """Accept no more; `accept_queued`: except for what the system has accepted already."""
         if self._listener is not None:
-            self._listener.close(accept_the_rest=accept_the_rest)
+            self._listener.close(accept_queued=accept_queued)
 
     def drain(self) -> None:
         """Close idle connections; every further response closes its own."""
@@ -126,7 +126,7 @@
 
     def add(self, connection: DownstreamConnection) -> None:
         """Take in a new connection, or close it where there is no room."""
-        self.last_opened = asyncio.get_running_loop().time()
+        self.last_opened_at = asyncio.get_running_loop().time()
         if len(self._connections) >= self._max_connections and not self._evict_connection():
             connection.close_unused()  # all others await a response
             return
@@ -213,7 +213,8 @@
             None,
         )
         is_late = (
-            awaited is not None and self.last_opened - self._awaited_since[awaited] > _FIRST_REQUEST_GRACE_S
+            awaited is not None
+            and self.last_opened_at - self._awaited_since[awaited] > _FIRST_REQUEST_GRACE_S
         )
         idle = next(
             (connection for connection in islice(self._idle_since, _MAX_CANDIDATES) if connection.is_idle),
@@ -234,7 +235,9 @@
         senders = [
             connection for connection in islice(self._watched, _MAX_CANDIDATES) if connection.is_sending_body
         ]
-        return max(senders, key=lambda connection: connection.receiving.lag_s(self.last_opened), default=None)
+        return max(
+            senders, key=lambda connection: connection.receiving.lag_s(self.last_opened_at), default=None
+        )
 
 
 def _older_than(since: dict[DownstreamConnection, float], time: float) -> list[DownstreamConnection]:
--- a/sidecar/downstream/listener.py
+++ b/sidecar/downstream/listener.py
@@ -82,18 +82,18 @@
         """The number of connections that were accepted and have no protocol yet."""
         return len(self._tasks)
 
-    def close(self, *, accept_the_rest: bool = False) -> None:
+    def close(self, *, accept_queued: bool = False) -> None:
         """Stop accepting; connections that were accepted live on.
 
         A connection that still waits in the system's queue is reset when its listening socket is closed, and
-        whatever its client has sent is lost; `accept_the_rest` accepts those first.
+        whatever its client has sent is lost; `accept_queued` accepts those first.
         """
         if self._retry_timer is not None:
             self._retry_timer.cancel()
         if not self.is_open:
             return
         self._loop.remove_reader(self._socket)
-        for _ in range(_BACKLOG if accept_the_rest else 0):
+        for _ in range(_BACKLOG if accept_queued else 0):
             if not self._accept_one():
                 break
         self._socket.close()
--- a/sidecar/downstream/request_parsing.py
+++ b/sidecar/downstream/request_parsing.py
@@ -42,7 +42,7 @@
 
     service_class: str
     tenant: str | None
-    key: int | None
+    affinity_key: int | None
     remaining_us: int
     cost_us: int | None
     is_client_retry: bool
@@ -86,7 +86,7 @@
     return IncomingRequest(
         service_class=service_class.name,
         tenant=tenant if tenant in tenants else None,
-        key=_affinity_key(head.target),
+        affinity_key=_affinity_key(head.target),
         remaining_us=remaining_us,
         cost_us=cost_us,
         is_client_retry=protocol_headers.get(b"client-retry") == b"1",
--- a/sidecar/graceful_shutdown.py
+++ b/sidecar/graceful_shutdown.py
@@ -55,7 +55,7 @@
         if self._owns_listener:
             await self._accept_late_connections()
         # In a socket that the platform holds, connections stay queued and the successor accepts them.
-        self._downstream.stop_listening(accept_the_rest=self._owns_listener)
+        self._downstream.stop_listening(accept_queued=self._owns_listener)
         await self._wait_for_responses()
         self._answer_overdue_requests()
         await self._wait_for_streaming()
@@ -66,7 +66,7 @@
         loop = asyncio.get_running_loop()
         await asyncio.sleep(_ACCEPT_FOR_S)
         latest_end_s = self._began_at_s + _KILL_DELAY_S
-        while loop.time() < min(self._downstream.last_opened + _QUIET_S, latest_end_s):
+        while loop.time() < min(self._downstream.last_opened_at + _QUIET_S, latest_end_s):
             await asyncio.sleep(_QUIET_S / 2)
 
     async def _wait_for_responses(self) -> None:
--- a/sidecar/request_intake.py
+++ b/sidecar/request_intake.py
@@ -49,7 +49,7 @@
                 request=number,
                 service_class=incoming.service_class,
                 tenant=incoming.tenant,
-                key=incoming.key,
+                key=incoming.affinity_key,
                 remaining_us=incoming.remaining_us,
                 cost_us=incoming.cost_us,
                 is_client_retry=incoming.is_client_retry,
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -52,7 +52,7 @@
         self._persisted_exclusions = self._create_persisted_exclusions()
         self._metrics = Metrics(service_class.name for service_class in configuration.settings.classes)
         self._upstream = self._create_upstream()
-        self._requests = OpenRequests(self._metrics, self._upstream.withdraw)
+        self._requests = OpenRequests(self._metrics, self._upstream.cancel_unwritten)
         self._balancer = Balancer(configuration.settings, configuration.seed)
         self._dispatcher = EventDispatcher(self._balancer, self._clock, self._requests, log)
         self._cluster = self._create_cluster()
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -72,11 +72,11 @@
 
     # Attempts
 
-    def start(self, attempt: Attempt, *, is_late: bool = False) -> None:
-        """Begin an attempt; `is_late`: its request was not read in this turn of the event loop."""
+    def start(self, attempt: Attempt, *, check_is_wanted: bool = False) -> None:
+        """Begin an attempt; `check_is_wanted`: its request was not read in this turn of the event loop."""
         loop = asyncio.get_running_loop()
         endpoint = self._pool.endpoints.get(attempt.server)
-        if endpoint is None or not self._may_begin(attempt, endpoint, is_late=is_late):
+        if endpoint is None or not self._may_begin(attempt, endpoint, check_is_wanted=check_is_wanted):
             loop.call_soon(self._end, attempt, Outcome.NOT_SENT)
             return
         self._set_timer(attempt)
@@ -88,7 +88,7 @@
         else:
             loop.call_soon(self._end, attempt, Outcome.NOT_SENT)
 
-    def _may_begin(self, attempt: Attempt, endpoint: PooledEndpoint, *, is_late: bool) -> bool:
+    def _may_begin(self, attempt: Attempt, endpoint: PooledEndpoint, *, check_is_wanted: bool) -> bool:
         """Whether the first byte of an attempt may be written now: the one guard before all writing.
 
         What was decided before a connection was established may no longer hold after it: the idempotency
@@ -104,10 +104,10 @@
             return False
         if endpoint.is_draining or endpoint.is_excluded:
             return False
-        return not is_late or attempt.is_wanted()
+        return not check_is_wanted or attempt.is_wanted()
 
     def _connected(self, attempt: Attempt, endpoint: PooledEndpoint, connection: UpstreamConnection) -> None:
-        if self._may_begin(attempt, endpoint, is_late=True):
+        if self._may_begin(attempt, endpoint, check_is_wanted=True):
             self._write(attempt, connection)
         else:
             self._pool.release(connection)
@@ -149,7 +149,7 @@
             outcome = Outcome.CANCELLED
         asyncio.get_running_loop().call_soon(attempt.on_ended, outcome, None)
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def cancel_unwritten(self, attempt: Attempt) -> None:
         """Cancel an attempt that is not written yet; one that is written is left to run."""
         if attempt.connection is None:
             self.cancel(attempt)
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -216,7 +216,7 @@
             for raw in raws:
                 raw.send(request("lodge"))
             scene.sidecar.downstream.drain()
-            scene.sidecar.downstream.stop_listening(accept_the_rest=True)
+            scene.sidecar.downstream.stop_listening(accept_queued=True)
             assert not scene.sidecar.downstream.is_empty
             for raw in raws:
                 assert (await raw.read_all()).startswith(b"HTTP/1.1 200")
--- a/tests/test_downstream_requests.py
+++ b/tests/test_downstream_requests.py
@@ -341,7 +341,7 @@
             await until(lambda: downstream.open_connections == 2)
             slow.send(sent)
             assert (await kept.ask()).status == 200  # what was sent before is read by now
-            downstream.close_overdue(downstream.last_opened + OVERDUE_S - 0.6)
+            downstream.close_overdue(downstream.last_opened_at + OVERDUE_S - 0.6)
             assert downstream.open_connections == 2
             downstream.close_overdue(now() + OVERDUE_S)
             if sent:
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -199,7 +199,7 @@
         async with late_pool() as pool:
             call = pool.call()
             pool.upstream.cancel(call)
-            pool.upstream.withdraw(call)
+            pool.upstream.cancel_unwritten(call)
             await until(lambda: pool.ends == [Outcome.NOT_SENT])
             assert await pool.first_bytes() == b""
 
@@ -209,7 +209,7 @@
 def test_connection_that_outlives_its_attempt_counts_against_the_limit_and_is_kept() -> None:
     async def work() -> None:
         async with late_pool(most=1) as pool:
-            pool.upstream.withdraw(pool.call())
+            pool.upstream.cancel_unwritten(pool.call())
             pool.call()  # no room: the first is still coming up
             await until(lambda: pool.ends == [Outcome.NOT_SENT] * 2)
             accepted = await pool.slow.let_go()
--- a/tests/test_request_parsing.py
+++ b/tests/test_request_parsing.py
@@ -48,11 +48,11 @@
 
 @pytest.mark.parametrize("target", [b"/other/7f3a", b"/api/7f3a?y=2"])
 def test_request_affinity_key_depends_on_the_resource_only(target: bytes) -> None:
-    assert parse(target=target).key == parse().key is not None
+    assert parse(target=target).affinity_key == parse().affinity_key is not None
 
 
 def test_request_without_a_resource_has_no_affinity_key() -> None:
-    assert parse(target=b"/").key is None
+    assert parse(target=b"/").affinity_key is None
 
 
 def test_outgoing_request_gets_the_time_that_is_left() -> None:
