--- a/sidecar/downstream/__init__.py
+++ b/sidecar/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""Clients' side of the proxy: listener, client connections, requests and bodies."""
+"""The client side of the proxy: listener, client connections, requests and bodies."""
--- a/sidecar/downstream/body_streaming.py
+++ b/sidecar/downstream/body_streaming.py
@@ -1,4 +1,4 @@
-"""A request body that is forwarded while it arrives, because it is too long to be buffered."""
+"""Streams request bodies that are too long to be buffered: they are forwarded while they arrive."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 class Upload:
     """A streamed request body, between the client that sends it and the exchange that forwards it.
 
-    Until an outlet is attached, the beginning is buffered and the client paused once the buffer is full.
-    Whatever went to an outlet is kept nowhere, so at most one outlet gets it.
+    Until a sink is attached, the beginning of the body is buffered, and reading from the client is paused
+    when the buffer is full.  What was passed to a sink is not stored, so only one sink can get the body.
     """
 
     def __init__(self, length: int | None, pause: Callable[[], None], resume: Callable[[], None]) -> None:
         """`pause` and `resume` stop and restart reading from the client; they may be called repeatedly."""
         self.length = length  # in bytes; None: not known in advance
-        self.is_consumed = False  # it was handed to an outlet and can't be sent again
+        self.is_consumed = False  # it was passed to a sink and can't be sent again
         self.is_complete = False  # its last byte has arrived
         self._pause = pause
         self._resume = resume
         self._buffered: list[bytes] = []
         self._buffered_bytes = 0
-        self._outlet: RequestBodySink | None = None
+        self._sink: RequestBodySink | None = None
 
     def feed(self, data: bytes) -> None:
-        """Forward or buffer a piece that came from the client."""
-        if self._outlet is not None:
-            if not self._outlet.send_body(data):
+        """Forward or buffer a piece of the body that the client sent."""
+        if self._sink is not None:
+            if not self._sink.send_body(data):
                 self._pause()
         elif not self.is_consumed:
             self._buffered.append(data)
@@ -38,32 +38,32 @@
                 self._pause()
 
     def end(self) -> None:
-        """Note that the last piece has come from the client."""
+        """Mark the body as complete: the client has sent its last piece."""
         self.is_complete = True
-        if self._outlet is not None:
-            self._outlet.end_body()
+        if self._sink is not None:
+            self._sink.end_body()
 
-    def attach(self, outlet: RequestBodySink) -> None:
-        """Forward the buffered beginning, and all that follows, to this outlet."""
-        self._outlet = outlet
+    def attach(self, sink: RequestBodySink) -> None:
+        """Forward the buffered beginning, and everything after it, to this sink."""
+        self._sink = sink
         self.is_consumed = True
         buffered, self._buffered = self._buffered, []
         is_writable = True
         for piece in buffered:
-            is_writable = outlet.send_body(piece)
+            is_writable = sink.send_body(piece)
         if self.is_complete:
-            outlet.end_body()
+            sink.end_body()
         elif is_writable:
             self._resume()
         else:
             self._pause()
 
     def resume(self) -> None:
-        """Read on from the client: the outlet has written everything."""
+        """Resume reading from the client; called by the sink once its write buffer is empty."""
         self._resume()
 
-    def detach(self, outlet: RequestBodySink) -> None:
-        """Discard whatever still comes: the outlet's exchange is over."""
-        if self._outlet is outlet:
-            self._outlet = None
+    def detach(self, sink: RequestBodySink) -> None:
+        """Discard the rest of the body, because the exchange of this sink has ended."""
+        if self._sink is sink:
+            self._sink = None
             self._resume()
--- a/sidecar/downstream/client_transport.py
+++ b/sidecar/downstream/client_transport.py
@@ -1,4 +1,4 @@
-"""A client connection below HTTP: its state, the ways to close it, and how much its client has taken."""
+"""The part of a client connection below HTTP: its state, closing it, and the progress of writing."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 from sidecar.downstream.flow_control import STALL_TIMEOUT_S, BoundedReader, WriteProgress
 from sidecar.interfaces import Transport
 
-CLIENT_TIMEOUT_S = 2.4  # to send a head, to take some of a response, or to hang up while lingering
+CLIENT_TIMEOUT_S = 2.4  # to send a head, to read some of a response, or to close while lingering
 
 
 class ConnectionOwner(Protocol):
-    """What a connection asks of the owner of all client connections; it passes itself."""
+    """The methods of the owner of all client connections that a connection calls; it passes itself."""
 
     def await_client(self, connection: Any) -> None:
-        """Give the client a bounded time to do what is expected of it."""
+        """Start the client timeout: the client must send, read or close within it."""
 
     def watch_progress(self, connection: Any) -> None:
-        """Give the client time as long as it makes progress."""
+        """Let the client continue without a timeout as long as it makes progress."""
 
 
 class ClientTransport(BoundedReader):
-    """The part of a client connection that knows nothing of requests and responses."""
+    """The part of a client connection that is independent of requests and responses."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
         self._owner = owner
         self._transport: Transport | None = None  # None: not connected yet
         self._socket: ConnectionSocket | None = None
-        self._writing = WriteProgress()
+        self._write_progress = WriteProgress()
         self._is_writing_paused = False
-        self._is_reading_ended = False  # whatever still arrives is discarded
+        self._is_reading_ended = False  # data that still arrives is discarded
         self._was_streamed = False  # whether the current or last response is a streamed one
         self.state = ConnectionState.READING
 
@@ -43,16 +43,16 @@
     # Ending the connection
 
     def close(self) -> None:
-        """Close an idle connection; a request that crosses this is read by nobody and never forwarded."""
+        """Close an idle connection; a request that is sent meanwhile is discarded, never forwarded."""
         if self._transport is None or self._is_reading_ended:
             return
         if not self._transport.is_closing() and not self._transport.get_write_buffer_size():
             assert self._socket is not None
-            self._socket.shut_down()  # at once: the transport's own end waits for its turn in the event loop
+            self._socket.shut_down()  # the transport itself does so only in a later event loop iteration
         self._linger()
 
     def close_unused(self) -> None:
-        """Close a connection that has brought nothing and awaits no response, and free its descriptor."""
+        """Close a connection on which no request is pending or arriving, and free its descriptor."""
         if self._transport is None:
             return
         if not self._transport.is_closing() and self._socket is not None:
@@ -62,60 +62,60 @@
         self._transport.close()
 
     def abort(self) -> None:
-        """Close the connection and drop what is still to be written."""
+        """Close the connection and discard the data in its write buffer."""
         self._enter(ConnectionState.CLOSED)
         self._is_reading_ended = True
         if self._transport is not None:
             self._transport.abort()
 
     def _linger(self) -> None:
-        """Close our side and let the client finish sending, for a while; what still comes is discarded.
+        """Close our sending side, and for a bounded time discard what the client still sends.
 
-        The one way to end a connection that may have a response on its way.  Guards against cutting that
-        off: with bytes unread, a close resets the connection, and the client may never see the response.
+        Every connection that may have a response in transit is ended this way.  Closing a socket with unread
+        data would reset the connection, and the client could lose the response.
         """
         assert self._transport is not None
         self._is_reading_ended = True
         if self._transport.is_closing():
             return
         if self._transport.can_write_eof():
-            self._transport.write_eof()  # behind what is still to be written
+            self._transport.write_eof()  # after the data in the write buffer
         self._enter(ConnectionState.LINGERING)
-        self._writing.restart()
+        self._write_progress.restart()
         if not self._is_writing_paused:
             self._owner.await_client(self)
 
-    # What the client has taken
+    # Progress of writing to the client
 
     def pause_writing(self) -> None:
         """Called by the event loop: the write buffer has exceeded its limit."""
         self._is_writing_paused = True
-        self._writing.restart()
+        self._write_progress.restart()
         self._owner.watch_progress(self)
         if self._transport is not None:
             self._transport.pause_reading()
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed its connection, behind whatever it sent.
+        """Whether the client has closed its connection, even if data that it sent before is unread.
 
-        Guards against collapse under overload: when requests are read so late that their clients have given
-        up and retry, all the time would go to responses that nobody reads.
+        Guards against congestion collapse under overload: if requests are read only after their clients have
+        given up and retried, all processing time would go to responses that nobody reads.
         """
         return self._socket is not None and self._socket.is_peer_closed()
 
     @property
-    def has_untaken_bytes(self) -> bool:
-        """Whether some of what was written has not arrived at the client."""
+    def has_undelivered_bytes(self) -> bool:
+        """Whether some of the data written has not been acknowledged by the client's machine."""
         is_open = self._transport is not None and not self._transport.is_closing()
-        return is_open and self._untaken_bytes() > 0
+        return is_open and self._undelivered_bytes() > 0
 
-    def _is_not_taking(self, now: float) -> bool:
-        """Whether the client has taken nothing of what was written for it for too long."""
+    def _is_write_stalled(self, now: float) -> bool:
+        """Whether none of the data written was acknowledged for longer than the timeout."""
         timeout_s = STALL_TIMEOUT_S if self._was_streamed else CLIENT_TIMEOUT_S
-        return self._writing.stalled_s(self._untaken_bytes(), now) > timeout_s
+        return self._write_progress.stalled_s(self._undelivered_bytes(), now) > timeout_s
 
-    def _untaken_bytes(self) -> int:
-        """Return how much was written for the client and not taken by its machine."""
+    def _undelivered_bytes(self) -> int:
+        """Return how many bytes were written and not acknowledged by the client's machine."""
         assert self._transport is not None
         assert self._socket is not None
         return self._transport.get_write_buffer_size() + self._socket.unsent_bytes()
--- a/sidecar/downstream/connection.py
+++ b/sidecar/downstream/connection.py
@@ -1,6 +1,6 @@
 """One client connection: reads requests, one at a time, and writes the response to each.
 
-Which connections are closed, and when, is decided by `Downstream`, which owns them all.
+`Downstream` owns all client connections and decides which of them are closed, and when.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 if TYPE_CHECKING:
     from sidecar.downstream.downstream import Downstream
 
-_BODY_TIMEOUT_S = 2.7  # to send head and body, beyond the time that the body takes at the minimum rate
+_BODY_TIMEOUT_S = 2.7  # for head and body, beyond the time that the body needs at the minimum rate
 _HEALTH_TARGET = b"/_health"
 _CONNECTION_CLOSE = (b"connection", b"close")
 
@@ -49,11 +49,11 @@
     def __init__(self, owner: Downstream) -> None:
         super().__init__(owner)
         self._reader = RequestReader()
-        self._head: RequestHead | None = None  # of the request that arrives or awaits its response
+        self._head: RequestHead | None = None  # of the request that is arriving or pending
         self._body = bytearray()
         self._upload: Upload | None = None  # a streamed body that has not arrived completely
-        self.receiving = ReceiveProgress(0.0)
-        self._pending_request: int | None = None  # the number of the request that awaits its response
+        self.receive_progress = ReceiveProgress(0.0)
+        self._pending_request: int | None = None  # the number of the request without a response
         self._source: ResponseSource | None = None  # of the response that is being streamed
         self._is_response_chunked = False
         self._response_bytes_left: int | None = None  # None: its length is not known
@@ -61,13 +61,13 @@
     # Called by the sidecar
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write the response to the request that awaits it."""
+        """Write the response to the pending request."""
         self._pending_request = None
         if self._upload is not None:
-            self._is_reading_ended = True  # the body is given up before its end
-            self._forget_upload()
+            self._is_reading_ended = True  # the rest of the body is not read
+            self._discard_upload()
         if self._source is not None:
-            self.abort()  # a streamed response has begun
+            self.abort()  # a streamed response has begun, so no other can be sent
             return
         if self._transport is None or self._transport.is_closing():
             return
@@ -75,7 +75,7 @@
         if is_last:
             headers = [*headers, _CONNECTION_CLOSE]
         if self._head is not None and self._head.method == b"HEAD":
-            body = b""  # the method allows none, not even with an error
+            body = b""  # a response to HEAD has none, not even an error (RFC 9110, 9.3.2)
         head = response_head(status, [*headers, (b"content-length", b"%d" % len(body))])
         self._transport.write(head + body)
         self._response_written(is_last=is_last)
@@ -83,7 +83,7 @@
     def start_streaming(
         self, headers: Headers, length: int | None, first: bytes, source: ResponseSource
     ) -> bool:
-        """Write the beginning of a streamed response; return whether the client is still there."""
+        """Write the beginning of a streamed response; return False if the client has disconnected."""
         if self._transport is None or self._transport.is_closing():
             return False
         assert self._head is not None
@@ -107,14 +107,14 @@
     def write(self, data: bytes) -> bool:
         """Write a piece of a streamed response; return whether more may follow at once."""
         if self._transport is None or self._source is None or self._transport.is_closing():
-            return True  # nobody reads it
+            return True  # the client has disconnected; the data is discarded
         if self._response_bytes_left is not None:
             self._response_bytes_left -= len(data)
         self._transport.write(chunk(data) if self._is_response_chunked else data)
         return not self._is_writing_paused
 
     def finish_streaming(self) -> None:
-        """End a streamed response; one that is shorter than announced aborts the connection."""
+        """End a streamed response; abort the connection if it is shorter than its content-length."""
         self._pending_request = self._source = None
         if self._transport is None or self._transport.is_closing():
             return
@@ -129,9 +129,12 @@
     # Timeouts
 
     def time_out(self, now: float) -> None:
-        """End the wait for a request, for the client to read its response, or for it to hang up."""
+        """Reject a request that is incomplete after its timeout, or end a connection that makes no progress.
+
+        A lingering connection whose client still reads its response gets the client timeout again.
+        """
         is_lingering = self.state is ConnectionState.LINGERING
-        if is_lingering and self.has_untaken_bytes and not self._is_not_taking(now):
+        if is_lingering and self.has_undelivered_bytes and not self._is_write_stalled(now):
             self._owner.await_client(self)
         elif self._is_reading_ended or self._is_writing_paused:
             self.abort()
@@ -141,25 +144,26 @@
             self._reject(408)
 
     def _reject(self, status: int, reason: bytes = b"") -> None:
-        """Answer what is no valid request, then hang up: nothing that follows may be taken for one."""
+        """Reject an invalid request and end the connection, so that nothing after it is read as a request."""
         self._is_reading_ended = True
         request, self._pending_request = self._pending_request, None
         if request is not None:
-            self._owner.on_disconnect(request)  # its end is missing, or wrong
+            # Its body was being forwarded, and the rest is missing or invalid.
+            self._owner.on_disconnect(request)
         self.respond(status, [], reason)
 
     # State, for the owner
 
     @property
     def is_idle(self) -> bool:
-        """Whether closing it now loses no request, not even one that lies unread in the socket."""
+        """Whether closing the connection now loses no request, not even one unread in the socket."""
         if self._pending_request is not None or self._head is not None or self._is_reading_ended:
             return False
         return self._socket is not None and self._socket.is_idle()
 
     @property
     def is_sending_body(self) -> bool:
-        """Whether the client is sending a body of which nothing was forwarded."""
+        """Whether the client is sending a body of which nothing has been forwarded."""
         is_reading = self.state is ConnectionState.READING and self._head is not None
         return is_reading and not self._is_writing_paused
 
@@ -173,18 +177,19 @@
     def is_stalled(self, now: float) -> bool:
         """Whether the client is too slow in sending a body, or in reading its response."""
         if self._is_writing_paused:
-            return self._is_not_taking(now)
+            return self._is_write_stalled(now)
         if not self._reader.is_in_body or self._is_reading_ended:
             return False
-        if self.receiving.paused_since is not None:
-            # While nothing is read, no disconnect is seen either; an attempt should have ended by then.
-            return self.has_disconnected() or now - self.receiving.paused_since > 2 * STALL_TIMEOUT_S
-        return self.receiving.lag_s(now) > _BODY_TIMEOUT_S
+        if self.receive_progress.paused_since is not None:
+            # While reading is paused, the event loop reports no disconnect, so the socket is asked.  An
+            # attempt that takes no more of the body should have ended within twice the stall timeout.
+            return self.has_disconnected() or now - self.receive_progress.paused_since > 2 * STALL_TIMEOUT_S
+        return self.receive_progress.lag_s(now) > _BODY_TIMEOUT_S
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the event loop: a client has connected."""
-        self._transport = cast(Transport, transport)  # uvloop's class derives from none of asyncio's
-        self.receiving.started_at = asyncio.get_running_loop().time()
+        self._transport = cast(Transport, transport)  # uvloop's transport is no subclass of asyncio's
+        self.receive_progress.started_at = asyncio.get_running_loop().time()
         self._socket = ConnectionSocket(self._transport)
         self._owner.add(self)
 
@@ -193,7 +198,7 @@
         if self._is_reading_ended:
             return
         if self._pending_request is not None and self._upload is None:
-            # What comes beside a pending request is no request: the response to that one is the last.
+            # Data that arrives while a request is pending is discarded, and its response is the last one.
             self._is_reading_ended = True
             return
         if self._head is None:
@@ -201,7 +206,7 @@
                 self.abort()
                 return
             if self._owner.mark_active(self):
-                self.receiving.started_at = asyncio.get_running_loop().time()
+                self.receive_progress.started_at = asyncio.get_running_loop().time()
             self._enter(ConnectionState.READING)
         self._reader.receive(data)
         self._read()
@@ -211,33 +216,33 @@
         self._is_writing_paused = False
         if self._transport is None or self._transport.is_closing():
             return
-        if self.receiving.paused_since is None:
+        if self.receive_progress.paused_since is None:
             self._transport.resume_reading()
         if self._source is not None:
             self._source.resume()
         elif self.state is ConnectionState.LINGERING:
             self._owner.await_client(self)
         elif not self._is_reading_ended:
-            self._owner.stop_awaiting(self)
+            self._owner.clear_timeout(self)
             if self._pending_request is None and self._head is None:
                 self._owner.mark_idle(self)
             self._read()
 
     def eof_received(self) -> None:
         """Called by the event loop: the client closed its sending side."""
-        self._client_disconnected()
+        self._handle_disconnect()
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """Called by the event loop: the connection is closed."""
-        self._client_disconnected()
+        self._handle_disconnect()
         self._enter(ConnectionState.CLOSED)
         self._is_reading_ended = True
         self._owner.remove(self)
         if self._socket is not None:
             self._socket.release()
 
-    def _client_disconnected(self) -> None:
-        self._forget_upload()
+    def _handle_disconnect(self) -> None:
+        self._discard_upload()
         self._source = None
         request, self._pending_request = self._pending_request, None
         if request is not None:
@@ -246,10 +251,10 @@
     # Reading requests
 
     def _read(self) -> None:
-        """Read on as far as what has arrived allows."""
+        """Process received data until more is needed, a request is pending or writing is paused."""
         while (self._pending_request is None or self._upload is not None) and not self._is_reading_ended:
             if self._is_writing_paused:
-                return  # guards against a client that sends request after request and reads no response
+                return  # a client that reads no responses gets no further request processed
             try:
                 event = self._reader.next_event()
             except MalformedMessageError as error:
@@ -271,7 +276,7 @@
         assert self._transport is not None
         self._enter(ConnectionState.READING)
         self._head = head
-        self.receiving.received_bytes = 0
+        self.receive_progress.received_bytes = 0
         self._was_streamed = False
         if head.length == 0:
             return
@@ -285,8 +290,8 @@
             self._transport.write(CONTINUE)
 
     def _body_received(self, data: bytes) -> None:
-        self.receiving.received_bytes += len(data)
-        if self.receiving.received_bytes > MAX_BODY_BYTES:
+        self.receive_progress.received_bytes += len(data)
+        if self.receive_progress.received_bytes > MAX_BODY_BYTES:
             self._reject(413)
         elif self._upload is not None:
             self._upload.feed(data)
@@ -301,7 +306,7 @@
         if self._reader.has_trailing_data:
             self._reject_pipelined()
             return
-        self._owner.stop_awaiting(self)
+        self._owner.clear_timeout(self)
         if self._head.target == _HEALTH_TARGET:
             self._answer_health_check()
             return
@@ -313,7 +318,7 @@
         except InvalidRequestError as error:
             self._reject(400, f"{error}\n".encode())
             return
-        # The client's time runs from when it sent the request, not from when that was read.
+        # The deadline counts from when the client sent the request, not from when it was read.
         assert self._socket is not None
         incoming.remaining_us = max(incoming.remaining_us - self._socket.unread_us(), 1)
         self._pending_request = self._owner.on_arrival(self, incoming)
@@ -321,7 +326,7 @@
             self._enter(ConnectionState.AWAITING_RESPONSE)
 
     def _reject_pipelined(self) -> None:
-        # Guards against bodies of another length than their head says: a client sends one request at a time.
+        # Clients send one request at a time: further data may be a body that is longer than its head says.
         self._reject(400, b"more came than one request\n")
 
     def _answer_health_check(self) -> None:
@@ -342,7 +347,7 @@
 
     @property
     def _is_last_response(self) -> bool:
-        """Whether a response that is begun now ends the connection."""
+        """Whether the connection ends after a response that begins now."""
         if self._is_reading_ended or self._owner.is_draining or self._head is None:
             return True
         return not self._head.keeps_alive
@@ -350,7 +355,7 @@
     # Streamed request bodies
 
     def _start_upload(self, length: int | None) -> None:
-        """Accept a request whose body is too long to be buffered, before that has arrived completely."""
+        """Accept a request whose body is too long to be buffered, before the body has arrived completely."""
         assert self._head is not None
         upload = Upload(length, self._pause_upload, self._resume_upload)
         try:
@@ -363,7 +368,7 @@
         if buffered:
             upload.feed(buffered)
         request = self._owner.on_arrival(self, incoming)
-        if self._upload is not None:  # else it was answered within that call
+        if self._upload is not None:  # else the request was answered during that call
             self._pending_request = request
             self._enter(ConnectionState.AWAITING_RESPONSE)
 
@@ -375,7 +380,7 @@
             self._reject_pipelined()
             return
         self._upload = None
-        self._owner.stop_awaiting(self)
+        self._owner.clear_timeout(self)
         self._resume_upload()
         upload.end()
         if self._pending_request is not None:
@@ -383,18 +388,22 @@
             self._owner.on_complete(self._pending_request, self._socket.unread_us())
 
     def _pause_upload(self) -> None:
-        """Read no more of the body for now: whoever it is forwarded to is slower."""
-        if self.receiving.paused_since is None and self._upload is not None and self._transport is not None:
-            self.receiving.paused_since = asyncio.get_running_loop().time()
+        """Pause reading the body: its buffer is full, or the server is slower than the client."""
+        if (
+            self.receive_progress.paused_since is None
+            and self._upload is not None
+            and self._transport is not None
+        ):
+            self.receive_progress.paused_since = asyncio.get_running_loop().time()
             self._transport.pause_reading()
 
     def _resume_upload(self) -> None:
-        if self.receiving.paused_since is None or self._transport is None:
+        if self.receive_progress.paused_since is None or self._transport is None:
             return
-        self.receiving.resume(asyncio.get_running_loop().time())
+        self.receive_progress.resume(asyncio.get_running_loop().time())
         if not self._is_writing_paused and not self._transport.is_closing():
             self._transport.resume_reading()
 
-    def _forget_upload(self) -> None:
+    def _discard_upload(self) -> None:
         self._upload = None
         self._resume_upload()
--- a/sidecar/downstream/connection_state.py
+++ b/sidecar/downstream/connection_state.py
@@ -7,20 +7,20 @@
 
 @unique
 class ConnectionState(Enum):
-    """Where in its life a client connection is."""
+    """The state of a client connection."""
 
-    READING = "reading"  # its first request is awaited, or a request is arriving
-    AWAITING_RESPONSE = "awaiting response"  # a request was accepted: exactly one response is owed
+    READING = "reading"  # waiting for the first request, or receiving a request
+    AWAITING_RESPONSE = "awaiting response"  # a request was accepted; it gets exactly one response
     STREAMING_RESPONSE = "streaming response"  # the response has begun and is forwarded as it arrives
-    IDLE = "idle"  # the last request was answered, and nothing of another has arrived
+    IDLE = "idle"  # the last request was answered; nothing was received since
     LINGERING = "lingering"  # our side is closed; what the client still sends is discarded
     CLOSED = "closed"
 
     successors: tuple[ConnectionState, ...]
 
 
-# Any connection may be lost or aborted at any time.  One that ends while a response is on its way ends by
-# lingering, and nothing that arrives after that is read as a request.
+# Any connection may be lost or aborted at any time.  A connection that ends while a response is in transit
+# goes through LINGERING, in which received data is not read as a request.
 TRANSITIONS = {
     ConnectionState.READING: {
         ConnectionState.AWAITING_RESPONSE,
--- a/sidecar/downstream/downstream.py
+++ b/sidecar/downstream/downstream.py
@@ -1,4 +1,4 @@
-"""All client connections: their limit, which of them are closed and when, and draining."""
+"""Owns all client connections: limits their number, closes overdue and idle ones, and drains them."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 from sidecar.downstream.request_parsing import IncomingRequest, parse_request
 from sidecar.http import RequestHead
 
-_FIRST_REQUEST_GRACE_S = 0.25  # a connection that waits longer for its request is closed before an idle one
-_MAX_CANDIDATES = 8  # connections of each kind that are considered for closing
+_FIRST_REQUEST_GRACE_S = 0.25  # an unused connection older than this is evicted before an idle one
+_MAX_CANDIDATES = 8  # connections of each table that are considered for eviction
 _IDLE_TIMEOUT_S = 60.0
 _SWEEP_INTERVAL_S = 0.25
-_STREAMING_SWEEP_INTERVAL_S = 0.1  # while bodies are sent or read
+_STREAMING_SWEEP_INTERVAL_S = 0.1  # while bodies are being transferred
 
 
 class Downstream:
     """The client connections, at most `max_connections` of them, and their listener.
 
-    Each connection is in at most one of three tables, the longest first: awaited (its client must act within
-    `CLIENT_TIMEOUT_S`), watched (its client sends or reads a body and must make progress) and idle.
+    Each connection is in at most one of three tables, which are ordered by the time of entry, oldest first:
+    awaited (its client must act within `CLIENT_TIMEOUT_S`), watched (its client sends or reads a body and
+    must make progress) and idle.
     """
 
     def __init__(
@@ -41,15 +42,16 @@
     ) -> None:
         """`on_arrival` returns the number of the accepted request, or None if it is answered already.
 
-        `on_complete` is given that number when the last byte of a streamed body has arrived, and how long
-        that lay unread in microseconds; `on_disconnect` when its client has left before the response.
+        `on_complete` is called with that number when the last byte of a streamed body has arrived, and with
+        how long the byte was unread in the socket, in microseconds.  `on_disconnect` is called with the
+        number when the client disconnects before its response.
         """
         self.write_buffer_bytes = write_buffer_limit(memory_mb, max_connections)
         self.on_arrival = on_arrival
         self.on_complete = on_complete
         self.on_disconnect = on_disconnect
         self.is_draining = False  # every further response closes its connection
-        self.fails_health_checks = False  # and health checks tell clients to go elsewhere
+        self.fails_health_checks = False  # health checks get 503, so that clients go elsewhere
         self.last_opened_at = 0.0
         self._classes = {service_class.name: service_class for service_class in settings.classes}
         self._tenants = frozenset(tenant.name for tenant in settings.tenants)
@@ -68,23 +70,24 @@
         self._listener = Listener(listening, lambda: DownstreamConnection(self), self._evict_connection)
 
     def stop_listening(self, *, accept_queued: bool = False) -> None:
-        """Accept no more; `accept_queued`: except for what the system has accepted already."""
+        """Accept no more connections; with `accept_queued`, those in the listen queue are accepted first."""
         if self._listener is not None:
             self._listener.close(accept_queued=accept_queued)
 
     def drain(self) -> None:
-        """Close idle connections; every further response closes its own."""
+        """Close idle connections; every further response closes its connection."""
         self.is_draining = True
         self.close_idle()
 
     def resume(self) -> None:
-        """Take clients again after a drain."""
+        """Accept clients again after a drain."""
         self.is_draining = self.fails_health_checks = False
 
     def close_idle(self) -> None:
-        """Close what is idle, and what was opened a while ago and has brought no request.
+        """Close idle connections, and those that were opened some time ago and have received no request.
 
-        One that was just opened is about to bring its request: its client may not have heard of the drain.
+        A connection that was just opened is kept: its client may not know of the drain, and its request may
+        be about to arrive.
         """
         now = asyncio.get_running_loop().time()
         unused = _older_than(self._awaited_since, now - _FIRST_REQUEST_GRACE_S)
@@ -105,7 +108,7 @@
 
     @property
     def is_streaming_response(self) -> bool:
-        """Whether a client is getting a streamed response."""
+        """Whether a streamed response is being sent to a client."""
         return any(connection.is_streaming_response for connection in self._connections)
 
     @property
@@ -115,56 +118,56 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is no connection, nor one that is just being accepted."""
+        """Whether no connection is open or being accepted."""
         return not self._connections and (self._listener is None or not self._listener.being_accepted)
 
     # Called by connections
 
     def parse(self, head: RequestHead, body: bytes | Upload) -> IncomingRequest:
-        """Parse a request as the settings demand; raise InvalidRequestError."""
+        """Parse a request by the configured classes and tenants; raise InvalidRequestError if invalid."""
         return parse_request(head, body, self._classes, self._tenants)
 
     def add(self, connection: DownstreamConnection) -> None:
-        """Take in a new connection, or close it where there is no room."""
+        """Add a new connection, or close it if the limit is reached and no other can be evicted."""
         self.last_opened_at = asyncio.get_running_loop().time()
         if len(self._connections) >= self._max_connections and not self._evict_connection():
-            connection.close_unused()  # all others await a response
+            connection.close_unused()  # all others are waiting for a response
             return
         self._connections[connection] = None
         self.await_client(connection)
         self._schedule_sweep()
 
     def remove(self, connection: DownstreamConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
         self._connections.pop(connection, None)
-        self.stop_awaiting(connection)
+        self.clear_timeout(connection)
 
     def await_client(self, connection: DownstreamConnection) -> None:
-        """Give the client `CLIENT_TIMEOUT_S` from now to do what is expected of it."""
+        """Start the client timeout: the client must send, read or close within `CLIENT_TIMEOUT_S`."""
         if connection in self._connections:
-            self.stop_awaiting(connection)
+            self.clear_timeout(connection)
             self._awaited_since[connection] = asyncio.get_running_loop().time()
 
     def watch_progress(self, connection: DownstreamConnection) -> None:
-        """Give the client time for a body as long as it makes progress."""
+        """Let the client send or read a body without a timeout as long as it makes progress."""
         if connection in self._connections:
-            self.stop_awaiting(connection)
+            self.clear_timeout(connection)
             self._watched[connection] = None
 
-    def stop_awaiting(self, connection: DownstreamConnection) -> None:
-        """Note that nothing is expected of the client."""
+    def clear_timeout(self, connection: DownstreamConnection) -> None:
+        """Remove a connection from all tables: no timeout applies to it."""
         self._awaited_since.pop(connection, None)
         self._watched.pop(connection, None)
         self._idle_since.pop(connection, None)
 
     def mark_idle(self, connection: DownstreamConnection) -> None:
-        """Note that the last request was answered, and nothing of another has arrived."""
+        """Mark a connection as idle: its last request was answered, and nothing was received since."""
         if connection in self._connections:
-            self.stop_awaiting(connection)
+            self.clear_timeout(connection)
             self._idle_since[connection] = asyncio.get_running_loop().time()
 
     def mark_active(self, connection: DownstreamConnection) -> bool:
-        """Await the rest of a request that begins to arrive; return whether the connection was idle."""
+        """Start the timeout for a request that begins to arrive; return whether the connection was idle."""
         if self._idle_since.pop(connection, None) is None:
             return False
         self.await_client(connection)
@@ -173,7 +176,7 @@
     # Closing connections
 
     def close_overdue(self, now: float) -> None:
-        """Close connections whose clients had their time, by the event loop's clock.
+        """Close connections whose timeout is over; `now` is the time of the event loop's clock.
 
         Guards against slow, silent and hung peers: each would hold a descriptor forever.
         """
@@ -199,16 +202,16 @@
             self._schedule_sweep()
 
     def _evict_connection(self) -> bool:
-        """Close one connection that loses no request by it; return whether there was one.
+        """Close one connection that can be closed for a new one; return whether there was one.
 
-        Few are considered: with all of them polled for each new one, a rush of connections would leave no
-        time to answer anybody.
+        Only a few of each table are considered.  If all were polled for each new connection, a burst of
+        connections would leave no processing time for requests.
         """
         awaited = next(
             (
                 connection
                 for connection in islice(self._awaited_since, _MAX_CANDIDATES)
-                if not connection.has_untaken_bytes
+                if not connection.has_undelivered_bytes
             ),
             None,
         )
@@ -226,7 +229,7 @@
         if candidate is idle:
             candidate.close_unused()
         else:
-            candidate.abort()  # it may hold what its client does not read
+            candidate.abort()  # its write buffer may hold data that the client does not read
         self.remove(candidate)
         return True
 
@@ -236,10 +239,12 @@
             connection for connection in islice(self._watched, _MAX_CANDIDATES) if connection.is_sending_body
         ]
         return max(
-            senders, key=lambda connection: connection.receiving.lag_s(self.last_opened_at), default=None
+            senders,
+            key=lambda connection: connection.receive_progress.lag_s(self.last_opened_at),
+            default=None,
         )
 
 
 def _older_than(since: dict[DownstreamConnection, float], time: float) -> list[DownstreamConnection]:
-    """Return the connections that have been in a table since that time or before, the longest first."""
+    """Return the connections that entered a table at that time or before, oldest first."""
     return list(takewhile(lambda connection: since[connection] <= time, since))
--- a/sidecar/downstream/flow_control.py
+++ b/sidecar/downstream/flow_control.py
@@ -1,8 +1,8 @@
-"""Limits on buffered bodies and on the memory that slow readers may hold.
+"""Limits buffered bodies and the memory used for data that slow readers have not read.
 
-A body of up to `MAX_BUFFERED_BODY_BYTES` is buffered completely; a longer one is streamed.  Where the reader
-of a streamed body takes nothing more, its writer is no longer read from (backpressure).  Every client
-connection has an equal part of one memory budget, so slow clients can't use up what others need.
+A body of up to `MAX_BUFFERED_BODY_BYTES` is buffered completely; a longer one is streamed.  While the
+receiver of a streamed body accepts no more data, reading from its sender is paused (backpressure).  Every
+client connection has an equal part of one memory budget, so slow clients can't use up what others need.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 MAX_BODY_BYTES = 32 << 20
 STALL_TIMEOUT_S = 10.0  # without any progress of a streamed body
 
-_RECEIVE_BUFFER = bytearray(64 << 10)  # shared: its content is copied before the event loop goes on
+_RECEIVE_BUFFER = bytearray(64 << 10)  # shared by all connections: copied out at once
 _RECEIVE_VIEW = memoryview(_RECEIVE_BUFFER)
-_MIN_BODY_BYTES_PER_S = 58_000.0  # a client that keeps to the platform's terms sends somewhat faster
+_MIN_BODY_BYTES_PER_S = 58_000.0  # clients that keep to the platform's protocol send faster
 _MEMORY_FRACTION = 1 / 8  # of the process's memory, for all streamed bodies together
 _MIN_WRITE_BUFFER_BYTES = 4 << 10
 _MAX_WRITE_BUFFER_BYTES = 64 << 10
 
 
 def write_buffer_limit(memory_mb: int, connections: int) -> int:
-    """Return the number of bytes that may lie unwritten for one client connection."""
+    """Return the limit on the write buffer of one client connection, in bytes."""
     equal_part = int((memory_mb << 20) * _MEMORY_FRACTION / max(connections, 1))
     return max(_MIN_WRITE_BUFFER_BYTES, min(equal_part, _MAX_WRITE_BUFFER_BYTES))
 
 
 class BoundedReader(asyncio.BufferedProtocol):
-    """A protocol that reads a bounded piece at a time, whatever the system holds."""
+    """A protocol that reads at most 64 KiB at a time, however much data the socket holds."""
 
     def get_buffer(self, _sizehint: int) -> bytearray:
         """Called by the event loop: return the buffer that the next piece is received into."""
@@ -39,12 +39,12 @@
         self.data_received(bytes(_RECEIVE_VIEW[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Take a piece of what the peer sent."""
+        """Process data that the peer sent."""
         raise NotImplementedError
 
 
 class ReceiveProgress:
-    """How fast a client sends a request, apart from the time in which it was paused."""
+    """Measures how fast a client sends a request, not counting the time while reading was paused."""
 
     __slots__ = ("paused_since", "received_bytes", "started_at")
 
@@ -55,7 +55,7 @@
         self.paused_since: float | None = None
 
     def resume(self, now: float) -> None:
-        """Go on after a pause, which is not the client's time."""
+        """End a pause, whose duration does not count as the client's time."""
         if self.paused_since is not None:
             self.started_at += now - self.paused_since
             self.paused_since = None
@@ -66,20 +66,20 @@
 
 
 class WriteProgress:
-    """How much of what was written the client has not taken, and since when that has not decreased."""
+    """Tracks how many written bytes the client has not received, and since when that has not decreased."""
 
-    __slots__ = ("_since", "_untaken_bytes")
+    __slots__ = ("_unchanged_since", "_undelivered_bytes")
 
     def __init__(self) -> None:
-        self._untaken_bytes = 0
-        self._since = 0.0
+        self._undelivered_bytes = 0
+        self._unchanged_since = 0.0
 
     def restart(self) -> None:
-        """Measure anew from the next call of `stalled_s` on."""
-        self._untaken_bytes = 0
-
-    def stalled_s(self, untaken_bytes: int, now: float) -> float:
-        """Note how much is untaken now; return for how long that has not decreased."""
-        if untaken_bytes < self._untaken_bytes or not self._untaken_bytes:
-            self._untaken_bytes, self._since = untaken_bytes, now
-        return now - self._since
+        """Restart the measurement at the next call of `stalled_s`."""
+        self._undelivered_bytes = 0
+
+    def stalled_s(self, undelivered_bytes: int, now: float) -> float:
+        """Record the number of undelivered bytes; return for how long it has not decreased."""
+        if undelivered_bytes < self._undelivered_bytes or not self._undelivered_bytes:
+            self._undelivered_bytes, self._unchanged_since = undelivered_bytes, now
+        return now - self._unchanged_since
--- a/sidecar/downstream/listener.py
+++ b/sidecar/downstream/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket for clients: bound by this process, or held by the platform for every process."""
+"""The listening socket for clients: bound by this process, or inherited and shared between processes."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from sidecar.connection_socket import PEER_CLOSED_EVENTS
 
 _BACKLOG = 1_024
-_MAX_ACCEPTS_PER_TURN = 8  # so that connections over the limit are closed before more are accepted
-_RETRY_S = 0.1  # until accepting is tried again when this machine had no room
-_RETRY_AFTER_CLOSE_S = 0.01  # when a connection was closed to make room: its descriptor is free soon
+_MAX_ACCEPTS_PER_EVENT = 8  # so that connections over the limit are closed before more are accepted
+_RETRY_S = 0.1  # delay before accepting again when the machine ran out of descriptors or memory
+_RETRY_AFTER_CLOSE_S = 0.01  # the same after an eviction, which frees a descriptor soon
 _NO_RESOURCES_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
@@ -23,16 +23,16 @@
     try:
         listening = socket.socket(fileno=descriptor)
     except (OSError, OverflowError, ValueError) as error:
-        raise ValueError(f"descriptor {descriptor} is no socket: {error}") from None
+        raise ValueError(f"descriptor {descriptor} is not a socket: {error}") from None
     is_tcp = listening.family in (socket.AF_INET, socket.AF_INET6) and listening.type == socket.SOCK_STREAM
     if not is_tcp or not listening.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        listening.detach()  # it belongs to somebody else and stays open
-        raise ValueError(f"descriptor {descriptor} is no listening TCP socket")
+        listening.detach()  # it belongs to another owner and stays open
+        raise ValueError(f"descriptor {descriptor} is not a listening TCP socket")
     return listening
 
 
 def bind_listener(address: Address) -> socket.socket:
-    """Return a listening socket bound to the address; raise OSError if there can be none."""
+    """Return a listening socket bound to the address; raise OSError if that fails."""
     listening = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     try:
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -47,8 +47,8 @@
 class Listener:
     """Accepts connections, a few at a time, until it is closed.
 
-    Another process may accept from the same socket, so that is never shut down, and its queue of connections
-    is left alone.
+    Another process may accept from the same socket.  So the socket is closed but never shut down, and its
+    listen queue is left alone.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         create_protocol: Callable[[], asyncio.BaseProtocol],
         evict_connection: Callable[[], bool] = lambda: False,
     ) -> None:
-        """`evict_connection` closes a connection that can be spared, and returns whether there was one."""
+        """`evict_connection` closes a connection to free its descriptor; returns whether there was one."""
         self._socket = listening
         self._create_protocol = create_protocol
         self._evict_connection = evict_connection
@@ -74,7 +74,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it has not been closed."""
+        """Whether the listener has not been closed."""
         return self._socket.fileno() >= 0
 
     @property
@@ -83,10 +83,10 @@
         return len(self._tasks)
 
     def close(self, *, accept_queued: bool = False) -> None:
-        """Stop accepting; connections that were accepted live on.
+        """Stop accepting; connections that were accepted stay open.
 
-        A connection that still waits in the system's queue is reset when its listening socket is closed, and
-        whatever its client has sent is lost; `accept_queued` accepts those first.
+        When a listening socket is closed, the system resets the connections in its listen queue, and requests
+        that their clients have sent are lost.  `accept_queued` accepts these connections first.
         """
         if self._retry_timer is not None:
             self._retry_timer.cancel()
@@ -104,7 +104,7 @@
             self._loop.add_reader(self._socket, self._accept)
 
     def _accept(self) -> None:
-        for _ in range(_MAX_ACCEPTS_PER_TURN):
+        for _ in range(_MAX_ACCEPTS_PER_EVENT):
             if not self._accept_one():
                 return
 
@@ -113,14 +113,15 @@
         try:
             connection, _ = self._socket.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
-            return False  # nobody is there, or another process was quicker
+            return False  # the queue is empty, or another process accepted the connection
         except OSError as error:
             if error.errno not in _NO_RESOURCES_ERRORS:
                 raise
             self._retry_later()
             return False
         if _is_peer_closed(connection):
-            # Guards against collapse: in a rush many clients give up in the queue, and cost no less.
+            # Guards against congestion collapse: in a burst, many clients give up while their connection is
+            # queued, and handling it would cost as much as any other.
             connection.close()
             return True
         connection.setblocking(False)  # noqa: FBT003 - has no keyword
@@ -132,10 +133,10 @@
         return True
 
     def _retry_later(self) -> None:
-        """Pause accepting, and make room.
+        """Pause accepting, and evict a connection to free its descriptor.
 
-        Guards against idle clients that hold the descriptors which new ones need, where the system has fewer
-        than the settings say: the limit on connections would never close one.
+        If the system allows fewer descriptors than the settings assume, the limit on connections is never
+        reached, and idle clients would hold the descriptors that new ones need.
         """
         self._loop.remove_reader(self._socket)
         delay_s = _RETRY_AFTER_CLOSE_S if self._evict_connection() else _RETRY_S
--- a/sidecar/downstream/request_parsing.py
+++ b/sidecar/downstream/request_parsing.py
@@ -1,6 +1,6 @@
 """Parses a client's request and rewrites its headers for a server.
 
-Pure, and compiled with the codec: it is on the path of every request.
+Free of I/O, and compiled like the HTTP codec, because it runs for every request.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 _PROTOCOL_HEADERS = frozenset(
     b"host request-id request-class tenant request-timeout client-retry work-hint idempotency-key".split()
 )
-# Headers that concern one connection only (RFC 9110, 7.6.1), and those that are written anew for the server.
+# Headers that apply to one connection only (RFC 9110, 7.6.1), and those that are rewritten for the server.
 _NOT_FORWARDED = frozenset(
     b"connection keep-alive proxy-connection te trailer transfer-encoding upgrade expect"
     b" request-timeout content-length".split()
@@ -48,12 +48,12 @@
     is_client_retry: bool
     method: bytes
     target: bytes
-    headers: Headers  # as they are forwarded, without the time that is left
+    headers: Headers  # as forwarded, without `request-timeout`
     body: bytes
-    upload: Upload | None = None  # in place of the body, where that is streamed
+    upload: Upload | None = None  # replaces `body` if the body is streamed
 
     def to_outgoing(self, time_left_us: int) -> OutgoingRequest:
-        """Return the request as it is written to a server that gets so much time."""
+        """Return the request to write to a server, with the time left in its `request-timeout` header."""
         if self.upload is not None:
             time_left_us = min(time_left_us, self.remaining_us)
         timeout = (b"request-timeout", b"%.3f" % (time_left_us / 1e6))
@@ -66,10 +66,10 @@
     classes: Mapping[str, ServiceClass],
     tenants: frozenset[str],
 ) -> IncomingRequest:
-    """Validate a request and prepare it for forwarding; raise InvalidRequestError if it must not be."""
+    """Validate a request and prepare it for forwarding; raise InvalidRequestError if it is invalid."""
     protocol_headers: dict[bytes, bytes] = {}
     headers = _forwarded_headers(head, protocol_headers)
-    required_header(protocol_headers, b"host")  # optional in HTTP/1.0, but not towards servers
+    required_header(protocol_headers, b"host")  # optional in HTTP/1.0, but required in requests to servers
     service_class = requested_class(protocol_headers, classes)
     validate_request_id(protocol_headers)
     remaining_us = requested_timeout_us(protocol_headers)
@@ -99,9 +99,9 @@
 
 
 def _forwarded_headers(head: RequestHead, protocol_headers: dict[bytes, bytes]) -> Headers:
-    """Return the headers that are forwarded as they are, and fill in those of the platform's protocol."""
+    """Return the headers to forward unchanged; add those of the platform's protocol to `protocol_headers`."""
     headers: Headers = []
-    connection_options: set[bytes] = set()  # headers that `Connection` declares as of this connection only
+    connection_options: set[bytes] = set()  # headers that `Connection` declares hop-by-hop
     for header in head.headers:
         name, value = header
         if name in _PROTOCOL_HEADERS:
@@ -120,6 +120,6 @@
 
 
 def _affinity_key(target: bytes) -> int | None:
-    """Return a number for the resource, the same for all requests about it."""
+    """Return a hash of the target's last path segment, equal for all requests for one resource."""
     resource = target.partition(b"?")[0].rpartition(b"/")[2]
     return zlib.crc32(resource) if resource else None
--- a/sidecar/downstream/request_validation.py
+++ b/sidecar/downstream/request_validation.py
@@ -1,6 +1,6 @@
-"""What a client's request must say before it may be forwarded: the headers of the platform's protocol.
+"""Validates the headers of the platform's protocol in a client's request before it is forwarded.
 
-Pure, and compiled with the codec: it is on the path of every request.
+Free of I/O, and compiled like the HTTP codec, because it runs for every request.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class InvalidRequestError(Exception):
-    """A request that is HTTP, but violates the platform's protocol; the message is for its client."""
+    """A valid HTTP request that violates the platform's protocol; the message is sent to its client."""
 
 
 def required_header(protocol_headers: Mapping[bytes, bytes], name: bytes) -> bytes:
@@ -31,7 +31,7 @@
 def requested_class(
     protocol_headers: Mapping[bytes, bytes], classes: Mapping[str, ServiceClass]
 ) -> ServiceClass:
-    """Return the service class of a request; raise InvalidRequestError if there is none of that name."""
+    """Return the service class of a request; raise InvalidRequestError if its name is unknown."""
     name = required_header(protocol_headers, b"request-class").decode("latin-1")
     service_class = classes.get(name)
     if service_class is None:
@@ -40,7 +40,7 @@
 
 
 def requested_timeout_us(protocol_headers: Mapping[bytes, bytes]) -> int:
-    """Return how long the client waits, in microseconds; raise InvalidRequestError unless positive."""
+    """Return the client's timeout in microseconds; raise InvalidRequestError unless it is positive."""
     text = required_header(protocol_headers, b"request-timeout")
     timeout_us = round(float(text) * 1e6) if _TIMEOUT_S.fullmatch(text) else 0
     if timeout_us <= 0:
@@ -49,7 +49,7 @@
 
 
 def requested_work_us(protocol_headers: Mapping[bytes, bytes]) -> int | None:
-    """Return the client's estimate of a server's work, if any; raise InvalidRequestError if invalid."""
+    """Return the client's work estimate in microseconds, if any; raise InvalidRequestError if invalid."""
     hint = protocol_headers.get(b"work-hint")
     if hint is None:
         return None
--- a/sidecar/http/__init__.py
+++ b/sidecar/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as bytes, without any I/O: bytes in, events out.
+"""HTTP/1.1 codec without I/O: received bytes become events, and messages become bytes.
 
 `grammar` validates and parses heads more strictly than the C parser does; `chunked` decodes the chunked
 transfer coding; `reader` turns bytes into events; `writer` turns messages into bytes.
--- a/sidecar/http/chunked.py
+++ b/sidecar/http/chunked.py
@@ -1,7 +1,7 @@
-"""Decodes the chunked transfer coding by llhttp, with a limit on framing (RFC 9112, section 7.1).
+"""Decodes the chunked transfer coding with llhttp, with a limit on framing (RFC 9112, section 7.1).
 
-The parser is given a head of its own before the body, so that nothing in the real one (an `Upgrade`, a
-`Connection: close`) changes how llhttp reads what follows.
+The parser is fed a fixed head before the body, so that nothing in the message's own head (an `Upgrade`, a
+`Connection: close`) changes how llhttp reads the body.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from sidecar.http.grammar import MAX_HEAD_BYTES, MalformedMessageError
 
 MAX_FRAMING_BYTES = MAX_HEAD_BYTES  # bytes of chunk extensions and trailers in one body
-_FRAMING_BYTES_PER_CHUNK = 32  # allowed beyond that: the size, line ends, a short extension
+_FRAMING_BYTES_PER_CHUNK = 32  # allowed in addition: the size, line ends, a short extension
 _PARSER_HEAD = b"POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n"
 _LAST_LINE_AND_EMPTY_LINE = re.compile(rb"[^\r\n]\r\n\r\n")
 
 
 class ChunkedBody:
-    """The decoder of one body.  After its end, `has_trailing_data` says whether other bytes came with it."""
+    """The decoder of one body.  `has_trailing_data` says whether bytes were received beyond its end."""
 
     def __init__(self) -> None:
         self.is_complete = False
@@ -32,7 +32,7 @@
         self._parser.feed_data(_PARSER_HEAD)
 
     def feed(self, data: bytes) -> bytes:
-        """Return the part of the body in these bytes; raise MalformedMessageError on broken framing."""
+        """Return the part of the body in received bytes; raise MalformedMessageError on invalid framing."""
         try:
             self._parser.feed_data(data)
         except HttpParserError as error:
@@ -52,7 +52,7 @@
     # Called by llhttp
 
     def on_message_begin(self) -> None:
-        """Called by the parser: a message begins; after a complete body it is trailing data."""
+        """Called by the parser: a message begins; one that begins after the body is trailing data."""
         self.has_trailing_data = self.is_complete
 
     def on_chunk_header(self) -> None:
--- a/sidecar/http/grammar.py
+++ b/sidecar/http/grammar.py
@@ -1,7 +1,7 @@
-"""Validates and parses the heads of messages (RFC 9112, sections 2 to 6, without its leniencies).
+"""Validates and parses message heads (RFC 9112, sections 2 to 6, without the leniencies it permits).
 
-Heads are parsed by llhttp, which is lenient in places where two parsers may then differ.  So each head must
-match one strict pattern first; the table names what that pattern rejects, and with which status.
+Heads are parsed by llhttp, which is lenient where other parsers may read the same bytes differently.  So each
+head must match a strict pattern first; `HEAD_RULES` names what that pattern rejects, and with which status.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser, HttpResponseParser
 
-MAX_HEAD_BYTES = 16 << 10  # bytes of a head, its empty line included
-MAX_FIELDS = 256  # lines of a head after the first
+MAX_HEAD_BYTES = 16 << 10  # of a head, including its empty line
+MAX_FIELDS = 256  # header lines of a head
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -23,13 +23,13 @@
 _REQUEST = re.compile(rb"(?!CONNECT )" + _TOKEN + rb" [\x21-\x7e]++ HTTP/1\.[01]\r\n" + _FIELD_LINES)
 _RESPONSE = re.compile(rb"HTTP/1\.[01] [1-5][0-9][0-9](?: " + _FIELD_VALUE + rb")?\r\n" + _FIELD_LINES)
 _LENGTH = re.compile(rb"[0-9]+")
-_MAX_LENGTH_DIGITS = 18  # of a length; more would not fit into 64 bits, or nearly so
+_MAX_LENGTH_DIGITS = 18  # of a content-length; a longer number may exceed a signed 64-bit integer
 _BARE_LF = re.compile(rb"(?<!\r)\n")
-_FIRST_BYTE = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]")  # methods and `HTTP/` alike
+_FIRST_BYTE = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]")  # of a method or of `HTTP/`
 
 
 class MalformedMessageError(Exception):
-    """A message that is not HTTP/1.1, or that is rejected because parsers may differ on it.
+    """A message that is not HTTP/1.1, or that is rejected because parsers may read it differently.
 
     `status` is the status of the response that a client gets for it.
     """
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadRule:
-    """One thing that a head must not contain, and the status that a client gets for it."""
+    """A defect that a head must not have, and the status that a client gets for it."""
 
     name: str
     is_broken_by: Callable[[bytes], object]  # the result is used as a truth value
@@ -56,7 +56,8 @@
     rb"(?:" + _TOKEN + rb" [\x21-\x7e]++ HTTP/|HTTP/1\.[01] [1-5][0-9][0-9](?: |\r)).*\r\n"
 )
 
-# Why a head does not match the pattern: the first rule that it breaks.  Used only once it does not.
+# The reason why a head does not match its strict pattern is the first rule that it breaks.  Heads that match
+# are not checked against these rules.
 HEAD_RULES = (
     HeadRule("a line ends with a bare LF", _BARE_LF.search),
     HeadRule("a CR stands alone", _search(rb"\r(?!\n)")),
@@ -82,9 +83,9 @@
     target: bytes
     headers: Headers
     is_http_1_0: bool
-    length: int | None  # of the body in bytes; None: it comes in chunks
+    length: int | None  # of the body in bytes; None: chunked
     keeps_alive: bool
-    expects_continue: bool  # the client waits for 100 before it sends the body
+    expects_continue: bool  # the client waits for status 100 before it sends the body
 
 
 @dataclass(slots=True)
@@ -94,12 +95,12 @@
     status: int
     headers: Headers
     is_chunked: bool
-    length: int | None  # of the body in bytes; None: in chunks, or until the connection ends
+    length: int | None  # of the body in bytes; None: chunked, or until the connection ends
     keeps_alive: bool
 
 
 class _FieldCollector:
-    """Collects what llhttp finds in a head."""
+    """Collects the target and the headers that llhttp parses."""
 
     __slots__ = ("_add", "headers", "target")
 
@@ -115,23 +116,23 @@
         self._add((name.lower(), value.strip(b" \t")))
 
 
-def check_beginning(part: bytes | bytearray, start: int) -> None:
-    """Reject what can't become a head any more, before its end has arrived; new bytes begin at `start`."""
-    if not _FIRST_BYTE.match(part):
+def check_partial_head(head: bytes | bytearray, start: int) -> None:
+    """Reject an incomplete head that can't become valid; bytes before `start` were checked before."""
+    if not _FIRST_BYTE.match(head):
         raise MalformedMessageError("a first line of another form")
-    if _BARE_LF.search(part, max(start - 1, 0)) and not part.startswith(b"\n"):
+    if _BARE_LF.search(head, max(start - 1, 0)) and not head.startswith(b"\n"):
         raise MalformedMessageError("a line ends with a bare LF")
-    if len(part) > MAX_HEAD_BYTES:
+    if len(head) > MAX_HEAD_BYTES:
         raise MalformedMessageError("the head is too long", 431)
 
 
-def read_request_head(head: bytes) -> RequestHead:
-    """Parse a head from its first byte to its empty line; raise MalformedMessageError if it is none."""
+def parse_request_head(head: bytes) -> RequestHead:
+    """Parse a head from its first byte to its empty line; raise MalformedMessageError if it is invalid."""
     fields = _FieldCollector()
     parser = HttpRequestParser(fields)
     _parse(parser, head, _REQUEST)
-    version_at = head.find(b"\r\n") - 1
-    framing = _Framing(fields.headers, is_http_1_0=head[version_at] == 0x30)
+    version_digit_at = head.find(b"\r\n") - 1
+    framing = _Framing(fields.headers, is_http_1_0=head[version_digit_at] == 0x30)
     framing.check_host()
     length = None if framing.is_chunked else (framing.length or 0)
     return RequestHead(
@@ -145,8 +146,8 @@
     )
 
 
-def read_response_head(head: bytes) -> ResponseHead:
-    """Parse a head from its first byte to its empty line; raise MalformedMessageError if it is none."""
+def parse_response_head(head: bytes) -> ResponseHead:
+    """Parse a head from its first byte to its empty line; raise MalformedMessageError if it is invalid."""
     fields = _FieldCollector()
     parser = HttpResponseParser(fields)
     _parse(parser, head, _RESPONSE)
@@ -175,16 +176,17 @@
     try:
         parser.feed_data(head)
     except HttpParserUpgrade:
-        pass  # an upgrade is offered and not accepted
+        pass  # the peer offers an upgrade, which is ignored
     except HttpParserError as error:
         raise MalformedMessageError(str(error)) from None
 
 
 class _Framing:
-    """Where the body ends, and whether the connection persists (RFC 9112, sections 6 and 9.3).
+    """Determines where the body ends and whether the connection persists (RFC 9112, sections 6 and 9.3).
 
-    Rejected is what parsers may differ on: a transfer coding beside a length or in HTTP/1.0, codings other
-    than one `chunked`, and lengths that occur twice, even if they agree, or that are not plain digits.
+    Rejects what other parsers may interpret differently: a transfer coding together with a length or in
+    HTTP/1.0, codings other than one `chunked`, and lengths that occur twice, even if they are equal, or that
+    are not plain digits.
     """
 
     __slots__ = ("_hosts", "expects_continue", "is_chunked", "is_http_1_0", "keeps_alive", "length")
@@ -204,7 +206,7 @@
             raise MalformedMessageError("a transfer coding beside a length or in HTTP/1.0")
 
     def check_host(self) -> None:
-        """Raise MalformedMessageError unless there is one `Host`; HTTP/1.0 may do without."""
+        """Raise MalformedMessageError unless there is one `Host` header, which is optional in HTTP/1.0."""
         if self._hosts != 1 and not (self.is_http_1_0 and not self._hosts):
             raise MalformedMessageError("host is missing or stands twice")
 
--- a/sidecar/http/reader.py
+++ b/sidecar/http/reader.py
@@ -1,6 +1,6 @@
-"""Turns bytes into the events of a message: its head, pieces of its body, its end.
+"""Reads messages from received bytes as events: the head, pieces of the body, the end.
 
-`receive` takes bytes in whatever pieces they arrive; `next_event` returns events until it needs more.  Every
+`receive` takes bytes in pieces of any size; `next_event` returns events until it needs more bytes.  Every
 byte is examined a bounded number of times, so the time is linear in the size of the input.
 """
 
@@ -15,9 +15,9 @@
     MalformedMessageError,
     RequestHead,
     ResponseHead,
-    check_beginning,
-    read_request_head,
-    read_response_head,
+    check_partial_head,
+    parse_request_head,
+    parse_response_head,
 )
 
 _MAX_INTERIM_RESPONSES = 16  # 1xx before the final response
@@ -27,7 +27,7 @@
 
 @unique
 class Signal(Enum):
-    """An event that is neither a head nor a piece of a body."""
+    """An event other than a head or a piece of a body."""
 
     NEED_DATA = "more bytes are needed"
     END = "the message is complete"
@@ -35,16 +35,16 @@
 
 
 class _MessageReader(Generic[Head]):
-    """A state machine over one message at a time: its head, its body in one of three framings, its end."""
+    """A state machine for one message at a time: its head, its body in one of three framings, its end."""
 
     def __init__(self) -> None:
         self._unread = b""  # received and not examined yet
         self._partial_head = bytearray()
-        self._is_peer_finished = False  # it has closed its sending side
+        self._has_peer_closed = False  # the peer has closed its sending side
         self._chunked: ChunkedBody | None = None
         self._bytes_left = 0  # of a body of known length
         self._keeps_alive = False
-        self.is_in_body = False  # the head was read, and the body not completely
+        self.is_in_body = False  # the head was read, but not the complete body
         self.is_complete = False
         self._step: Callable[[], Head | bytes | Signal] = self._read_head
 
@@ -53,8 +53,8 @@
         self._unread = self._unread + data if self._unread else data
 
     def receive_end(self) -> None:
-        """Note that the peer sends no more, which completes a body without other framing."""
-        self._is_peer_finished = True
+        """Record that the peer has closed its sending side, which ends a body without other framing."""
+        self._has_peer_closed = True
 
     def next_event(self) -> Head | bytes | Signal:
         """Return a head, a piece of its body or a signal.
@@ -64,18 +64,18 @@
         return self._step()
 
     def start_next(self) -> None:
-        """Go on with the next message, once one is complete."""
+        """Read the next message after a complete one."""
         self.is_complete = False
         self._step = self._read_head
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing of a message was received."""
+        """Whether no part of a message was received."""
         return not (self.is_in_body or self.is_complete or self._partial_head or self._unread)
 
     @property
     def has_trailing_data(self) -> bool:
-        """Whether bytes were received beyond what was read."""
+        """Whether bytes were received beyond those parsed."""
         return bool(self._unread) or (self._chunked is not None and self._chunked.has_trailing_data)
 
     @property
@@ -83,10 +83,10 @@
         """Whether a further message may follow on this connection."""
         return self._keeps_alive and self.is_complete
 
-    # The states: each returns the next event and sets the state that follows
+    # The states: each returns the next event and sets the next state
 
     def _head_received(self, head: bytes) -> Head | None:
-        """Parse a head and go on to its body; return None if another head follows."""
+        """Parse a head and expect its body; return None for an interim response."""
         raise NotImplementedError
 
     def _read_head(self) -> Head | bytes | Signal:
@@ -107,13 +107,13 @@
                 self._unread = data[end + 4 :]
                 return data[: end + 4]
             self._partial_head += data
-            check_beginning(data, 0)
+            check_partial_head(data, 0)
             return None
         start = len(self._partial_head)
         self._partial_head += data
         end = self._partial_head.find(b"\r\n\r\n", max(start - 3, 0))
         if end < 0:
-            check_beginning(self._partial_head, start)
+            check_partial_head(self._partial_head, start)
             return None
         head, self._unread = bytes(self._partial_head[: end + 4]), bytes(self._partial_head[end + 4 :])
         self._partial_head = bytearray()
@@ -126,12 +126,12 @@
         if is_chunked:
             self._step = self._read_chunks
         elif length is None:
-            self._step = self._read_to_end
+            self._step = self._read_until_close
         else:
             self._bytes_left = length
-            self._step = self._read_length if length else self._end
+            self._step = self._read_fixed_length if length else self._end
 
-    def _read_length(self) -> Head | bytes | Signal:
+    def _read_fixed_length(self) -> Head | bytes | Signal:
         piece = self._unread
         if not piece:
             return Signal.NEED_DATA
@@ -155,27 +155,27 @@
             return piece or self._end()
         return piece or Signal.NEED_DATA
 
-    def _read_to_end(self) -> Head | bytes | Signal:
+    def _read_until_close(self) -> Head | bytes | Signal:
         piece, self._unread = self._unread, b""
-        return piece or (self._end() if self._is_peer_finished else Signal.NEED_DATA)
+        return piece or (self._end() if self._has_peer_closed else Signal.NEED_DATA)
 
     def _end(self) -> Head | bytes | Signal:
-        self._step = self._pause
+        self._step = self._read_after_end
         self.is_in_body = False
         self.is_complete = True
         return Signal.END
 
-    def _pause(self) -> Head | bytes | Signal:
+    def _read_after_end(self) -> Head | bytes | Signal:
         return Signal.PAUSED
 
 
 class RequestReader(_MessageReader[RequestHead]):
-    """Reads requests, as a server."""
+    """Reads requests, as an HTTP server."""
 
     def _head_received(self, head: bytes) -> RequestHead:
-        read = read_request_head(head)
-        self._expect_body(read.length, is_chunked=read.length is None, keeps_alive=read.keeps_alive)
-        return read
+        parsed = parse_request_head(head)
+        self._expect_body(parsed.length, is_chunked=parsed.length is None, keeps_alive=parsed.keeps_alive)
+        return parsed
 
 
 class ResponseReader(_MessageReader[ResponseHead]):
@@ -183,19 +183,19 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._interim = 0
+        self._interim_responses = 0
 
     def start_next(self) -> None:
-        """Read the next response, which may have interim responses of its own."""
+        """Read the next response; its interim responses are counted anew."""
         super().start_next()
-        self._interim = 0
+        self._interim_responses = 0
 
     def _head_received(self, head: bytes) -> ResponseHead | None:
-        read = read_response_head(head)
-        if read.status < 200:
-            self._interim += 1
-            if self._interim > _MAX_INTERIM_RESPONSES:
+        parsed = parse_response_head(head)
+        if parsed.status < 200:
+            self._interim_responses += 1
+            if self._interim_responses > _MAX_INTERIM_RESPONSES:
                 raise MalformedMessageError("too many answers before the final one")
             return None
-        self._expect_body(read.length, is_chunked=read.is_chunked, keeps_alive=read.keeps_alive)
-        return read
+        self._expect_body(parsed.length, is_chunked=parsed.is_chunked, keeps_alive=parsed.keeps_alive)
+        return parsed
--- a/sidecar/http/writer.py
+++ b/sidecar/http/writer.py
@@ -1,4 +1,4 @@
-"""Turns messages into bytes.  Their fields were validated by `grammar` or come from the sidecar itself."""
+"""Serializes messages.  Their headers were validated by `grammar` or come from the sidecar itself."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 def request_head(method: bytes, target: bytes, headers: Headers) -> bytes:
-    """Return a request's head, including the empty line."""
+    """Return the head of a request, including the empty line."""
     lines = [b"%b: %b\r\n" % header for header in headers]
     return b"%b %b HTTP/1.1\r\n%b\r\n" % (method, target, b"".join(lines))
 
 
 def response_head(status: int, headers: Headers) -> bytes:
-    """Return a response's head, including the empty line; the status is one of `HTTPStatus`."""
+    """Return the head of a response, including the empty line; the status is one of `HTTPStatus`."""
     lines = [b"%b: %b\r\n" % header for header in headers]
     return b"%b%b\r\n" % (_STATUS_LINES[status], b"".join(lines))
 
 
 def chunk(data: bytes) -> bytes:
-    """Return a chunk of a body; the data is not empty, as an empty chunk would end the body."""
+    """Return a chunk of a body; `data` must not be empty, as an empty chunk ends the body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/sidecar/upstream/__init__.py
+++ b/sidecar/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Servers' side of the proxy: attempts, the connection pool and one HTTP exchange."""
+"""The server side of the proxy: attempts, the connection pool and one HTTP exchange."""
--- a/sidecar/upstream/attempt.py
+++ b/sidecar/upstream/attempt.py
@@ -53,10 +53,10 @@
         send_by: int | None = None,
         is_wanted: Callable[[], bool] = lambda: True,
     ) -> None:
-        """`make_request` is given the time left in microseconds.
+        """`make_request` is called with the time left in microseconds.
 
-        The first byte is written before `send_by`, or never; without it, before the deadline.  `is_wanted`
-        says whether somebody still waits for the response.
+        The first byte is written before `send_by`, or never; the default is the deadline.  `is_wanted`
+        returns whether the client is still waiting for the response.
         """
         self.server = server
         self.deadline = deadline
@@ -66,15 +66,15 @@
         self.send_by = deadline if send_by is None else send_by
         self.is_wanted = is_wanted
         self.is_ended = False
-        self.sent_at = 0  # set by whoever starts it, if needed
+        self.sent_at = 0  # set by the caller of `Upstream.start`, if needed
         self.connection: UpstreamConnection | None = None  # once the request is written
         self.timer: asyncio.TimerHandle | None = None
-        self.last_streamed_bytes = -1  # when the progress of a streamed body was last checked
+        self.last_streamed_bytes = -1  # at the last check of a streamed body's progress
         self.last_progress_at = 0
 
 
 def outcome_of(result: Response | ExchangeFailure) -> Outcome:
-    """Return what the result of an exchange means to the balancer."""
+    """Translate the result of an exchange to an outcome for the balancer."""
     if result is ExchangeFailure.REQUEST_INCOMPLETE:
         return Outcome.CONNECT_FAILED
     if result is ExchangeFailure.CONNECTION_LOST:
--- a/sidecar/upstream/connection_pool.py
+++ b/sidecar/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to all servers: establishing, reusing and closing them within one limit."""
+"""The connection pool for all servers: establishes, reuses and closes connections within one limit."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from sidecar.upstream.attempt import Attempt
 from sidecar.upstream.http_exchange import UpstreamConnection
 
-_IDLE_TIMEOUT_MARGIN = 0.1  # of the idle timeout: a connection this near to it may be closed at the far end
+_IDLE_TIMEOUT_MARGIN = 0.1  # fraction of the idle timeout that is left unused, as servers may close first
 _SWEEPS_PER_IDLE_TIMEOUT = 4
-# Errors that say that this machine, not the server, had no room for a connection.
+# Errors which mean that this machine, not the server, lacked resources for a connection.
 _LOCAL_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
@@ -31,7 +31,7 @@
 
 
 class PooledEndpoint:
-    """Where a server is reached, and the idle connections to the process that is there now."""
+    """The address of a server, and the idle connections to its current process."""
 
     __slots__ = ("address", "idle", "is_draining", "is_excluded", "locality", "started_at")
 
@@ -43,10 +43,10 @@
         self.is_excluded = is_excluded  # by an operator
         self.idle: list[IdleConnection] = []  # the most recently used last
 
-    def is_same(self, address: Address, entry: EndpointEntry) -> bool:
-        """Whether an entry of the endpoint list is about this process, at its old place."""
-        is_in_place = address == self.address and (entry.zone, entry.cell) == self.locality
-        return is_in_place and entry.started_at == self.started_at
+    def matches(self, address: Address, entry: EndpointEntry) -> bool:
+        """Whether an entry of the endpoint list is for the same process, at the same address and locality."""
+        is_unmoved = address == self.address and (entry.zone, entry.cell) == self.locality
+        return is_unmoved and entry.started_at == self.started_at
 
     def close_idle(self) -> None:
         """Close all idle connections."""
@@ -83,7 +83,7 @@
     # Endpoints
 
     def update_endpoints(self, endpoint_list: EndpointList) -> None:
-        """Take over an endpoint list or its changes."""
+        """Apply an endpoint list or its changes."""
         if endpoint_list.is_complete:
             for name in self.endpoints.keys() - {listed.entry.server for listed in endpoint_list.endpoints}:
                 self._remove_endpoint(name)
@@ -93,9 +93,9 @@
                 self._remove_endpoint(name)
                 continue
             endpoint = self.endpoints.get(name)
-            # Guards against writing to what was there before under the same name, or to a server that has
-            # left the zone or cell by which a retry was chosen.
-            if endpoint is None or not endpoint.is_same(address, listed.entry):
+            # Guards against writing to an earlier process of the same name, or to a server that has left the
+            # zone or cell for which a retry was chosen.
+            if endpoint is None or not endpoint.matches(address, listed.entry):
                 self._remove_endpoint(name)
                 endpoint = PooledEndpoint(address, listed.entry, is_excluded=name in self.excluded)
                 self.endpoints[name] = endpoint
@@ -127,7 +127,7 @@
     # Connections
 
     def take_idle(self, endpoint: PooledEndpoint) -> UpstreamConnection | None:
-        """Return the most recently used idle connection that is usable, if there is one."""
+        """Return the most recently used idle connection that is usable, if any."""
         while endpoint.idle:
             idle = endpoint.idle.pop()
             if self._clock.now() - idle.since < self._max_idle_us and idle.connection.is_usable():
@@ -136,11 +136,11 @@
         return None
 
     def has_capacity(self) -> bool:
-        """Whether one more connection may be established; closes the longest idle one if it must."""
+        """Whether one more connection may be established; closes the longest idle one if that is needed."""
         return len(self._endpoint_of) + self._connecting < self._max_connections or self._close_oldest()
 
     def connect(self, attempt: Attempt, endpoint: PooledEndpoint) -> None:
-        """Establish a connection for an attempt; the pool has room for it."""
+        """Establish a connection for an attempt; the caller has checked `has_capacity`."""
         self._connecting += 1
         task = asyncio.get_running_loop().create_task(self._connect(attempt, endpoint))
         self._tasks.add(task)
@@ -152,7 +152,9 @@
         try:
             async with asyncio.timeout(self._connect_timeout_s):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: UpstreamConnection(MAX_BUFFERED_BODY_BYTES, self.release, self._forget),
+                    lambda: UpstreamConnection(
+                        MAX_BUFFERED_BODY_BYTES, self.release, self._remove_connection
+                    ),
                     *endpoint.address,
                 )
         except (OSError, TimeoutError) as error:
@@ -180,8 +182,8 @@
         if self._sweep_timer is None:
             self._schedule_sweep()
 
-    def _forget(self, connection: UpstreamConnection) -> None:
-        """Drop a connection that was closed."""
+    def _remove_connection(self, connection: UpstreamConnection) -> None:
+        """Remove a closed connection."""
         endpoint = self._endpoint_of.pop(connection, None)
         if endpoint is not None:
             endpoint.idle = [idle for idle in endpoint.idle if idle.connection is not connection]
@@ -217,15 +219,15 @@
     def _close_expired(self) -> None:
         """Close connections that have been idle for nearly as long as servers allow."""
         self._sweep_timer = None
-        before = self._clock.now() - self._max_idle_us
+        idle_since_limit = self._clock.now() - self._max_idle_us
         for endpoint in self.endpoints.values():
-            while endpoint.idle and endpoint.idle[0].since <= before:
+            while endpoint.idle and endpoint.idle[0].since <= idle_since_limit:
                 endpoint.idle.pop(0).connection.close()
         if any(endpoint.idle for endpoint in self.endpoints.values()):
             self._schedule_sweep()
 
     def close(self) -> None:
-        """Close all connections, and give up those being established."""
+        """Close all connections, and cancel those being established."""
         for task in self._tasks:
             task.cancel()
         if self._sweep_timer is not None:
--- a/sidecar/upstream/http_exchange.py
+++ b/sidecar/upstream/http_exchange.py
@@ -1,6 +1,7 @@
 """One connection to a server and the HTTP/1.1 exchange on it, one at a time.
 
-Nothing is sent spontaneously and nothing twice: whoever calls `exchange` decides what is written, and when.
+A connection never sends or resends a request by itself: the caller of `exchange` decides what is written, and
+when.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
     target: bytes
     headers: Headers
     body: bytes = b""
-    upload: Upload | None = None  # in place of `body`, where that is streamed
+    upload: Upload | None = None  # replaces `body` if the body is streamed
 
 
 @dataclass(slots=True)
@@ -49,7 +50,7 @@
     status: int
     headers: Headers
     body: bytes
-    unread_us: int = 0  # how long its last bytes lay in the socket
+    unread_us: int = 0  # how long its last bytes were unread in the socket
 
     def header(self, name: bytes) -> bytes | None:
         """Return the first value of a header, given by its name in lower case."""
@@ -66,12 +67,12 @@
 
     REQUEST_INCOMPLETE = "request incomplete"  # the connection ended before its last byte was written
     CONNECTION_LOST = "connection lost"  # it was closed or reset after that
-    MALFORMED_RESPONSE = "malformed response"  # not HTTP as read here, or too large
+    MALFORMED_RESPONSE = "malformed response"  # rejected by the HTTP codec, or too large
 
 
 OnResult = Callable[[Response | ExchangeFailure], None]
-# A response that is too long to be buffered begins.  Given its beginning and its length, if that is known;
-# returns where it is forwarded to, or None if nobody waits for it.
+# Called when a response begins that is too long to be buffered, with its beginning and its length, if known.
+# Returns the sink to forward it to, or None if no client waits for it.
 OnStreamingResponse = Callable[["UpstreamConnection", Response, int | None], ResponseSink | None]
 
 
@@ -84,10 +85,10 @@
         on_free: Callable[[UpstreamConnection], None],
         on_closed: Callable[[UpstreamConnection], None],
     ) -> None:
-        """`on_free` is called when the connection can be reused, `on_closed` once when it never can be again.
+        """`on_free` is called when the connection can be reused, `on_closed` once when it is closed.
 
-        A response body of more than `max_buffered_bytes` is streamed, or fails where the caller of `exchange`
-        takes no streamed response.
+        A response body of more than `max_buffered_bytes` is streamed, or the exchange fails if its caller
+        accepts no streamed response.
         """
         self._max_buffered_bytes = max_buffered_bytes
         self._on_free = on_free
@@ -100,7 +101,7 @@
         self._on_streaming_response: OnStreamingResponse | None = None
         self._head: ResponseHead | None = None
         self._body = bytearray()
-        self._is_writing_paused = False  # something that was written is still with the transport
+        self._is_writing_paused = False  # the transport's write buffer is not empty
         self._upload: Upload | None = None  # a streamed body that is not completely written
         self._is_upload_chunked = False
         self._sink: ResponseSink | None = None  # where a streamed response is forwarded to
@@ -113,8 +114,8 @@
     def is_usable(self) -> bool:
         """Whether a request may be written now: open, no exchange in flight, and nothing unread.
 
-        Guards against the race with a peer that closes an idle connection: its end may lie in the socket
-        before the event loop has seen it, and a request written then may or may not have run.
+        Guards against the race with a peer that closes an idle connection: the close may have reached the
+        socket and not the event loop, and a request written then may or may not have run.
         """
         if self._is_closed or self._transport is None or self._transport.is_closing():
             return False
@@ -131,7 +132,7 @@
     ) -> None:
         """Write a request; `on_result` is called exactly once, but never from within this call.
 
-        `on_written` is called at most once, when the last byte was handed to the system.  Without
+        `on_written` is called at most once, when the last byte was passed to the system.  Without
         `on_streaming_response`, a response that is too long to be buffered counts as malformed.
         """
         assert self._transport is not None
@@ -149,14 +150,14 @@
             return
         self._transport.write(head + request.body if request.body else head)
         if self._transport.is_closing():
-            self._is_writing_paused = True  # the write failed at once; connection_lost follows
+            self._is_writing_paused = True  # the write failed immediately; connection_lost follows
         if not self._is_writing_paused:
             self._notify_written()
 
     def send_body(self, data: bytes) -> bool:
         """Forward a piece of the request's body; return whether more may follow at once."""
         if self._transport is None or self._is_closed:
-            return True  # it is discarded
+            return True  # the data is discarded
         self.streamed_bytes += len(data)
         self._transport.write(chunk(data) if self._is_upload_chunked else data)
         return not self._is_writing_paused
@@ -188,20 +189,20 @@
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on after `pause`."""
+        """Resume reading after `pause`."""
         if self._transport is not None and not self._is_closed:
             self._transport.resume_reading()
 
     def fail(self) -> None:
-        """Close the connection and fail the exchange in flight, as when the server had closed it."""
-        self._fail(self._lost_connection())
+        """Close the connection and fail the exchange in flight, as if the server had closed it."""
+        self._fail(self._failure_on_loss())
 
     def close(self) -> None:
         """Close the connection; an exchange in flight is dropped without calling `on_result`.
 
-        Its sending ends within this call, before anything that the caller may write elsewhere next: the
-        transport itself closes its socket only in a later round of the event loop, and until then a further
-        attempt would be a duplicate beside this one.
+        The socket is shut down within this call, before the caller can write another attempt elsewhere.  The
+        transport itself closes its socket only in a later event loop iteration, and until then the server
+        could receive this attempt while another server receives the next.
         """
         self._on_result = None
         self._end_streaming()
@@ -217,9 +218,11 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the event loop: the connection to the server is established."""
-        # The event loop's own class is none of asyncio's, so there is nothing to check.
+        # uvloop's transport is no subclass of asyncio's, so its type can't be checked.
         self._transport = cast(Transport, transport)
-        self._transport.set_write_buffer_limits(high=0)  # pause_writing then means: something is unwritten
+        self._transport.set_write_buffer_limits(
+            high=0
+        )  # so pause_writing is called if any data stays unwritten
         self._socket = ConnectionSocket(self._transport)
 
     def pause_writing(self) -> None:
@@ -237,7 +240,7 @@
     def data_received(self, data: bytes) -> None:
         """Called by the event loop: the server sent these bytes."""
         if self._on_result is None:
-            self.close()  # unsolicited
+            self.close()  # an unsolicited response
             return
         self._read(data)
 
@@ -245,12 +248,12 @@
         """Called by the event loop: the server closed its sending side."""
         if self._on_result is not None:
             self._reader.receive_end()
-            self._read(b"")  # the end may be what frames the response
-        self._fail(self._lost_connection())
+            self._read(b"")  # the close may delimit the response
+        self._fail(self._failure_on_loss())
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """Called by the event loop: the connection is closed."""
-        self._fail(self._lost_connection())
+        self._fail(self._failure_on_loss())
         if self._socket is not None:
             self._socket.release()
 
@@ -275,7 +278,7 @@
             self._fail(ExchangeFailure.MALFORMED_RESPONSE)
 
     def _head_received(self, head: ResponseHead) -> None:
-        """Decide by its length whether a response is buffered; without one, only for a bounded time."""
+        """Stream a response that is too long; buffer one of unknown length for a bounded time only."""
         if head.length is not None:
             if head.length > self._max_buffered_bytes:
                 self._start_streaming(head.length)
@@ -295,7 +298,7 @@
             self.pause()
 
     def _start_streaming(self, length: int | None) -> None:
-        """Forward the response from here on as it arrives, at the pace of its reader."""
+        """Forward the response as it arrives from now on, as fast as its client reads."""
         self._stop_buffering_timer()
         if self._sink is not None or self._head is None or self._on_result is None:
             return
@@ -313,7 +316,7 @@
         self._body = bytearray()
         self._sink = self._on_streaming_response(self, beginning, length)
         if self._sink is None:
-            self._fail(ExchangeFailure.CONNECTION_LOST)  # nobody waits for it
+            self._fail(ExchangeFailure.CONNECTION_LOST)  # no client waits for it
 
     def _stop_buffering_timer(self) -> None:
         if self._buffering_timer is not None:
@@ -329,7 +332,7 @@
         response = Response(self._head.status, self._head.headers, bytes(self._body), unread_us)
         self._body = bytearray()
         on_result, self._on_result = self._on_result, None
-        # A response that is early, while the request is still being sent, ends the connection.
+        # A response that arrives while the request is still being sent ends the connection.
         is_early = self._is_writing_paused or self._upload is not None
         self._end_streaming()
         if self._reader.is_reusable and not is_early and not self._reader.has_trailing_data:
@@ -346,8 +349,8 @@
         if on_result is not None:
             on_result(failure)
 
-    def _lost_connection(self) -> ExchangeFailure:
-        """Return what the loss of the connection means for the exchange in flight."""
+    def _failure_on_loss(self) -> ExchangeFailure:
+        """Return the failure of the exchange in flight when its connection is lost now."""
         if self._is_writing_paused or self._upload is not None:
             return ExchangeFailure.REQUEST_INCOMPLETE
         return ExchangeFailure.CONNECTION_LOST
--- a/sidecar/upstream/upstream.py
+++ b/sidecar/upstream/upstream.py
@@ -1,4 +1,4 @@
-"""Carries attempts to servers: when one may be written, how long it may take, and how it ended."""
+"""Sends attempts to servers: checks that they may still be written, times them out, reports outcomes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from sidecar.upstream.connection_pool import ConnectionPool, PooledEndpoint
 from sidecar.upstream.http_exchange import ExchangeFailure, Response, UpstreamConnection
 
-_MIN_REQUEST_TIMEOUT_US = 1_000  # what a server is told at the least, however little time is left
+_MIN_REQUEST_TIMEOUT_US = 1_000  # the least that is sent to a server, even if less time is left
 _PROGRESS_CHECKS_PER_TIMEOUT = 10
 
 
@@ -30,7 +30,7 @@
         on_written: Callable[[], None],
         before_writing: Callable[[], None] | None = None,
     ) -> None:
-        """`on_written` is called when the last byte of a request has left for a server.
+        """`on_written` is called when the last byte of a request was passed to the system.
 
         `before_writing` is called before each decision to write, and may exclude servers.
         """
@@ -42,7 +42,7 @@
     # Endpoints
 
     def update_endpoints(self, endpoint_list: EndpointList) -> None:
-        """Take over an endpoint list or its changes, before any action that follows from it."""
+        """Apply an endpoint list or its changes; called before the actions that result from them."""
         self._pool.update_endpoints(endpoint_list)
 
     @property
@@ -51,7 +51,7 @@
         return frozenset(self._pool.excluded)
 
     def exclude(self, name: str) -> None:
-        """Write no further request to a server, before any action that follows from it."""
+        """Write no further request to a server; called before the actions that result from it."""
         self._pool.exclude(name)
 
     def include(self, name: str) -> None:
@@ -73,10 +73,10 @@
     # Attempts
 
     def start(self, attempt: Attempt, *, check_is_wanted: bool = False) -> None:
-        """Begin an attempt; `check_is_wanted`: its request was not read in this turn of the event loop."""
+        """Start an attempt; `check_is_wanted` if its request was read in an earlier event loop iteration."""
         loop = asyncio.get_running_loop()
         endpoint = self._pool.endpoints.get(attempt.server)
-        if endpoint is None or not self._may_begin(attempt, endpoint, check_is_wanted=check_is_wanted):
+        if endpoint is None or not self._may_write(attempt, endpoint, check_is_wanted=check_is_wanted):
             loop.call_soon(self._end, attempt, Outcome.NOT_SENT)
             return
         self._set_timer(attempt)
@@ -88,14 +88,15 @@
         else:
             loop.call_soon(self._end, attempt, Outcome.NOT_SENT)
 
-    def _may_begin(self, attempt: Attempt, endpoint: PooledEndpoint, *, check_is_wanted: bool) -> bool:
-        """Whether the first byte of an attempt may be written now: the one guard before all writing.
+    def _may_write(self, attempt: Attempt, endpoint: PooledEndpoint, *, check_is_wanted: bool) -> bool:
+        """Whether the first byte of an attempt may be written now; checked before every write.
 
-        What was decided before a connection was established may no longer hold after it: the idempotency
-        window, the deadline, the server's drain (rule 3), the request itself, or the client's interest.  That
-        last is asked of the socket where the write is late, as after connecting and in every retry: a busy
-        event loop may see a response, or a timer, before an older disconnect.  In the turn that read the
-        request the socket was just asked.
+        The decision to send the attempt may be outdated, for example after connecting: the idempotency window
+        or the deadline may be over, the server may be draining and must get no new request, the request may
+        have been answered, or its client may have disconnected.  The disconnect is checked on the client's
+        socket after connecting and for every retry, because a busy event loop may process a response or a
+        timer before an older disconnect.  For a first attempt, the socket was checked when the request was
+        read, in the same event loop iteration.
         """
         if self._before_writing is not None:
             self._before_writing()
@@ -107,7 +108,7 @@
         return not check_is_wanted or attempt.is_wanted()
 
     def _connected(self, attempt: Attempt, endpoint: PooledEndpoint, connection: UpstreamConnection) -> None:
-        if self._may_begin(attempt, endpoint, check_is_wanted=True):
+        if self._may_write(attempt, endpoint, check_is_wanted=True):
             self._write(attempt, connection)
         else:
             self._pool.release(connection)
@@ -117,7 +118,7 @@
         def on_result(result: Response | ExchangeFailure) -> None:
             self._end(attempt, outcome_of(result), result if isinstance(result, Response) else None)
 
-        def on_streaming(
+        def on_streaming_response(
             source: UpstreamConnection, beginning: Response, length: int | None
         ) -> ResponseSink | None:
             start_streaming = attempt.on_streaming_response
@@ -131,16 +132,18 @@
             self._set_timer(attempt)
         time_left_us = max(attempt.deadline - self._clock.now(), _MIN_REQUEST_TIMEOUT_US)
         request = attempt.make_request(time_left_us)
-        takes_streams = attempt.on_streaming_response is not None
-        connection.exchange(request, on_result, self._on_written, on_streaming if takes_streams else None)
+        accepts_streaming = attempt.on_streaming_response is not None
+        connection.exchange(
+            request, on_result, self._on_written, on_streaming_response if accepts_streaming else None
+        )
         if request.upload is not None and not request.upload.is_complete:
             self._watch_progress(attempt)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt; its outcome follows."""
+        """Cancel an attempt; its `on_ended` is called later."""
         if attempt.is_ended:
             return
-        attempt.is_ended = True  # nothing is written for it any more, even when it gets a connection
+        attempt.is_ended = True  # it is not written, even if its connection is established later
         if attempt.timer is not None:
             attempt.timer.cancel()
         outcome = Outcome.NOT_SENT
@@ -150,7 +153,7 @@
         asyncio.get_running_loop().call_soon(attempt.on_ended, outcome, None)
 
     def cancel_unwritten(self, attempt: Attempt) -> None:
-        """Cancel an attempt that is not written yet; one that is written is left to run."""
+        """Cancel an attempt unless its request is being or was written to the server."""
         if attempt.connection is None:
             self.cancel(attempt)
 
@@ -176,21 +179,22 @@
             attempt.timer.cancel()
         is_written = attempt.connection is not None
         due = attempt.deadline if is_written else min(attempt.deadline, attempt.send_by)
-        left_s = max(due - self._clock.now(), 0) / 1e6
-        attempt.timer = asyncio.get_running_loop().call_later(left_s, self._expire, attempt)
+        remaining_s = max(due - self._clock.now(), 0) / 1e6
+        attempt.timer = asyncio.get_running_loop().call_later(remaining_s, self._expire, attempt)
 
     def _expire(self, attempt: Attempt) -> None:
         if attempt.connection is None:
-            # Still connecting: not a byte was written, so it never ran.  Where `send_by` ended it, the server
-            # is not to blame.  The clock is not asked, as a timer may fire a moment early.
-            is_send_by = attempt.send_by < attempt.deadline
-            self._end(attempt, Outcome.NOT_SENT if is_send_by else Outcome.CONNECT_FAILED)
+            # Still connecting: nothing was written, so the request did not run.  If `send_by` ended the
+            # attempt, the server did not fail.  The limits are compared with each other, not with the clock,
+            # because a timer may fire slightly early.
+            is_ended_by_send_by = attempt.send_by < attempt.deadline
+            self._end(attempt, Outcome.NOT_SENT if is_ended_by_send_by else Outcome.CONNECT_FAILED)
         else:
             attempt.connection.close()
             self._end(attempt, Outcome.TIMED_OUT)
 
     def _watch_progress(self, attempt: Attempt) -> None:
-        """From now on, while a body is streamed, only a lack of progress ends the attempt, no deadline."""
+        """Time the attempt out by lack of progress instead of its deadline, once a body is streamed."""
         if attempt.timer is not None:
             attempt.timer.cancel()
         attempt.last_streamed_bytes = -1
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -134,7 +134,7 @@
             client = await scene.client()
             client.send(upload_of(body, "length"))
             sides = scene.sidecar.downstream._connections
-            await until(lambda: any(side.receiving.paused_since is not None for side in sides))
+            await until(lambda: any(side.receive_progress.paused_since is not None for side in sides))
             scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 15.0)
             taker.may_read.set()  # the time that it was held back is not the client's
             assert (await client.answer()).status == 200
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -156,10 +156,10 @@
             )
             (connection,) = scene.sidecar.downstream._connections
             now, got, steps = asyncio.get_running_loop().time(), b"", 0
-            while before := connection._untaken_bytes():
-                while connection._untaken_bytes() >= before:
+            while before := connection._undelivered_bytes():
+                while connection._undelivered_bytes() >= before:
                     got += await soon(asyncio.get_running_loop().sock_recv(raw.socket, 2_048))
-                if not connection._untaken_bytes():
+                if not connection._undelivered_bytes():
                     break  # all is with its machine: nothing can cut it any more
                 now += 2.5  # it has taken some, so it may go on
                 scene.sidecar.downstream.close_overdue(now)
@@ -191,7 +191,7 @@
                 )
             )
             (connection,) = scene.sidecar.downstream._connections
-            assert connection.has_untaken_bytes
+            assert connection.has_undelivered_bytes
             silent = [Raw(scene.sidecar.downstream.port) for _ in range(most - 1)]
             await until(lambda: scene.sidecar.downstream.open_connections == most)
             scene.sidecar.downstream._awaited_since[connection] -= 10.0  # it waits for longest
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -285,7 +285,7 @@
             client = await scene.client()
             client.send(request("lodge", timeout="50", body=b"x" * 70_000, Content_Length="200000"))
             connections = scene.sidecar.downstream._connections
-            await until(lambda: [each.receiving.paused_since for each in connections] != [None])
+            await until(lambda: [each.receive_progress.paused_since for each in connections] != [None])
             client.close()
             await until(lambda: at_the_sidecar(scene) == 0)
             await nothing_was_written(scene, slow)
