--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Scripted ends on loopback sockets: servers, discovery and clients round one sidecar in this process."""
+"""Test harness on loopback sockets: scripted servers, discovery and clients around one sidecar."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from sidecar.sidecar import Sidecar
 
 HOST = "127.0.0.1"
-PATIENCE_S = 20.0  # how long a test waits for what must come; never what it measures
+WAIT_TIMEOUT_S = 20.0  # for anything that a test waits for; no measured time depends on it
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved"
 ERROR = b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n"
 FULL = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
-LONG_BODY = bytes(range(256)) * (3 << 12)  # 3 MiB, so it is streamed
+LONG_BODY = bytes(range(256)) * (3 << 12)  # 3 MiB: too long to be buffered, so it is streamed
 
-CLASSES = [
+SERVICE_CLASSES = [
     {"name": "check", "giveUpUs": 3_000_000, "promiseUs": 750_000, "repeat": "read_like"},
     {
         "name": "amend",
@@ -41,47 +41,47 @@
 T = TypeVar("T")
 
 
-def play(work: Callable[[], Coroutine[Any, Any, T]]) -> T:
-    """Run one test's coroutine; a test that hangs fails."""
+def run_async(test: Callable[[], Coroutine[Any, Any, T]]) -> T:
+    """Run a test's coroutine function in a new event loop; raises TimeoutError if it hangs."""
 
-    async def bounded() -> T:
-        async with asyncio.timeout(2 * PATIENCE_S):
-            return await work()
+    async def run_with_timeout() -> T:
+        async with asyncio.timeout(2 * WAIT_TIMEOUT_S):
+            return await test()
 
-    return uvloop.run(bounded())
+    return uvloop.run(run_with_timeout())
 
 
-def free_for_datagrams(count: int) -> tuple[Address, ...]:
-    """So many addresses, each with a port that the system chooses."""
-    held = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for each in held:
-        each.bind((HOST, 0))
-    out: list[Address] = [each.getsockname() for each in held]
-    for each in held:
-        each.close()
-    return tuple(out)
+def free_udp_addresses(count: int) -> tuple[Address, ...]:
+    """Return different loopback addresses whose UDP ports, chosen by the system, are free at present."""
+    sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
+    for udp_socket in sockets:
+        udp_socket.bind((HOST, 0))
+    addresses: list[Address] = [udp_socket.getsockname() for udp_socket in sockets]
+    for udp_socket in sockets:
+        udp_socket.close()
+    return tuple(addresses)
 
 
-async def soon(what: Awaitable[T]) -> T:
-    async with asyncio.timeout(PATIENCE_S):
-        return await what
+async def within_timeout(awaitable: Awaitable[T]) -> T:
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
+        return await awaitable
 
 
-async def until(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(PATIENCE_S):
+async def wait_until(condition: Callable[[], bool]) -> None:
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 @dataclass
-class Heard:
-    """A request as it came, and the connection it came on."""
+class ReceivedRequest:
+    """A request that a scripted server received, and the connection that it came on."""
 
     method: str
     target: str
     headers: dict[str, str]
     body: bytes
-    connection: int
+    connection: int  # numbered from 0 in the order of acceptance
     writer: asyncio.StreamWriter
 
 
@@ -91,7 +91,7 @@
     return head[0], {name.lower(): value.strip() for name, _, value in pairs}
 
 
-async def read_chunks(reader: asyncio.StreamReader) -> bytes:
+async def read_chunked_body(reader: asyncio.StreamReader) -> bytes:
     body = b""
     while size := int((await reader.readuntil(b"\r\n")).split(b";")[0], 16):
         body += (await reader.readexactly(size + 2))[:-2]
@@ -100,17 +100,17 @@
     return body
 
 
-Script = Callable[[Heard], Awaitable[bytes | None]]
+Script = Callable[[ReceivedRequest], Awaitable[bytes | None]]
 
 
 class ScriptedServer:
-    """Hears requests and answers by a script; None answers nothing."""
+    """Answers each request with the bytes that its script returns, or not at all if that is None."""
 
     def __init__(self, script: Script | bytes | None) -> None:
         self.script = script
-        self.heard: list[Heard] = []
-        self.closed: list[int] = []  # connections that the other side ended
-        self.connections = 0
+        self.requests: list[ReceivedRequest] = []
+        self.closed_connections: list[int] = []  # numbers of the connections that have ended
+        self.connection_count = 0
         self._writers: list[asyncio.StreamWriter] = []
         self._server: asyncio.Server | None = None
 
@@ -124,117 +124,119 @@
         return f"{HOST}:{self._server.sockets[0].getsockname()[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        number, self.connections = self.connections, self.connections + 1
+        number, self.connection_count = self.connection_count, self.connection_count + 1
         self._writers.append(writer)
         try:
             while True:
-                line, headers = await read_head(reader)
+                request_line, headers = await read_head(reader)
                 body = await reader.readexactly(int(headers.get("content-length", "0")))
-                method, target, _ = line.split(" ")
-                heard = Heard(method, target, headers, body, number, writer)
-                self.heard.append(heard)
+                method, target, _ = request_line.split(" ")
+                request = ReceivedRequest(method, target, headers, body, number, writer)
+                self.requests.append(request)
                 script = self.script
-                answer = await script(heard) if callable(script) else script
-                if answer is not None:
-                    writer.write(answer)
+                response = await script(request) if callable(script) else script
+                if response is not None:
+                    writer.write(response)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
-            self.closed.append(number)
+            self.closed_connections.append(number)
             writer.close()
 
-    def hang_up(self) -> None:
-        """End all connections that are open."""
+    def close_connections(self) -> None:
+        """Close all open connections; the peers see the end of the stream at once."""
         writers, self._writers = self._writers, []
         for writer in writers:
             if not writer.transport.is_closing():
-                ConnectionSocket(
-                    cast(Transport, writer.transport)
-                ).shut_down()  # at once, before the event loop goes on
+                # The transport would only shut down its socket in a later iteration of the event loop.
+                ConnectionSocket(cast(Transport, writer.transport)).shut_down()
             writer.close()
 
     def stop(self) -> None:
         assert self._server is not None
         self._server.close()
-        self.hang_up()
+        self.close_connections()
 
 
-class SlowToAccept:
-    """A server whose connections come up late: its line for new ones is full until it is let go."""
+class SlowAcceptServer:
+    """A server whose accept queue is full: connections are only established when `accept` is called."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
         self.listener.bind((HOST, 0))
         self.listener.listen(0)
-        self.fillers: list[socket.socket] = []
+        self.filler_sockets: list[socket.socket] = []  # client and accepted ends of the test's connections
 
     @property
     def address(self) -> str:
         return f"{HOST}:{self.listener.getsockname()[1]}"
 
-    async def fill(self) -> None:
+    async def fill_accept_queue(self) -> None:
         for _ in range(3):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(self.listener.getsockname())
-            self.fillers.append(filler)
+            self.filler_sockets.append(filler)
         await asyncio.sleep(0.05)
 
-    async def let_go(self) -> socket.socket:
-        """Accept until the sidecar's own connection comes up; give it."""
-        ours = {each.getsockname() for each in self.fillers}
+    async def accept(self) -> socket.socket:
+        """Empty the accept queue until the sidecar's connection is established; return that connection."""
+        filler_addresses = {filler.getsockname() for filler in self.filler_sockets}
         self.listener.setblocking(False)
         loop = asyncio.get_running_loop()
         while True:
             accepted, address = await loop.sock_accept(self.listener)
-            if address not in ours:
+            if address not in filler_addresses:
                 return accepted
-            self.fillers.append(accepted)
+            self.filler_sockets.append(accepted)
 
     def close(self) -> None:
-        for each in (self.listener, *self.fillers):
-            each.close()
+        for open_socket in (self.listener, *self.filler_sockets):
+            open_socket.close()
 
 
 class ScriptedDiscovery(ScriptedServer):
-    """Answers every call that may wait with silence until `tell`, and others with the list."""
+    """Answers polls that may wait when `send_changes` is called, others at once with the complete list."""
 
     def __init__(self) -> None:
-        super().__init__(self._answer)
+        super().__init__(self._respond)
         self.version = 1
         self.servers: list[dict[str, Any]] = []
-        self.news: asyncio.Queue[bytes] = asyncio.Queue()
+        self.changes: asyncio.Queue[bytes] = asyncio.Queue()  # responses to polls that wait
 
-    async def _answer(self, heard: Heard) -> bytes:
-        if "wait_ms" in heard.target and not heard.target.endswith("wait_ms=0"):
-            return await self.news.get()
-        return reply(json.dumps({"version": self.version, "full": True, "servers": self.servers}).encode())
+    async def _respond(self, request: ReceivedRequest) -> bytes:
+        if "wait_ms" in request.target and not request.target.endswith("wait_ms=0"):
+            return await self.changes.get()
+        return http_response(
+            json.dumps({"version": self.version, "full": True, "servers": self.servers}).encode()
+        )
 
-    def tell(self, *changed: dict[str, Any]) -> None:
+    def send_changes(self, *entries: dict[str, Any]) -> None:
+        """Answer the poll that waits, or the next one, with these changed entries under the next version."""
         self.version += 1
-        self.news.put_nowait(
-            reply(json.dumps({"version": self.version, "full": False, "servers": changed}).encode())
+        self.changes.put_nowait(
+            http_response(json.dumps({"version": self.version, "full": False, "servers": entries}).encode())
         )
 
 
-def reply(body: bytes, status: str = "200 OK") -> bytes:
+def http_response(body: bytes, status: str = "200 OK") -> bytes:
     return b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status.encode(), len(body), body)
 
 
-def line(name: str, address: str, **changes: Any) -> dict[str, Any]:
-    """A line of discovery's list."""
-    return {"id": name, "addr": address, "zone": "a", "kind": "", "cell": 1, "state": "active", **changes}
+def endpoint_entry(name: str, address: str, **fields: Any) -> dict[str, Any]:
+    """Return an entry of an endpoint list in its JSON form."""
+    return {"id": name, "addr": address, "zone": "a", "kind": "", "cell": 1, "state": "active", **fields}
 
 
 @dataclass
-class Answer:
+class ClientResponse:
     status: int
     headers: dict[str, str]
     body: bytes
 
 
 class Client:
-    """One connection of the application."""
+    """One client connection to the sidecar."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -242,14 +244,15 @@
     def send(self, raw: bytes) -> None:
         self.writer.write(raw)
 
-    async def answer(self) -> Answer:
-        first, headers = await soon(read_head(self.reader))
-        body = await soon(self.reader.readexactly(int(headers["content-length"])))
-        return Answer(int(first.split(" ")[1]), headers, body)
+    async def read_response(self) -> ClientResponse:
+        status_line, headers = await within_timeout(read_head(self.reader))
+        body = await within_timeout(self.reader.readexactly(int(headers["content-length"])))
+        return ClientResponse(int(status_line.split(" ")[1]), headers, body)
 
-    async def ask(self, kind: str = "check", **how: Any) -> Answer:
-        self.send(request(kind, **how))
-        return await self.answer()
+    async def request(self, service_class: str = "check", **options: Any) -> ClientResponse:
+        """Send a request made by `request_bytes` with these options, and return the response."""
+        self.send(request_bytes(service_class, **options))
+        return await self.read_response()
 
     def close(self) -> None:
         self.writer.close()
@@ -259,31 +262,34 @@
 _ids = iter(range(1, 1_000_000))
 
 
-def request(
-    kind: str = "check",
+def request_bytes(
+    service_class: str = "check",
     timeout: str = "2.0",
     body: bytes = b"",
     target: str = "/api/7f3a?x=1",
     **headers: str,
 ) -> bytes:
-    """A request as clients word it; a header given as an empty text is left out."""
-    given = {
+    """Return a valid request of a class.
+
+    `headers` replace or add fields: `_` in a name stands for `-`, and an empty value leaves the field out.
+    """
+    fields = {
         "Host": "origin.svc",
         "Request-Id": f"{next(_ids):016x}",
-        "Request-Class": kind,
+        "Request-Class": service_class,
         "Tenant": "acme",
         "Request-Timeout": timeout,
-        "Idempotency-Key": "5c0f" if kind == "amend" else "",
-        "Content-Length": str(len(body)) if _METHODS.get(kind) == "POST" else "",
+        "Idempotency-Key": "5c0f" if service_class == "amend" else "",
+        "Content-Length": str(len(body)) if _METHODS.get(service_class) == "POST" else "",
     }
-    given.update({name.replace("_", "-"): value for name, value in headers.items()})
-    head = "".join(f"{name}: {value}\r\n" for name, value in given.items() if value)
-    return f"{_METHODS.get(kind, 'GET')} {target} HTTP/1.1\r\n{head}\r\n".encode() + body
+    fields.update({name.replace("_", "-"): value for name, value in headers.items()})
+    head = "".join(f"{name}: {value}\r\n" for name, value in fields.items() if value)
+    return f"{_METHODS.get(service_class, 'GET')} {target} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
 @dataclass
-class Stage:
-    """A sidecar with scripted ends."""
+class SidecarHarness:
+    """A running sidecar with its scripted discovery and servers, its log and its clients."""
 
     sidecar: Sidecar
     discovery: ScriptedDiscovery
@@ -296,59 +302,68 @@
         self.clients.append(client)
         return client
 
-    async def ask(self, kind: str = "check", **how: Any) -> Answer:
-        return await (await self.client()).ask(kind, **how)
+    async def request(self, service_class: str = "check", **options: Any) -> ClientResponse:
+        """Send one request on a new connection."""
+        return await (await self.client()).request(service_class, **options)
 
-    async def operator(self) -> Client:
-        """A connection to the admin interface."""
+    async def admin_client(self) -> Client:
+        """Open a connection to the admin interface."""
         assert self.sidecar.admin_interface is not None
         client = Client(*await asyncio.open_connection(HOST, self.sidecar.admin_interface.port))
         self.clients.append(client)
         return client
 
-    async def call(self, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
-        """One call of the operators, read to the end of its connection."""
-        caller = await self.operator()
+    async def admin_request(self, method: str, path: str, body: bytes = b"") -> tuple[int, Any]:
+        """Send an admin request; return the status and the decoded body after the connection has ended."""
+        client = await self.admin_client()
         length = f"Content-Length: {len(body)}\r\n" if body else ""
-        caller.send(f"{method} {path} HTTP/1.1\r\nHost: console\r\n{length}\r\n".encode() + body)
-        answer = await caller.answer()
-        assert await soon(caller.reader.read()) == b""
-        return answer.status, json.loads(answer.body) if answer.body else None
+        client.send(f"{method} {path} HTTP/1.1\r\nHost: console\r\n{length}\r\n".encode() + body)
+        response = await client.read_response()
+        assert await within_timeout(client.reader.read()) == b""
+        return response.status, json.loads(response.body) if response.body else None
 
-    async def figures(self) -> Any:
-        status, figures = await self.call("GET", "/api/telemetry")
+    async def metrics(self) -> Any:
+        status, metrics = await self.admin_request("GET", "/api/telemetry")
         assert status == 200
-        return figures
+        return metrics
 
     @property
-    def heard(self) -> list[Heard]:
-        return [each for server in self.servers for each in server.heard]
+    def requests(self) -> list[ReceivedRequest]:
+        """The requests that all servers have received."""
+        return [request for server in self.servers for request in server.requests]
 
 
 @asynccontextmanager
-async def stage(
+async def running_sidecar(
     *scripts: Script | bytes | None,
     bounds: dict[str, Any] | None = None,
-    given: dict[str, Any] | None = None,
-    listed: bool = True,
-    console: bool = False,
+    configuration: dict[str, Any] | None = None,
+    is_listed: bool = True,
+    has_admin_interface: bool = False,
     **settings: Any,
-) -> AsyncIterator[Stage]:
-    """A sidecar, its discovery and one server for each script, all known to it from the start."""
+) -> AsyncIterator[SidecarHarness]:
+    """Run a sidecar, its discovery and one server for each script.
+
+    Unless `is_listed` is false, the sidecar's initial endpoint list holds all servers, as `s-0`, `s-1` etc.
+    `configuration` and `settings` replace keys of its configuration file and of `settings` therein; `bounds`
+    replace keys of `settings.bounds`.
+    """
     servers = [await ScriptedServer(script).start() for script in scripts]
     discovery = ScriptedDiscovery()
-    if listed:
-        discovery.servers = [line(f"s-{index}", each.address) for index, each in enumerate(servers)]
+    if is_listed:
+        discovery.servers = [
+            endpoint_entry(f"s-{index}", server.address) for index, server in enumerate(servers)
+        ]
     await discovery.start()
     limits = {"sendCap": 3, "mayCancel": True, "retryAfter": True, "dialTimeoutUs": 1_000_000}
-    config = {
+    document = {
         "name": "n0",
         "listen": f"{HOST}:0",
         "discovery": discovery.address,
         "seed": "8c1f",
         "known": {"version": 1, "full": True, "servers": discovery.servers},
         "settings": {
-            "lanes": CLASSES,
+            "lanes": SERVICE_CLASSES,
             "zone": "a",
             "quantumUs": 5_000,
             "discovery": "on_request",
@@ -356,18 +371,18 @@
             "bounds": {**limits, **(bounds or {})},
             **settings,
         },
-        **({"console": f"{HOST}:0"} if console else {}),
-        **(given or {}),
+        **({"console": f"{HOST}:0"} if has_admin_interface else {}),
+        **(configuration or {}),
     }
     log: list[str] = []
-    sidecar = Sidecar(parse(config), lambda event: log.append(str(event)))
+    sidecar = Sidecar(parse(document), lambda event: log.append(str(event)))
     await sidecar.start()
-    scene = Stage(sidecar, discovery, servers, log)
+    harness = SidecarHarness(sidecar, discovery, servers, log)
     try:
-        yield scene
+        yield harness
     finally:
         sidecar.close()
-        for client in scene.clients:
+        for client in harness.clients:
             client.close()
         for server in (*servers, discovery):
             server.stop()
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -6,8 +6,20 @@
 from typing import Any
 
 import pytest
-from loopback import HOST, LONG_BODY, OK, line, play, read_chunks, read_head, request, soon, stage, until
-from loopback import Stage as Scene
+from loopback import (
+    HOST,
+    LONG_BODY,
+    OK,
+    SidecarHarness,
+    endpoint_entry,
+    read_chunked_body,
+    read_head,
+    request_bytes,
+    run_async,
+    running_sidecar,
+    wait_until,
+    within_timeout,
+)
 
 from sidecar.downstream import flow_control
 from sidecar.downstream.body_streaming import Upload
@@ -46,17 +58,17 @@
     async def work() -> None:
         taker = Taker()
         server = await taker.start()
-        async with stage(listed=False) as scene:
-            await list_only(scene, f"{HOST}:{server.sockets[0].getsockname()[1]}")
-            sender = await scene.client()
-            sender.send(request("lodge", body=LONG_BODY)[:-1])
-            await until(lambda: taker.begun == 1)
-            assert scene.sidecar.administration.metrics()["pending"] == 0
+        async with running_sidecar(is_listed=False) as harness:
+            await list_only(harness, f"{HOST}:{server.sockets[0].getsockname()[1]}")
+            sender = await harness.client()
+            sender.send(request_bytes("lodge", body=LONG_BODY)[:-1])
+            await wait_until(lambda: taker.begun == 1)
+            assert harness.sidecar.administration.metrics()["pending"] == 0
             sender.send(LONG_BODY[-1:])
-            assert (await sender.answer()).status == 200
+            assert (await sender.read_response()).status == 200
         server.close()
 
-    play(work)
+    run_async(work)
 
 
 class Taker:
@@ -79,7 +91,7 @@
                 if "content-length" in headers:
                     body = await reader.readexactly(int(headers["content-length"]))
                 else:
-                    body = await read_chunks(reader)
+                    body = await read_chunked_body(reader)
                 self.bodies.append(body)
                 writer.write(self.answer)
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -90,8 +102,8 @@
 
 def upload_of(body: bytes, form: str) -> bytes:
     if form == "length":
-        return request("lodge", body=body)
-    head = request("lodge", Content_Length="", Transfer_Encoding="chunked", Trailer="t")
+        return request_bytes("lodge", body=body)
+    head = request_bytes("lodge", Content_Length="", Transfer_Encoding="chunked", Trailer="t")
     pieces = (body[at : at + 30_000] for at in range(0, len(body), 30_000))
     return head + b"".join(b"%x;e=1\r\n%s\r\n" % (len(each), each) for each in pieces) + b"0\r\nt: 1\r\n\r\n"
 
@@ -102,24 +114,24 @@
         taker = Taker()
         server = await taker.start()
         address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
-        async with stage(listed=False, console=True) as scene:
-            await list_only(scene, address)
-            client = await scene.client()
+        async with running_sidecar(is_listed=False, has_admin_interface=True) as harness:
+            await list_only(harness, address)
+            client = await harness.client()
             for _ in range(2):
                 client.send(upload_of(LONG_BODY, form))
-                assert (await client.answer()).status == 200
+                assert (await client.read_response()).status == 200
             assert taker.bodies == [LONG_BODY, LONG_BODY]
-            figures = await scene.figures()
+            figures = await harness.metrics()
             assert figures["downstream_requests"]["lodge"]["completed"] == 2
             assert figures["upstream_requests"] == 2
         server.close()
 
-    play(work)
+    run_async(work)
 
 
-async def list_only(scene: Scene, address: str) -> None:
-    scene.discovery.tell(line("s-0", address))
-    await until(lambda: scene.sidecar.administration.metrics()["members"] == 1)
+async def list_only(harness: SidecarHarness, address: str) -> None:
+    harness.discovery.send_changes(endpoint_entry("s-0", address))
+    await wait_until(lambda: harness.sidecar.administration.metrics()["members"] == 1)
 
 
 def test_server_that_stops_reading_pauses_client() -> None:
@@ -129,19 +141,19 @@
         server = await taker.start()
         address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
         body = bytes(24 << 20)
-        async with stage(listed=False) as scene:
-            await list_only(scene, address)
-            client = await scene.client()
+        async with running_sidecar(is_listed=False) as harness:
+            await list_only(harness, address)
+            client = await harness.client()
             client.send(upload_of(body, "length"))
-            sides = scene.sidecar.downstream._connections
-            await until(lambda: any(side.receiving.paused_since is not None for side in sides))
-            scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 15.0)
+            sides = harness.sidecar.downstream._connections
+            await wait_until(lambda: any(side.receiving.paused_since is not None for side in sides))
+            harness.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 15.0)
             taker.may_read.set()  # the time that it was held back is not the client's
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             assert taker.bodies == [body]
         server.close()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("end", ["silence", "leaving", "broken chunk", "more than one request"])
@@ -150,29 +162,29 @@
         taker = Taker()
         server = await taker.start()
         address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
-        async with stage(listed=False) as scene:
-            await list_only(scene, address)
-            client = await scene.client()
-            head = request("lodge", Content_Length="", Transfer_Encoding="chunked")
+        async with running_sidecar(is_listed=False) as harness:
+            await list_only(harness, address)
+            client = await harness.client()
+            head = request_bytes("lodge", Content_Length="", Transfer_Encoding="chunked")
             client.send(head + b"%x\r\n%s\r\n" % (100_000, bytes(100_000)))
-            await until(lambda: taker.begun == 1)
+            await wait_until(lambda: taker.begun == 1)
             if end == "silence":
-                scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 5.0)
-                assert (await client.answer()).status == 408
+                harness.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 5.0)
+                assert (await client.read_response()).status == 408
             elif end == "leaving":
                 client.close()
             elif end == "broken chunk":
                 client.send(b"zz\r\n")
-                assert (await client.answer()).status == 400
+                assert (await client.read_response()).status == 400
             else:
-                client.send(b"0\r\n\r\n" + request("lodge"))
-                assert (await client.answer()).status == 400
-            await until(lambda: scene.sidecar.open_requests == 0)
+                client.send(b"0\r\n\r\n" + request_bytes("lodge"))
+                assert (await client.read_response()).status == 400
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
             assert taker.bodies == [] or end == "more than one request"
             assert len(taker.bodies) <= 1
         server.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_expect_100_continue_is_answered() -> None:
@@ -180,27 +192,27 @@
         taker = Taker()
         server = await taker.start()
         address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
-        async with stage(listed=False) as scene:
-            await list_only(scene, address)
-            client = await scene.client()
-            client.send(request("lodge", Content_Length=str(len(LONG_BODY)), Expect="100-continue"))
-            assert (await soon(client.reader.readuntil(b"\r\n\r\n"))).startswith(b"HTTP/1.1 100 ")
+        async with running_sidecar(is_listed=False) as harness:
+            await list_only(harness, address)
+            client = await harness.client()
+            client.send(request_bytes("lodge", Content_Length=str(len(LONG_BODY)), Expect="100-continue"))
+            assert (await within_timeout(client.reader.readuntil(b"\r\n\r\n"))).startswith(b"HTTP/1.1 100 ")
             client.send(LONG_BODY)
-            assert (await client.answer()).status == 200 and taker.bodies == [LONG_BODY]
+            assert (await client.read_response()).status == 200 and taker.bodies == [LONG_BODY]
         server.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_long_request_without_servers_is_rejected_before_its_body_arrives() -> None:
     async def work() -> None:
-        async with stage(listed=False) as scene:
-            client = await scene.client()
-            client.send(request("lodge", Content_Length=str(len(LONG_BODY))) + bytes(70_000))
-            answer = await client.answer()
+        async with running_sidecar(is_listed=False) as harness:
+            client = await harness.client()
+            client.send(request_bytes("lodge", Content_Length=str(len(LONG_BODY))) + bytes(70_000))
+            answer = await client.read_response()
             assert (answer.status, answer.headers["connection"]) == (503, "close")
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -214,10 +226,10 @@
 )
 def test_invalid_head_of_long_request_reaches_no_server(changes: dict[str, Any], status: int) -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            client.send(request("lodge", **{"Content_Length": str(len(LONG_BODY)), **changes}))
-            assert (await client.answer()).status == status
-            assert scene.heard == []
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
+            client.send(request_bytes("lodge", **{"Content_Length": str(len(LONG_BODY)), **changes}))
+            assert (await client.read_response()).status == status
+            assert harness.requests == []
 
-    play(work)
+    run_async(work)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import play, until
+from loopback import run_async, wait_until
 from test_emulator import read_small, running_below
 from test_scenario import SMALL
 
@@ -85,12 +85,12 @@
 
     async def work() -> None:
         part = out / "part-load-0.jsonl"
-        await until(lambda: part.exists() and len(running_below(out)) == 2)
+        await wait_until(lambda: part.exists() and len(running_below(out)) == 2)
         player.send_signal(signal.SIGINT)
-        await until(lambda: player.poll() is not None)
-        await until(lambda: running_below(out) == [])
+        await wait_until(lambda: player.poll() is not None)
+        await wait_until(lambda: running_below(out) == [])
 
-    play(work)
+    run_async(work)
     assert player.returncode == 130
     assert player.stderr is not None and "interrupted" in player.stderr.read()
     player.stderr.close()
--- a/tests/test_cluster_membership.py
+++ b/tests/test_cluster_membership.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from loopback import free_for_datagrams, play, until
+from loopback import free_udp_addresses, run_async, wait_until
 
 from sidecar.address import Address
 from sidecar.clock import Clock
@@ -58,43 +58,43 @@
 
 def test_members_see_each_other_and_one_that_leaves() -> None:
     async def work() -> None:
-        one, two, three = await replicas(free_for_datagrams(3), 3)
+        one, two, three = await replicas(free_udp_addresses(3), 3)
         everybody = (one, two, three)
-        await until(lambda: all(each.figure("present") == 3 for each in everybody))
+        await wait_until(lambda: all(each.figure("present") == 3 for each in everybody))
         three.members.leave()
-        await until(lambda: one.figure("left") == two.figure("left") == 1)
+        await wait_until(lambda: one.figure("left") == two.figure("left") == 1)
         assert three.members.metrics() is None
         assert one.sizes[-1].at_most == 2 and one.figure("view") == "ppl"
         assert "member" in str(one.figure("absent"))
-        await until(lambda: any("2 left (by 2)" in line for line in one.lines))
+        await wait_until(lambda: any("2 left (by 2)" in line for line in one.lines))
         for each in everybody:
             each.members.close()
             each.peers.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_switched_off_reports_the_configured_size() -> None:
     async def work() -> None:
-        one, two = await replicas(free_for_datagrams(2), 2)
-        await until(lambda: one.figure("present") == 2)
+        one, two = await replicas(free_udp_addresses(2), 2)
+        await wait_until(lambda: one.figure("present") == 2)
         two.members.leave()
-        await until(lambda: one.sizes[-1].at_most == 1)
+        await wait_until(lambda: one.sizes[-1].at_most == 1)
         one.members.configure(MembershipSettings(on=False))
         assert one.sizes[-1] == ClusterSize(2, 2, 0, 0, 0, 0) and one.members.metrics() is None
         for each in (one, two):
             each.members.close()
             each.peers.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_informing_again_reports_the_size_at_once() -> None:
     async def work() -> None:
-        one, two = await replicas(free_for_datagrams(2), 2)
-        await until(lambda: one.figure("present") == 2)
+        one, two = await replicas(free_udp_addresses(2), 2)
+        await wait_until(lambda: one.figure("present") == 2)
         two.members.leave()
-        await until(lambda: one.sizes[-1].at_most == 1)
+        await wait_until(lambda: one.sizes[-1].at_most == 1)
         one.members.configure(MembershipSettings(informs=False))
         assert one.sizes[-1].at_most == 2
         one.members.configure(QUICK)
@@ -103,14 +103,14 @@
             each.members.close()
             each.peers.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_reconfigured_peers_change_the_cluster_size() -> None:
     async def work() -> None:
-        addresses = free_for_datagrams(3)
+        addresses = free_udp_addresses(3)
         one, two = await replicas(addresses[:2], 2)
-        await until(lambda: one.figure("present") == 2)
+        await wait_until(lambda: one.figure("present") == 2)
         for each in (one, two):
             each.peers.set_addresses(addresses, None)
             each.members.configure(QUICK)
@@ -119,20 +119,20 @@
             each.members.close()
             each.peers.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_invalid_datagrams_are_counted_by_reason() -> None:
     async def work() -> None:
-        addresses = free_for_datagrams(2)
+        addresses = free_udp_addresses(2)
         (one,) = await replicas(addresses, 1)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"hello", addresses[0])
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.bind(addresses[1])
             other.sendto(b"hello", addresses[0])
-            await until(lambda: one.figure("dropped") == {"malformed": 1, "a stranger": 1})
+            await wait_until(lambda: one.figure("dropped") == {"malformed": 1, "a stranger": 1})
         one.members.close()
         one.peers.close()
 
-    play(work)
+    run_async(work)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from loopback import CLASSES, OK, play, stage, until
+from loopback import OK, SERVICE_CLASSES, run_async, running_sidecar, wait_until
 
 from sidecar.configuration import Configuration, load, parse
 
@@ -31,7 +31,7 @@
     "version": 12,
     "rollout": {"on": True},
     "console": "127.0.0.1:9000",
-    "settings": {"lanes": CLASSES, "zone": "a", "tier": 3, "me": 1, "groupSize": 2},
+    "settings": {"lanes": SERVICE_CLASSES, "zone": "a", "tier": 3, "me": 1, "groupSize": 2},
 }
 
 
@@ -107,27 +107,27 @@
         repeats = ("non_idempotent", "read_like", "idempotency_key", "read_like", "read_like")
         lanes = [lane(name, repeat) for name, repeat in zip(names, repeats, strict=True)]
 
-        async with stage(OK, OK, OK, lanes=lanes) as scene:
+        async with running_sidecar(OK, OK, OK, lanes=lanes) as harness:
             for name, repeat in zip(names, repeats, strict=True):
                 kind = {"read_like": "check", "idempotency_key": "amend", "non_idempotent": "lodge"}[repeat]
-                assert (await scene.ask(kind, Request_Class=name)).status == 200
+                assert (await harness.request(kind, Request_Class=name)).status == 200
                 for wrong in {"check", "amend", "lodge"} - {kind}:
-                    assert (await scene.ask(wrong, Request_Class=name)).status == 400
+                    assert (await harness.request(wrong, Request_Class=name)).status == 400
             for unknown in ("ga", "gate-", "gate-views", "Gate", "gate view"):
-                assert (await scene.ask("check", Request_Class=unknown)).status == 400
-            assert len(scene.heard) == len(names)
+                assert (await harness.request("check", Request_Class=unknown)).status == 400
+            assert len(harness.requests) == len(names)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("realms", [[], [{"name": "acme", "portion": 1.0, "quotaRps": 0.0}]])
 def test_missing_and_unknown_tenants_are_served_alike(realms: list[dict[str, object]]) -> None:
     async def work() -> None:
-        async with stage(OK, realms=realms, lanes=[lane("check", "read_like")]) as scene:
+        async with running_sidecar(OK, realms=realms, lanes=[lane("check", "read_like")]) as harness:
             for tenant in ("acme", "acme-2", "", "nobody"):
-                assert (await scene.ask("check", Tenant=tenant)).status == 200
+                assert (await harness.request("check", Tenant=tenant)).status == 200
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -146,12 +146,12 @@
     async def work() -> None:
         internal: list[dict[str, object]] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, what: internal.append(what))
-        async with stage(OK, OK, bounds=bounds) as scene:
+        async with running_sidecar(OK, OK, bounds=bounds) as harness:
             for kind in ("check", "amend", "lodge") * 3:
-                answer = await scene.ask(kind, timeout="1.0")
+                answer = await harness.request(kind, timeout="1.0")
                 assert answer.status in (200, 502, 503, 504)
-            await until(lambda: scene.sidecar.open_requests == 0)
-            assert not [each for each in scene.log if "internal" in each]
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
+            assert not [each for each in harness.log if "internal" in each]
         assert not [each for each in internal if "sidecar" in repr(each)]
 
-    play(work)
+    run_async(work)
--- a/tests/test_configuration_rollout.py
+++ b/tests/test_configuration_rollout.py
@@ -16,10 +16,10 @@
 from typing import Any
 
 import pytest
-from loopback import HOST, free_for_datagrams, play, until
+from loopback import HOST, free_udp_addresses, run_async, wait_until
 from test_emulator import PROGRAM, ROOT, read_small
 from test_ground import a_day, trouble
-from test_program import GOOD
+from test_program import VALID_CONFIGURATION
 
 from sidecar.address import Address
 from sidecar.cluster.aggregation import AggregationRound
@@ -111,7 +111,7 @@
         for each in copies:
             each.configure(f"{HOST}:9", relay.peers, relay.everyone)
             each.config |= {**QUICK, "version": 1}
-            each.listing = lambda: GOOD["known"]
+            each.listing = lambda: VALID_CONFIGURATION["known"]
         clock.begin(0)
         try:
             await asyncio.gather(*(each.start() for each in copies))
@@ -133,7 +133,7 @@
             for number in range(4):
                 assert running.said(number, "configuration_reloaded: discovery is at")
                 line = "configuration_in_force_everywhere: version 2 "
-                await until(partial(running.said, number, line))
+                await wait_until(partial(running.said, number, line))
             await running.copies[1].kill()
             running.publish(1, 1)
             await running.copies[1].start()
@@ -143,11 +143,11 @@
             await running.until(version=2, in_force_everywhere=True, behind=[])
             running.publish(0, 1)
             running.copies[0].hang_up()
-            await until(lambda: running.said(0, "configuration_rejected: version: 1 is older than 2"))
+            await wait_until(lambda: running.said(0, "configuration_rejected: version: 1 is older than 2"))
             assert (await running.figures(0))["refused"] == 1
             await running.until(version=2)
 
-    play(work)
+    run_async(work)
 
 
 # One copy
@@ -155,10 +155,10 @@
 
 def given(own: Address, other: Address, **more: object) -> dict[str, Any]:
     return {
-        **GOOD,
+        **VALID_CONFIGURATION,
         "peer_listen": f"{own[0]}:{own[1]}",
         "peers": [f"{each[0]}:{each[1]}" for each in (own, other)],
-        "settings": {**GOOD["settings"], "bounds": {"mayTell": True}},
+        "settings": {**VALID_CONFIGURATION["settings"], "bounds": {"mayTell": True}},
         **more,
     }
 
@@ -174,7 +174,7 @@
 @pytest.mark.parametrize("more", OFF, ids=str)
 def test_without_version_nothing_is_sent_or_rejected(more: dict[str, Any]) -> None:
     async def work() -> None:
-        own, other = free_for_datagrams(2)
+        own, other = free_udp_addresses(2)
         heard: list[bytes] = []
 
         class Ear(asyncio.DatagramProtocol):
@@ -189,7 +189,7 @@
         lower = parse(given(own, other, **{**more, "version": 1} if "version" in more else more))
         assert sidecar.reconfigure(lower) == []  # taken over as ever
         if sidecar._cluster.members is not None:
-            await until(lambda: len(heard) >= 2)
+            await wait_until(lambda: len(heard) >= 2)
             exchange = encode(cluster_id("0"), 1, ExchangeKind.PUSH_PULL, AggregationRound(9, 1, 1, 0), 0, 0)
             sidecar._cluster.message_received(1, exchange)
             assert sidecar._cluster.members.membership is not None
@@ -198,7 +198,7 @@
         sidecar.close()
         ear.close()
 
-    play(work)
+    run_async(work)
 
 
 ROLLOUT_MODULES = {
@@ -212,7 +212,7 @@
 
 def test_without_version_rollout_modules_are_not_imported() -> None:
     assert len(ROLLOUT_MODULES) >= 11 and all(map(importlib.util.find_spec, ROLLOUT_MODULES))
-    own, other = free_for_datagrams(2)
+    own, other = free_udp_addresses(2)
     program = f"""
 import asyncio, sys
 from sidecar.configuration import parse
@@ -233,7 +233,7 @@
 
 def test_rollout_is_switched_on_and_off_by_reload() -> None:
     async def work() -> None:
-        own, other = free_for_datagrams(2)
+        own, other = free_udp_addresses(2)
 
         def config(**more: object) -> Configuration:
             return parse(given(own, other, **more))
@@ -260,16 +260,16 @@
         assert sidecar.version is None
         sidecar.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_version_pending_a_restart_is_not_in_force() -> None:
     async def work() -> None:
-        own, other = free_for_datagrams(2)
+        own, other = free_udp_addresses(2)
         sidecar = Sidecar(parse(given(own, other, version=5)), print)
         await sidecar.start()
         assert sidecar.reconfigure(
-            parse(given(own, other, version=6, limits={**GOOD["limits"], "sockets": 999}))
+            parse(given(own, other, version=6, limits={**VALID_CONFIGURATION["limits"], "sockets": 999}))
         ) == ["sockets"]
         assert sidecar.version == 5
         figures = sidecar.administration.metrics()["configuration"]
@@ -279,24 +279,26 @@
         assert sidecar.version == 7
         sidecar.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_file_pending_a_restart_does_not_switch_rollout_on() -> None:
     async def work() -> None:
-        own, other = free_for_datagrams(2)
+        own, other = free_udp_addresses(2)
         sidecar = Sidecar(parse(given(own, other)), print)
         await sidecar.start()
-        sidecar.reconfigure(parse(given(own, other, version=6, limits={**GOOD["limits"], "sockets": 999})))
+        sidecar.reconfigure(
+            parse(given(own, other, version=6, limits={**VALID_CONFIGURATION["limits"], "sockets": 999}))
+        )
         assert sidecar.version is None and "configuration" not in sidecar.administration.metrics()
         sidecar.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_rejected_file_changes_nothing() -> None:
     async def work() -> None:
-        own, other = free_for_datagrams(2)
+        own, other = free_udp_addresses(2)
         sidecar = Sidecar(parse(given(own, other, version=5)), print)
         await sidecar.start()
         moved = given(own, other, version=4, discovery=f"{HOST}:10")
@@ -306,7 +308,7 @@
         assert sidecar._cluster.peers.size == 2 and sidecar._discovery._address == (HOST, 9)
         sidecar.close()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -332,12 +334,12 @@
 )
 def test_invalid_setting_names_its_key(more: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigurationError) as complaint:
-        parse({**GOOD, **more})
+        parse({**VALID_CONFIGURATION, **more})
     assert str(complaint.value).startswith(key)
 
 
 def test_digest_covers_the_keys_shared_by_all_files() -> None:
-    own, other = free_for_datagrams(2)
+    own, other = free_udp_addresses(2)
     first = parse(given(own, other, version=1))
     assert (
         parse(given(own, other, version=1, name="n7", seed="77", console=f"{HOST}:5")).digest == first.digest
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,15 +9,15 @@
 import pytest
 from loopback import (
     HOST,
-    PATIENCE_S,
-    Heard,
+    WAIT_TIMEOUT_S,
+    ReceivedRequest,
     ScriptedDiscovery,
     ScriptedServer,
-    line,
-    play,
-    reply,
-    soon,
-    until,
+    endpoint_entry,
+    http_response,
+    run_async,
+    wait_until,
+    within_timeout,
 )
 
 from balancer import discovery_polling
@@ -42,32 +42,32 @@
         )
 
     async def next(self) -> EndpointList | None:
-        return await soon(self.events.get())
+        return await within_timeout(self.events.get())
 
 
 def test_first_poll_of_a_watch_does_not_wait_and_later_ones_do() -> None:
     async def work() -> None:
         server = ScriptedDiscovery()
-        server.servers = [line("s-1", "127.0.0.2:80")]
+        server.servers = [endpoint_entry("s-1", "127.0.0.2:80")]
         await server.start()
         recorded = RecordedDiscovery(server)
         recorded.discovery.watch(is_enabled=True)
         first = await recorded.next()
         assert first is not None and first.is_complete and first.version == 1
-        await until(lambda: len(server.heard) == 2)
-        assert server.heard[0].target == "/catalog/members?after=41&wait_ms=0"
-        target, _, wait_ms = server.heard[1].target.rpartition("=")
+        await wait_until(lambda: len(server.requests) == 2)
+        assert server.requests[0].target == "/catalog/members?after=41&wait_ms=0"
+        target, _, wait_ms = server.requests[1].target.rpartition("=")
         assert target == "/catalog/members?after=1&wait_ms" and 15_000 <= int(wait_ms) <= 20_000
-        server.tell(line("s-1", "127.0.0.2:80", state="leaving"))
+        server.send_changes(endpoint_entry("s-1", "127.0.0.2:80", state="leaving"))
         news = await recorded.next()
         assert news is not None and not news.is_complete and news.version == 2
-        await until(lambda: len(server.heard) == 3)
+        await wait_until(lambda: len(server.requests) == 3)
         recorded.discovery.watch(is_enabled=False)
-        await until(lambda: len(server.closed) == 0 or server.closed == [0])
+        await wait_until(lambda: len(server.closed_connections) == 0 or server.closed_connections == [0])
         recorded.discovery.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("answered", [True, False])
@@ -82,23 +82,23 @@
         recorded.discovery.watch(is_enabled=True)
         if answered:
             assert await recorded.next() is not None
-        await until(lambda: len(old.heard) == (2 if answered else 1))
+        await wait_until(lambda: len(old.requests) == (2 if answered else 1))
         new.version = 9
-        new.servers = [line("s-1", "127.0.0.2:80")]
+        new.servers = [endpoint_entry("s-1", "127.0.0.2:80")]
         recorded.discovery.change_address(parse_address(new.address))
         told = await recorded.next()
         assert told is not None and told.version == 9
-        await until(lambda: len(new.heard) == 2)
-        new.tell(line("s-1", "127.0.0.2:80", state="leaving"))
+        await wait_until(lambda: len(new.requests) == 2)
+        new.send_changes(endpoint_entry("s-1", "127.0.0.2:80", state="leaving"))
         told = await recorded.next()
         assert told is not None and told.version == 10
         recorded.discovery.poll()
-        assert await recorded.next() is not None and len(old.heard) <= 2
+        assert await recorded.next() is not None and len(old.requests) <= 2
         recorded.discovery.close()
         old.stop()
         new.stop()
 
-    play(work)
+    run_async(work)
 
 
 GOOD = {"version": 7, "full": True, "servers": []}
@@ -107,13 +107,15 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        reply(b"", "503 Busy"),
-        reply(b"not json"),
-        reply(b"[" * 100_000),
-        reply(json.dumps({**GOOD, "version": "x"}).encode()),
-        reply(json.dumps({**GOOD, "full": 1}).encode()),
-        reply(json.dumps({**GOOD, "servers": [{"id": "a", "state": "odd"}]}).encode()),
-        reply(json.dumps({**GOOD, "servers": [{"id": "a", "state": "active", "addr": "name:80"}]}).encode()),
+        http_response(b"", "503 Busy"),
+        http_response(b"not json"),
+        http_response(b"[" * 100_000),
+        http_response(json.dumps({**GOOD, "version": "x"}).encode()),
+        http_response(json.dumps({**GOOD, "full": 1}).encode()),
+        http_response(json.dumps({**GOOD, "servers": [{"id": "a", "state": "odd"}]}).encode()),
+        http_response(
+            json.dumps({**GOOD, "servers": [{"id": "a", "state": "active", "addr": "name:80"}]}).encode()
+        ),
         b"garbage\r\n\r\n",
         None,
     ],
@@ -122,8 +124,8 @@
 @pytest.mark.parametrize("how", ["watch", "poll"])
 def test_failed_poll_is_reported_once_and_the_next_succeeds(answer: bytes | None, how: str) -> None:
     async def work() -> None:
-        async def once(heard: Heard) -> bytes:
-            server.script = reply(json.dumps(GOOD).encode())
+        async def once(heard: ReceivedRequest) -> bytes:
+            server.script = http_response(json.dumps(GOOD).encode())
             if answer is None:
                 heard.writer.transport.abort()
                 return b""
@@ -147,7 +149,7 @@
         recorded.discovery.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_polls_fail_while_discovery_is_down() -> None:
@@ -160,7 +162,7 @@
         recorded.discovery.poll()
         assert await recorded.next() is None
 
-    play(work)
+    run_async(work)
 
 
 def test_watch_enabled_again_before_its_response_keeps_its_place() -> None:
@@ -168,23 +170,23 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def slow(heard: Heard) -> bytes:
+        async def slow(heard: ReceivedRequest) -> bytes:
             await release.wait()
-            return reply(json.dumps(GOOD).encode())
+            return http_response(json.dumps(GOOD).encode())
 
         server = await ScriptedServer(slow).start()
         recorded = RecordedDiscovery(server)
         for _ in range(3):
             recorded.discovery.watch(is_enabled=True)
-        await until(lambda: len(server.heard) == 1)
+        await wait_until(lambda: len(server.requests) == 1)
         recorded.discovery.watch(is_enabled=True)
         release.set()
         assert await recorded.next() is not None
-        assert server.connections == 1
+        assert server.connection_count == 1
         recorded.discovery.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_pushed_lists_are_received_also_after_the_agent_restarted() -> None:
@@ -198,32 +200,32 @@
         server.stop()
         again = ScriptedDiscovery()
         again.version = 9
-        again.servers = [line("s-1", f"{HOST}:80")]
+        again.servers = [endpoint_entry("s-1", f"{HOST}:80")]
         await again.start(port)
-        again.tell(line("s-2", f"{HOST}:80"))
+        again.send_changes(endpoint_entry("s-2", f"{HOST}:80"))
         heard = await recorded.next()
         assert heard is not None and heard.version == 10
         assert recorded.events.empty()
         recorded.discovery.close()
         again.stop()
 
-    play(work)
+    run_async(work)
 
 
 class Scripted(ScriptedServer):
     """Discovery by the call: the script gets its number and gives the answer, or None for silence."""
 
-    def __init__(self, answers: Callable[[int, Heard], bytes | None]) -> None:
+    def __init__(self, answers: Callable[[int, ReceivedRequest], bytes | None]) -> None:
         super().__init__(self._by_number)
         self._answers = answers
 
-    async def _by_number(self, heard: Heard) -> bytes | None:
-        return self._answers(len(self.heard) - 1, heard)
+    async def _by_number(self, heard: ReceivedRequest) -> bytes | None:
+        return self._answers(len(self.requests) - 1, heard)
 
 
 def complete_list(version: int, **states: str) -> bytes:
-    servers = [line(name, "127.0.0.2:80", state=state) for name, state in states.items()]
-    return reply(json.dumps({"version": version, "full": True, "servers": servers}).encode())
+    servers = [endpoint_entry(name, "127.0.0.2:80", state=state) for name, state in states.items()]
+    return http_response(json.dumps({"version": version, "full": True, "servers": servers}).encode())
 
 
 @pytest.fixture
@@ -232,7 +234,7 @@
     monkeypatch.setattr("sidecar.discovery.watcher._MAX_WAIT_MS", 20)
     for name in ("WATCH_OVERDUE_S", "HEDGE_OVERDUE_S", "POLL_OVERDUE_S"):
         monkeypatch.setattr(f"sidecar.discovery.hedged_poll.{name}", 0.01)
-    monkeypatch.setattr("sidecar.discovery.hedged_poll.POLL_TIMEOUT_S", PATIENCE_S)
+    monkeypatch.setattr("sidecar.discovery.hedged_poll.POLL_TIMEOUT_S", WAIT_TIMEOUT_S)
 
 
 @pytest.mark.parametrize("silent", [1, 2])
@@ -242,9 +244,9 @@
     # until then to give the watch up.  The second connection may be as silent.
     async def work() -> None:
         # By version and not by number: on a busy machine the first poll may be hedged as well.
-        after_first: list[Heard] = []
+        after_first: list[ReceivedRequest] = []
 
-        def answers(_: int, heard: Heard) -> bytes | None:
+        def answers(_: int, heard: ReceivedRequest) -> bytes | None:
             if "after=1&" not in heard.target:
                 return complete_list(1, s="active")
             after_first.append(heard)
@@ -259,11 +261,13 @@
         watch, beside = after_first[0], after_first[silent]
         assert not watch.target.endswith("wait_ms=0") and beside.target.endswith("after=1&wait_ms=0")
         assert watch.connection != beside.connection
-        await until(lambda: watch.connection in server.closed)  # nobody waits for it any more
+        await wait_until(
+            lambda: watch.connection in server.closed_connections
+        )  # nobody waits for it any more
         recorded.discovery.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_first_poll_without_a_response_is_hedged(short_waits: None) -> None:
@@ -277,12 +281,12 @@
         recorded.discovery.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_watch_and_poll_that_fail_together_are_reported_once_each() -> None:
     async def work() -> None:
-        busy = reply(b"", "503 Busy")
+        busy = http_response(b"", "503 Busy")
         server = await Scripted(
             lambda number, _: busy if number < 2 else complete_list(4, s="active")
         ).start()
@@ -296,12 +300,12 @@
         recorded.discovery.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_incomplete_response_followed_by_silence_is_hedged(short_waits: None) -> None:
     async def work() -> None:
-        def answers(number: int, heard: Heard) -> bytes | None:
+        def answers(number: int, heard: ReceivedRequest) -> bytes | None:
             if number == 1:
                 return complete_list(2, s="leaving")[:-10]
             return (
@@ -320,7 +324,7 @@
         recorded.discovery.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_unanswered_watch_fails_once_and_closes_its_connections(
@@ -333,27 +337,27 @@
         recorded.discovery.watch(is_enabled=True)
         assert await recorded.next() is not None
         assert await recorded.next() is None
-        await until(lambda: len(server.closed) == server.connections)
-        assert server.connections <= 3 and recorded.events.empty()
+        await wait_until(lambda: len(server.closed_connections) == server.connection_count)
+        assert server.connection_count <= 3 and recorded.events.empty()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_error_beside_an_overdue_watch_is_one_failure(short_waits: None) -> None:
     async def work() -> None:
-        def answers(number: int, heard: Heard) -> bytes | None:
-            return (complete_list(1), None)[number] if number < 2 else reply(b"", "503 Busy")
+        def answers(number: int, heard: ReceivedRequest) -> bytes | None:
+            return (complete_list(1), None)[number] if number < 2 else http_response(b"", "503 Busy")
 
         server = await Scripted(answers).start()
         recorded = RecordedDiscovery(server)
         recorded.discovery.watch(is_enabled=True)
         assert await recorded.next() is not None
         assert await recorded.next() is None
-        assert len(server.heard) == 4 and recorded.events.empty()
+        assert len(server.requests) == 4 and recorded.events.empty()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_poll_that_crosses_a_watch_reports_nothing_older(short_waits: None) -> None:
@@ -361,16 +365,16 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def script(heard: Heard) -> bytes | None:
+        async def script(heard: ReceivedRequest) -> bytes | None:
             if "?" not in heard.target:
                 await release.wait()
                 return complete_list(4, s="active")
-            return complete_list(9, s="leaving") if len(server.heard) == 2 else None
+            return complete_list(9, s="leaving") if len(server.requests) == 2 else None
 
         server = await ScriptedServer(script).start()
         recorded = RecordedDiscovery(server, 3)
         recorded.discovery.poll()
-        await until(lambda: len(server.heard) == 1)
+        await wait_until(lambda: len(server.requests) == 1)
         recorded.discovery.watch(is_enabled=True)
         assert (news := await recorded.next()) is not None and news.version == 9
         release.set()
@@ -379,14 +383,14 @@
         recorded.discovery.close()
         server.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_poll_that_ends_after_a_move_is_repeated_at_the_new_address() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
-        async def held(heard: Heard) -> bytes:
+        async def held(heard: ReceivedRequest) -> bytes:
             await release.wait()
             return complete_list(4, s="active")
 
@@ -396,16 +400,16 @@
         )
         recorded = RecordedDiscovery(old, 3)
         recorded.discovery.poll()
-        await until(lambda: len(old.heard) == 1)
+        await wait_until(lambda: len(old.requests) == 1)
         recorded.discovery.change_address(parse_address(new.address))
         release.set()
         answer = await recorded.next()
-        assert answer is not None and answer.version == 6 and len(new.heard) == 1
+        assert answer is not None and answer.version == 6 and len(new.requests) == 1
         recorded.discovery.close()
         old.stop()
         new.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_watch_enabled_again_after_a_move_keeps_its_place() -> None:
@@ -417,21 +421,25 @@
         recorded.discovery.watch(is_enabled=True)
         assert await recorded.next() is not None
         recorded.discovery.change_address(parse_address(new.address))
-        await until(lambda: len(new.heard) == 1)
+        await wait_until(lambda: len(new.requests) == 1)
         recorded.discovery.watch(is_enabled=True)
         recorded.discovery.poll()  # comes after whatever a new watch would have asked
-        await until(lambda: len(new.heard) == 2)
-        assert "?" not in new.heard[1].target and new.closed == []
+        await wait_until(lambda: len(new.requests) == 2)
+        assert "?" not in new.requests[1].target and new.closed_connections == []
         recorded.discovery.close()
         old.stop()
         new.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_endpoint_list_is_decoded_in_the_balancers_units() -> None:
     listing = parse_endpoint_list(
-        {"version": 3, "full": False, "servers": [line("a", "127.0.0.1:80", started_ms=1_700_000_000_123)]}
+        {
+            "version": 3,
+            "full": False,
+            "servers": [endpoint_entry("a", "127.0.0.1:80", started_ms=1_700_000_000_123)],
+        }
     )
     entry = listing.endpoints[0].entry
     assert entry.started_at == 1_700_000_000_123_000
--- a/tests/test_downstream_requests.py
+++ b/tests/test_downstream_requests.py
@@ -8,7 +8,16 @@
 from pathlib import Path
 
 import pytest
-from loopback import HOST, OK, Heard, play, request, soon, stage, until
+from loopback import (
+    HOST,
+    OK,
+    ReceivedRequest,
+    request_bytes,
+    run_async,
+    running_sidecar,
+    wait_until,
+    within_timeout,
+)
 
 from sidecar.downstream import connection
 
@@ -18,10 +27,10 @@
 )
 def test_request_is_forwarded_unchanged_and_response_returned(kind: str, body: bytes) -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            answer = await scene.ask(kind, body=body, timeout="1.5", Request_Id="9b1f03aa5c7e2d41")
+        async with running_sidecar(OK) as harness:
+            answer = await harness.request(kind, body=body, timeout="1.5", Request_Id="9b1f03aa5c7e2d41")
             assert (answer.status, answer.body) == (200, b"served")
-            (heard,) = scene.heard
+            (heard,) = harness.requests
             assert heard.method == ("GET" if kind == "check" else "POST")
             assert heard.target == "/api/7f3a?x=1"
             assert heard.body == body
@@ -29,7 +38,7 @@
             assert heard.headers.get("idempotency-key") == ("5c0f" if kind == "amend" else None)
             assert 0.0 < float(heard.headers["request-timeout"]) <= 1.5
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -39,37 +48,37 @@
         b"GET / HTTP/1.1\r\nHost: x\r\nbroken line\r\n\r\n",
         b"GET / HTTP/1.1\r\nHost: x\r\nContent-Length: -4\r\n\r\n",
         b"GET / HTTP/1.1\r\n\r\n",
-        request(Request_Class=""),
-        request(Request_Class="unheard-of"),
-        request(Request_Id=""),
-        request(Request_Id="two words"),
-        request(Request_Id="a\r\nRequest-Id: b"),
-        request(Request_Timeout=""),
-        request(timeout="soon"),
-        request(timeout="-1"),
-        request(timeout="0"),
-        request(timeout="nan"),
-        request(timeout="1e999"),
-        request(Work_Hint="much"),
-        request("amend", Idempotency_Key=""),
-        request("lodge", Idempotency_Key="5c0f"),
-        request("lodge").replace(b"POST", b"PUT", 1),
-        request("check").replace(b"GET", b"HEAD", 1),
-        request("lodge").replace(b"POST", b"GET", 1),
-        request(target="http://elsewhere/api"),
-        request(Host="").replace(b"HTTP/1.1", b"HTTP/1.0"),
+        request_bytes(Request_Class=""),
+        request_bytes(Request_Class="unheard-of"),
+        request_bytes(Request_Id=""),
+        request_bytes(Request_Id="two words"),
+        request_bytes(Request_Id="a\r\nRequest-Id: b"),
+        request_bytes(Request_Timeout=""),
+        request_bytes(timeout="soon"),
+        request_bytes(timeout="-1"),
+        request_bytes(timeout="0"),
+        request_bytes(timeout="nan"),
+        request_bytes(timeout="1e999"),
+        request_bytes(Work_Hint="much"),
+        request_bytes("amend", Idempotency_Key=""),
+        request_bytes("lodge", Idempotency_Key="5c0f"),
+        request_bytes("lodge").replace(b"POST", b"PUT", 1),
+        request_bytes("check").replace(b"GET", b"HEAD", 1),
+        request_bytes("lodge").replace(b"POST", b"GET", 1),
+        request_bytes(target="http://elsewhere/api"),
+        request_bytes(Host="").replace(b"HTTP/1.1", b"HTTP/1.0"),
     ],
 )
 def test_invalid_request_gets_400_and_reaches_no_server(raw: bytes) -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
             client.send(raw)
-            assert (await client.answer()).status == 400
-            assert scene.heard == []
-            assert (await scene.ask()).status == 200  # it lives on
+            assert (await client.read_response()).status == 400
+            assert harness.requests == []
+            assert (await harness.request()).status == 200  # it lives on
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("form", ["length", "chunked"])
@@ -78,174 +87,176 @@
     monkeypatch.setattr(connection, "MAX_BODY_BYTES", 150_000)
 
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
             body = b"x" * 200_000
             if form == "length":
-                client.send(request("lodge", body=body))
+                client.send(request_bytes("lodge", body=body))
             else:
-                head = request("lodge", Content_Length="", Transfer_Encoding="chunked")
+                head = request_bytes("lodge", Content_Length="", Transfer_Encoding="chunked")
                 client.send(head + b"%x\r\n%s\r\n0\r\n\r\n" % (len(body), body))
-            assert (await client.answer()).status == 413
-            assert form == "chunked" or scene.heard == []  # else it began to pass through, and was cut off
-            await until(lambda: scene.sidecar.open_requests == 0)
+            assert (await client.read_response()).status == 413
+            assert (
+                form == "chunked" or harness.requests == []
+            )  # else it began to pass through, and was cut off
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("form", ["length beside chunks", "chunks in HTTP/1.0"])
 def test_request_smuggled_by_two_lengths_reaches_no_server(form: str) -> None:
     # Guards against smuggling: by its chunks the body ends before the inner request, by its length after it.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            body = b"0\r\n\r\n" + request("check")
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
+            body = b"0\r\n\r\n" + request_bytes("check")
             length = str(len(body)) if form == "length beside chunks" else ""
-            raw = request("lodge", Content_Length=length, Transfer_Encoding="chunked") + body
+            raw = request_bytes("lodge", Content_Length=length, Transfer_Encoding="chunked") + body
             client.send(raw if length else raw.replace(b"HTTP/1.1", b"HTTP/1.0", 1))
-            assert (await client.answer()).status == 400
-            assert await soon(client.reader.read()) == b""  # it hung up, so nothing more is read
-            assert scene.heard == []
+            assert (await client.read_response()).status == 400
+            assert await within_timeout(client.reader.read()) == b""  # it hung up, so nothing more is read
+            assert harness.requests == []
 
-    play(work)
+    run_async(work)
 
 
 def test_pipelined_request_is_rejected() -> None:
     # Guards against bodies longer than their head says; clients send one request at a time.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            client.send(request(target="/api/1") + request(target="/api/2"))
-            assert (await client.answer()).status == 400
-            assert await soon(client.reader.read()) == b""
-            assert scene.heard == []
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
+            client.send(request_bytes(target="/api/1") + request_bytes(target="/api/2"))
+            assert (await client.read_response()).status == 400
+            assert await within_timeout(client.reader.read()) == b""
+            assert harness.requests == []
 
-    play(work)
+    run_async(work)
 
 
 def test_bytes_beside_a_pending_request_are_no_request() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(heard: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        async with stage(hold) as scene:
-            client, other = await scene.client(), await scene.client()
-            client.send(request(target="/api/1"))
-            await until(lambda: len(scene.heard) == 1)
-            client.send(request(target="/api/2"))
-            other.send(request(target="/api/3"))  # it is read after the second one
-            await until(lambda: len(scene.heard) == 2)
+        async with running_sidecar(hold) as harness:
+            client, other = await harness.client(), await harness.client()
+            client.send(request_bytes(target="/api/1"))
+            await wait_until(lambda: len(harness.requests) == 1)
+            client.send(request_bytes(target="/api/2"))
+            other.send(request_bytes(target="/api/3"))  # it is read after the second one
+            await wait_until(lambda: len(harness.requests) == 2)
             release.set()
-            answer = await client.answer()
+            answer = await client.read_response()
             assert (answer.status, answer.headers["connection"]) == (200, "close")
-            assert await soon(client.reader.read()) == b""
-            assert (await other.answer()).status == 200
-            assert [each.target for each in scene.heard] == ["/api/1", "/api/3"]
+            assert await within_timeout(client.reader.read()) == b""
+            assert (await other.read_response()).status == 200
+            assert [each.target for each in harness.requests] == ["/api/1", "/api/3"]
 
-    play(work)
+    run_async(work)
 
 
 def test_nothing_is_read_after_a_rejected_request() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            assert (await client.ask()).status == 200
-            client.send(request(Request_Class="unheard-of"))
-            assert (await client.answer()).status == 400
-            client.send(request())
-            assert await soon(client.reader.read()) == b""
-            assert len(scene.heard) == 1
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
+            assert (await client.request()).status == 200
+            client.send(request_bytes(Request_Class="unheard-of"))
+            assert (await client.read_response()).status == 400
+            client.send(request_bytes())
+            assert await within_timeout(client.reader.read()) == b""
+            assert len(harness.requests) == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_disconnect_cancels_the_attempt_and_removes_the_request() -> None:
     async def work() -> None:
-        async with stage(None) as scene:
-            client = await scene.client()
-            client.send(request("lodge"))
-            await until(lambda: len(scene.heard) == 1)
+        async with running_sidecar(None) as harness:
+            client = await harness.client()
+            client.send(request_bytes("lodge"))
+            await wait_until(lambda: len(harness.requests) == 1)
             client.close()
-            await until(lambda: scene.servers[0].closed == [0])
-            await until(lambda: scene.sidecar.open_requests == 0)
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
 
-    play(work)
+    run_async(work)
 
 
 def test_request_of_disconnected_client_is_not_forwarded() -> None:
     # Guards against collapse: a sidecar short of time would spend it on answers that nobody reads.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            assert (await client.ask(target="/api/1")).status == 200  # there is a connection to reuse now
-            downstream = scene.sidecar.downstream
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
+            assert (await client.request(target="/api/1")).status == 200  # there is a connection to reuse now
+            downstream = harness.sidecar.downstream
             with socket.create_connection((HOST, downstream.port)) as gone:
-                gone.sendall(request("check", target="/api/gone"))  # it leaves before it is accepted
-            later = await scene.client()
-            assert (await later.ask(target="/api/2")).status == 200  # accepted after the other
+                gone.sendall(request_bytes("check", target="/api/gone"))  # it leaves before it is accepted
+            later = await harness.client()
+            assert (await later.request(target="/api/2")).status == 200  # accepted after the other
             assert downstream.open_connections == 2
             with socket.create_connection((HOST, downstream.port)) as gone:
-                await until(lambda: downstream.open_connections == 3)
-                gone.sendall(request("check", target="/api/gone"))  # and this one before it is read
-            await until(lambda: downstream.open_connections == 2)
-            assert (await client.ask(target="/api/3")).status == 200
-            assert [each.target for each in scene.heard] == ["/api/1", "/api/2", "/api/3"]
+                await wait_until(lambda: downstream.open_connections == 3)
+                gone.sendall(request_bytes("check", target="/api/gone"))  # and this one before it is read
+            await wait_until(lambda: downstream.open_connections == 2)
+            assert (await client.request(target="/api/3")).status == 200
+            assert [each.target for each in harness.requests] == ["/api/1", "/api/2", "/api/3"]
 
-    play(work)
+    run_async(work)
 
 
 def test_time_that_a_request_lay_unread_counts_against_its_deadline() -> None:
     # Guards against answers that come when the client has given up, after the event loop was held up.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            assert (await client.ask()).status == 200
-            client.send(request("check", timeout="1.0"))
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
+            assert (await client.request()).status == 200
+            client.send(request_bytes("check", timeout="1.0"))
             time.sleep(0.4)  # the event loop is held up: it reads the request only then
-            assert (await client.answer()).status == 200
-            assert float(scene.heard[1].headers["request-timeout"]) <= 0.61
+            assert (await client.read_response()).status == 200
+            assert float(harness.requests[1].headers["request-timeout"]) <= 0.61
 
-    play(work)
+    run_async(work)
 
 
 def test_request_over_max_open_requests_is_rejected_at_once() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(heard: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        async with stage(hold, bounds={"maxOpen": 2}) as scene:
-            first, second = await scene.client(), await scene.client()
-            first.send(request("lodge"))
-            second.send(request("lodge"))
-            await until(lambda: scene.sidecar.open_requests == 2)
-            assert (await scene.ask("lodge")).status == 503
+        async with running_sidecar(hold, bounds={"maxOpen": 2}) as harness:
+            first, second = await harness.client(), await harness.client()
+            first.send(request_bytes("lodge"))
+            second.send(request_bytes("lodge"))
+            await wait_until(lambda: harness.sidecar.open_requests == 2)
+            assert (await harness.request("lodge")).status == 503
             release.set()
-            assert [(await first.answer()).status, (await second.answer()).status] == [200, 200]
-            assert len(scene.heard) == 2
+            assert [(await first.read_response()).status, (await second.read_response()).status] == [200, 200]
+            assert len(harness.requests) == 2
 
-    play(work)
+    run_async(work)
 
 
 def test_longest_idle_connection_makes_room_for_a_new_one() -> None:
     # Guards against running out of descriptors: 64 leave room for a handful of clients.
     async def work() -> None:
-        async with stage(OK, given={"limits": {"sockets": 64}}) as scene:
+        async with running_sidecar(OK, configuration={"limits": {"sockets": 64}}) as harness:
             clients = []
             for _ in range(20):
-                client = await scene.client()
-                assert (await client.ask()).status == 200
+                client = await harness.client()
+                assert (await client.request()).status == 200
                 clients.append(client)
             assert await clients[0].reader.read() == b""
-            assert (await clients[-1].ask()).status == 200
-            await until(lambda: scene.sidecar.downstream.open_connections <= 8)
+            assert (await clients[-1].request()).status == 200
+            await wait_until(lambda: harness.sidecar.downstream.open_connections <= 8)
 
-    play(work)
+    run_async(work)
 
 
 def test_clients_get_at_most_a_third_of_the_descriptors() -> None:
@@ -253,25 +264,25 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(heard: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        async with stage(hold, given={"limits": {"sockets": 180}}) as scene:
+        async with running_sidecar(hold, configuration={"limits": {"sockets": 180}}) as harness:
             clients = []
             for number in range(60):
-                clients.append(await scene.client())
-                clients[-1].send(request("lodge", timeout="10"))
-                await until(lambda sent=number + 1: len(scene.heard) == sent)  # type: ignore[misc]
-            surplus = [await scene.client() for _ in range(20)]
+                clients.append(await harness.client())
+                clients[-1].send(request_bytes("lodge", timeout="10"))
+                await wait_until(lambda sent=number + 1: len(harness.requests) == sent)  # type: ignore[misc]
+            surplus = [await harness.client() for _ in range(20)]
             for each in surplus:
-                assert await soon(each.reader.read()) == b""  # no answer that is owed makes room
-            assert scene.sidecar.downstream.open_connections == 60
+                assert await within_timeout(each.reader.read()) == b""  # no answer that is owed makes room
+            assert harness.sidecar.downstream.open_connections == 60
             release.set()
-            assert [(await each.answer()).status for each in clients] == [200] * 60
-            assert (await scene.ask()).status == 200
+            assert [(await each.read_response()).status for each in clients] == [200] * 60
+            assert (await harness.request()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def _open_descriptors() -> int:
@@ -281,46 +292,46 @@
 def test_rush_of_silent_connections_does_not_hold_the_descriptors() -> None:
     # They all wait to be accepted when the event loop runs next, as in a rush of clients that come back.
     async def work() -> None:
-        async with stage(OK, given={"limits": {"sockets": 180}}) as scene:
+        async with running_sidecar(OK, configuration={"limits": {"sockets": 180}}) as harness:
             before = _open_descriptors()
-            address = (HOST, scene.sidecar.downstream.port)
+            address = (HOST, harness.sidecar.downstream.port)
             rush = [socket.create_connection(address) for _ in range(300)]
             most = 0
-            while scene.sidecar.downstream.open_connections < 60 or most == 0:
+            while harness.sidecar.downstream.open_connections < 60 or most == 0:
                 most = max(most, _open_descriptors() - before - len(rush))
                 await asyncio.sleep(0)
             assert most <= 100
-            assert (await scene.ask()).status == 200
+            assert (await harness.request()).status == 200
             for each in rush:
                 each.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_connection_header_does_not_remove_host_or_ids() -> None:
     # Guards against a request that can't be written to a server: its client would wait for the deadline.
     async def work() -> None:
-        async with stage(OK) as scene:
-            answer = await scene.ask("amend", Connection="host, request-id, idempotency-key, tenant")
+        async with running_sidecar(OK) as harness:
+            answer = await harness.request("amend", Connection="host, request-id, idempotency-key, tenant")
             assert answer.status == 200
-            headers = scene.heard[0].headers
+            headers = harness.requests[0].headers
             assert headers["host"] == "origin.svc" and headers["idempotency-key"] == "5c0f"
             assert "request-id" in headers and "tenant" not in headers
 
-    play(work)
+    run_async(work)
 
 
 def test_stalled_requests_make_room_for_new_ones() -> None:
     # Guards against clients that begin a body and never end it: each would hold its descriptor for good.
     async def work() -> None:
-        async with stage(OK, given={"limits": {"sockets": 64}}) as scene:
+        async with running_sidecar(OK, configuration={"limits": {"sockets": 64}}) as harness:
             for _ in range(12):
-                stalled = await scene.client()
-                stalled.send(request("lodge", body=b"x" * 10)[:-1])
-            assert (await scene.ask()).status == 200
-            await until(lambda: scene.sidecar.downstream.open_connections <= 8)
+                stalled = await harness.client()
+                stalled.send(request_bytes("lodge", body=b"x" * 10)[:-1])
+            assert (await harness.request()).status == 200
+            await wait_until(lambda: harness.sidecar.downstream.open_connections <= 8)
 
-    play(work)
+    run_async(work)
 
 
 OVERDUE_S = 2.8  # after so long a client has had its time
@@ -328,50 +339,50 @@
 
 @pytest.mark.parametrize(
     "sent",
-    [b"", b"GET /api HT", request("check")[:-2], request("lodge", body=b"x" * 10)[:-1]],
+    [b"", b"GET /api HT", request_bytes("check")[:-2], request_bytes("lodge", body=b"x" * 10)[:-1]],
     ids=["silent", "half a line", "half a head", "half a body"],
 )
 def test_client_with_incomplete_request_is_closed_in_time(sent: bytes) -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            downstream, now = scene.sidecar.downstream, asyncio.get_running_loop().time
-            kept = await scene.client()
-            assert (await kept.ask()).status == 200
-            slow = await scene.client()
-            await until(lambda: downstream.open_connections == 2)
+        async with running_sidecar(OK) as harness:
+            downstream, now = harness.sidecar.downstream, asyncio.get_running_loop().time
+            kept = await harness.client()
+            assert (await kept.request()).status == 200
+            slow = await harness.client()
+            await wait_until(lambda: downstream.open_connections == 2)
             slow.send(sent)
-            assert (await kept.ask()).status == 200  # what was sent before is read by now
+            assert (await kept.request()).status == 200  # what was sent before is read by now
             downstream.close_overdue(downstream.last_opened + OVERDUE_S - 0.6)
             assert downstream.open_connections == 2
             downstream.close_overdue(now() + OVERDUE_S)
             if sent:
-                assert (await slow.answer()).status == 408
-            assert await soon(slow.reader.read()) == b""
+                assert (await slow.read_response()).status == 408
+            assert await within_timeout(slow.reader.read()) == b""
             downstream.close_overdue(now() + OVERDUE_S)  # it has answer and end; if it stays, it is cut
-            await until(lambda: downstream.open_connections == 1)
-            assert (await kept.ask()).status == 200
+            await wait_until(lambda: downstream.open_connections == 1)
+            assert (await kept.request()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def test_client_with_incomplete_second_request_is_closed_in_time() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            client, other = await scene.client(), await scene.client()
-            assert (await client.ask()).status == 200
-            client.send(request("check")[:-2])
-            assert (await other.ask()).status == 200
-            scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + OVERDUE_S)
-            assert (await client.answer()).status == 408
+        async with running_sidecar(OK) as harness:
+            client, other = await harness.client(), await harness.client()
+            assert (await client.request()).status == 200
+            client.send(request_bytes("check")[:-2])
+            assert (await other.request()).status == 200
+            harness.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + OVERDUE_S)
+            assert (await client.read_response()).status == 408
 
-    play(work)
+    run_async(work)
 
 
 def test_client_that_reads_no_responses_is_closed_in_time() -> None:
     async def work() -> None:
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
-        async with stage(large) as scene:
-            downstream, now = scene.sidecar.downstream, asyncio.get_running_loop().time
+        async with running_sidecar(large) as harness:
+            downstream, now = harness.sidecar.downstream, asyncio.get_running_loop().time
             with socket.socket() as deaf:
                 deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
                 deaf.connect((HOST, downstream.port))
@@ -379,39 +390,41 @@
                 def moved(sent: int) -> bool:
                     if sent > 1:
                         downstream.close_overdue(now() + OVERDUE_S)
-                    return len(scene.heard) == sent or (sent > 1 and downstream.open_connections == 0)
+                    return len(harness.requests) == sent or (sent > 1 and downstream.open_connections == 0)
 
                 for number in range(1, 400):
-                    deaf.sendall(request("check"))
-                    await until(lambda sent=number: moved(sent))  # type: ignore[misc]
+                    deaf.sendall(request_bytes("check"))
+                    await wait_until(lambda sent=number: moved(sent))  # type: ignore[misc]
                     if downstream.open_connections == 0:
                         break
                 assert downstream.open_connections == 0
-            await until(lambda: scene.sidecar.open_requests == 0)
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
 
-    play(work)
+    run_async(work)
 
 
 def test_closing_idle_connections_spares_one_with_an_unread_request() -> None:
     # Guards against a reset that loses a request at the end of a drain, when nobody listens for a second try.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            assert (await client.ask()).status == 200
-            client.send(request("lodge"))  # it is in the sidecar's socket now, and the event loop has not run
-            scene.sidecar.downstream.close_idle()
-            assert (await client.answer()).status == 200
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
+            assert (await client.request()).status == 200
+            client.send(
+                request_bytes("lodge")
+            )  # it is in the sidecar's socket now, and the event loop has not run
+            harness.sidecar.downstream.close_idle()
+            assert (await client.read_response()).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def test_health_check_is_answered_by_the_sidecar() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
             client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert (await client.answer()).status == 200
-            assert (await client.ask()).status == 200
-            assert len(scene.heard) == 1
+            assert (await client.read_response()).status == 200
+            assert (await client.request()).status == 200
+            assert len(harness.requests) == 1
 
-    play(work)
+    run_async(work)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from loopback import PATIENCE_S, play, soon, until
+from loopback import WAIT_TIMEOUT_S, run_async, wait_until, within_timeout
 from test_ground import a_day, trouble
 
 from testbed import events as log
@@ -151,12 +151,12 @@
     part = tmp_path / "part-load-0.jsonl"
 
     async def work() -> None:
-        await until(lambda: part.exists() and len(running_below(tmp_path)) == 2)
+        await wait_until(lambda: part.exists() and len(running_below(tmp_path)) == 2)
         player.send_signal(number)
-        await until(lambda: player.poll() is not None)
-        await until(lambda: running_below(tmp_path) == [])
+        await wait_until(lambda: player.poll() is not None)
+        await wait_until(lambda: running_below(tmp_path) == [])
 
-    play(work)
+    run_async(work)
     assert judge(log.load(tmp_path)).word == "cut off"
 
 
@@ -215,7 +215,7 @@
         finally:
             gate.close()
 
-    play(whole)
+    run_async(whole)
 
 
 NEAR = read_small()
@@ -224,11 +224,11 @@
 
 def test_bytes_pass_and_the_end_is_told() -> None:
     async def work(clock: FakeClock, gate: Gate, echo: Echo, address: tuple[str, int]) -> None:
-        reader, writer = await soon(asyncio.open_connection(*address))
+        reader, writer = await within_timeout(asyncio.open_connection(*address))
         writer.write(b"hello")
-        assert await soon(reader.readexactly(5)) == b"hello"
+        assert await within_timeout(reader.readexactly(5)) == b"hello"
         writer.close()
-        await until(lambda: echo.heard == [b"hello", b"end"])
+        await wait_until(lambda: echo.heard == [b"hello", b"end"])
         assert not gate.passages
 
     on_the_switch("", work)
@@ -243,8 +243,8 @@
         assert not knocking.done() and echo.passages == []
         clock.at = 800_000
         gate.follow()
-        _, writer = await soon(knocking)
-        await until(lambda: len(echo.passages) == 1)
+        _, writer = await within_timeout(knocking)
+        await wait_until(lambda: len(echo.passages) == 1)
         writer.close()
 
     on_the_switch(CUT, work)
@@ -252,8 +252,8 @@
 
 def test_what_is_sent_into_a_cut_arrives_after_it() -> None:
     async def work(clock: FakeClock, gate: Gate, echo: Echo, address: tuple[str, int]) -> None:
-        reader, writer = await soon(asyncio.open_connection(*address))
-        await until(lambda: len(echo.passages) == 1)
+        reader, writer = await within_timeout(asyncio.open_connection(*address))
+        await wait_until(lambda: len(echo.passages) == 1)
         clock.at = 600_000
         gate.follow()
         writer.write(b"late")
@@ -261,7 +261,7 @@
         assert echo.heard == []
         clock.at = 800_000
         gate.follow()
-        assert await soon(reader.readexactly(4)) == b"late"
+        assert await within_timeout(reader.readexactly(4)) == b"late"
         writer.close()
 
     on_the_switch(CUT, work)
@@ -269,16 +269,16 @@
 
 def test_a_dead_process_resets_and_refuses_until_it_is_up() -> None:
     async def work(clock: FakeClock, gate: Gate, echo: Echo, address: tuple[str, int]) -> None:
-        reader, writer = await soon(asyncio.open_connection(*address))
-        await until(lambda: len(echo.passages) == 1)
+        reader, writer = await within_timeout(asyncio.open_connection(*address))
+        await wait_until(lambda: len(echo.passages) == 1)
         gate.down()
         with pytest.raises(ConnectionResetError):
-            await soon(reader.read(1))
+            await within_timeout(reader.read(1))
         writer.close()
         with pytest.raises(ConnectionRefusedError):
-            await soon(asyncio.open_connection(*address))
+            await within_timeout(asyncio.open_connection(*address))
         gate.up()
-        _, writer = await soon(asyncio.open_connection(*address))
+        _, writer = await within_timeout(asyncio.open_connection(*address))
         writer.close()
 
     on_the_switch("", work)
@@ -287,7 +287,7 @@
 def test_an_answer_is_reset_in_the_middle() -> None:
     async def work(clock: FakeClock, gate: Gate, echo: Echo, address: tuple[str, int]) -> None:
         clock.at = 600_000
-        with socket.create_connection(address, PATIENCE_S) as own:
+        with socket.create_connection(address, WAIT_TIMEOUT_S) as own:
             own.setblocking(False)
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(own, b"answer")
@@ -296,7 +296,7 @@
             async def receive_forever() -> None:
                 nonlocal got
                 while True:
-                    got += await soon(loop.sock_recv(own, 16))
+                    got += await within_timeout(loop.sock_recv(own, 16))
 
             with pytest.raises(ConnectionResetError):
                 await receive_forever()
@@ -358,5 +358,5 @@
             assert len(running_below(tmp_path)) == 2
             await copy.close()
 
-    play(work)
+    run_async(work)
     assert running_below(tmp_path) == []
--- a/tests/test_endpoint_list_tracker.py
+++ b/tests/test_endpoint_list_tracker.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import settings as how
 from hypothesis import strategies as st
-from loopback import line
+from loopback import endpoint_entry
 
 from balancer.events import EndpointState
 from sidecar.discovery.endpoint_list import EndpointList, parse_endpoint_list
@@ -29,32 +29,37 @@
 
 def told_leaving() -> EndpointListTracker:
     """A list in which `s` was told to be leaving, by a call that is over."""
-    tracker = EndpointListTracker(listing(5, line("s", ADDRESS, started_ms=STARTED_MS)))
-    leaving = line("s", ADDRESS, state="leaving", started_ms=STARTED_MS)
+    tracker = EndpointListTracker(listing(5, endpoint_entry("s", ADDRESS, started_ms=STARTED_MS)))
+    leaving = endpoint_entry("s", ADDRESS, state="leaving", started_ms=STARTED_MS)
     assert tracker.accept(listing(9, leaving, full=False), tracker.begin_poll(), 5) is not None
     return tracker
 
 
 def test_older_list_from_an_earlier_poll_is_not_accepted() -> None:
-    tracker = EndpointListTracker(listing(5, line("s", ADDRESS)))
+    tracker = EndpointListTracker(listing(5, endpoint_entry("s", ADDRESS)))
     fetch, watch = tracker.begin_poll(), tracker.begin_poll()
-    assert tracker.accept(listing(9, line("s", ADDRESS, state="leaving"), full=False), watch, 5) is not None
-    assert tracker.accept(listing(7, line("s", ADDRESS)), fetch, None) is None
+    assert (
+        tracker.accept(listing(9, endpoint_entry("s", ADDRESS, state="leaving"), full=False), watch, 5)
+        is not None
+    )
+    assert tracker.accept(listing(7, endpoint_entry("s", ADDRESS)), fetch, None) is None
     assert tracker.version == 9
 
 
 def test_older_list_is_not_accepted_while_polls_succeed() -> None:
     tracker = told_leaving()
-    assert tracker.accept(listing(7, line("s", ADDRESS)), tracker.begin_poll(), 9) is None
-    assert tracker.accept(listing(7, line("s", ADDRESS), full=False), tracker.begin_poll(), 9) is None
+    assert tracker.accept(listing(7, endpoint_entry("s", ADDRESS)), tracker.begin_poll(), 9) is None
+    assert (
+        tracker.accept(listing(7, endpoint_entry("s", ADDRESS), full=False), tracker.begin_poll(), 9) is None
+    )
     assert tracker.version == 9
 
 
 def test_older_complete_list_after_a_failure_revives_no_draining_server() -> None:
     tracker = told_leaving()
     tracker.poll_failed()
-    old = line("s", ADDRESS, started_ms=STARTED_MS)
-    heard = tracker.accept(listing(2, old, line("t", ADDRESS)), tracker.begin_poll(), 9)
+    old = endpoint_entry("s", ADDRESS, started_ms=STARTED_MS)
+    heard = tracker.accept(listing(2, old, endpoint_entry("t", ADDRESS)), tracker.begin_poll(), 9)
     assert states(heard) == {"s": EndpointState.DRAINING, "t": EndpointState.READY}
     assert tracker.version == 2
     # And a further list of that numbering is heard as it is.
@@ -68,13 +73,17 @@
         tracker = told_leaving()
         assert tracker.accept(listing(10), tracker.begin_poll(), 9) is not None
         tracker.poll_failed()
-        heard = tracker.accept(listing(2, line("s", ADDRESS, started_ms=again_ms)), tracker.begin_poll(), 10)
+        heard = tracker.accept(
+            listing(2, endpoint_entry("s", ADDRESS, started_ms=again_ms)), tracker.begin_poll(), 10
+        )
         assert states(heard) == {"s": state}
 
 
 def test_older_list_does_not_restore_an_older_start_time() -> None:
-    tracker = EndpointListTracker(listing(5, line("s", ADDRESS, started_ms=STARTED_MS)))
-    heard = tracker.accept(listing(2, line("s", ADDRESS, started_ms=STARTED_MS - 7)), tracker.begin_poll(), 5)
+    tracker = EndpointListTracker(listing(5, endpoint_entry("s", ADDRESS, started_ms=STARTED_MS)))
+    heard = tracker.accept(
+        listing(2, endpoint_entry("s", ADDRESS, started_ms=STARTED_MS - 7)), tracker.begin_poll(), 5
+    )
     assert heard is not None
     assert heard.endpoints[0].entry.started_at == STARTED_MS * 1_000
 
@@ -84,7 +93,7 @@
     assert tracker.after_version == 9
     tracker.poll_failed()
     with pytest.raises(InconsistentChangesError):
-        tracker.accept(listing(2, line("s", ADDRESS), full=False), tracker.begin_poll(), 9)
+        tracker.accept(listing(2, endpoint_entry("s", ADDRESS), full=False), tracker.begin_poll(), 9)
     assert tracker.after_version is None and tracker.version == 9
     assert tracker.accept(listing(2), tracker.begin_poll(), None) is not None
     assert tracker.after_version == 2
@@ -95,14 +104,16 @@
     watch = tracker.begin_poll()
     tracker.poll_failed()
     assert tracker.accept(listing(2), tracker.begin_poll(), None) is not None
-    assert tracker.accept(listing(11, line("s", ADDRESS), full=False), watch, 9) is None
+    assert tracker.accept(listing(11, endpoint_entry("s", ADDRESS), full=False), watch, 9) is None
     assert tracker.version == 2
 
 
 def test_remembered_gone_servers_are_bounded() -> None:
     tracker = EndpointListTracker(listing(1))
     for number in range(3_000):
-        tracker.accept(listing(2 * number + 2, line(f"s-{number}", ADDRESS)), tracker.begin_poll(), None)
+        tracker.accept(
+            listing(2 * number + 2, endpoint_entry(f"s-{number}", ADDRESS)), tracker.begin_poll(), None
+        )
     assert len(tracker._gone_servers) == 1_024 and len(tracker._entries) == 1
 
 
@@ -130,7 +141,9 @@
             tracker.poll_failed()
         began = before if course == "crossed" else tracker.begin_poll()
         before, held = tracker.begin_poll(), tracker.version
-        given_list = listing(version, line("s", ADDRESS, state=state, started_ms=started_ms), full=full)
+        given_list = listing(
+            version, endpoint_entry("s", ADDRESS, state=state, started_ms=started_ms), full=full
+        )
         try:
             heard = tracker.accept(given_list, began, held)
         except InconsistentChangesError:
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -15,7 +15,19 @@
 from typing import Any
 
 import pytest
-from loopback import ERROR, FULL, HOST, OK, Heard, Stage, line, play, request, stage, until
+from loopback import (
+    ERROR,
+    FULL,
+    HOST,
+    OK,
+    ReceivedRequest,
+    SidecarHarness,
+    endpoint_entry,
+    request_bytes,
+    run_async,
+    running_sidecar,
+    wait_until,
+)
 
 from sidecar.downstream.connection import DownstreamConnection
 from sidecar.upstream.attempt import Attempt
@@ -72,16 +84,16 @@
 class RandomEvents:
     """The clients and servers of one stage; servers respond when a random event says so."""
 
-    scene: Stage
+    harness: SidecarHarness
     rng: random.Random
     clients: list[RandomClient] = field(default_factory=list)
-    unanswered: list[tuple[Heard, asyncio.Future[bytes | None]]] = field(default_factory=list)
+    unanswered: list[tuple[ReceivedRequest, asyncio.Future[bytes | None]]] = field(default_factory=list)
     # By request ID, of requests that may not run twice.
     executions: Counter[str] = field(default_factory=Counter)
     states: dict[str, str] = field(default_factory=dict)
     is_over: bool = False
 
-    async def serve(self, heard: Heard) -> bytes | None:
+    async def serve(self, heard: ReceivedRequest) -> bytes | None:
         if heard.headers.get("request-class") == "lodge":
             self.executions[heard.headers["request-id"]] += 1
         if self.is_over:
@@ -110,7 +122,7 @@
         if idle and self.rng.random() < 0.5:
             client = self.rng.choice(idle)
         else:
-            client = RandomClient(*await asyncio.open_connection(HOST, self.scene.sidecar.downstream.port))
+            client = RandomClient(*await asyncio.open_connection(HOST, self.harness.sidecar.downstream.port))
             client.reading = asyncio.get_running_loop().create_task(client.read())
             self.clients.append(client)
         client.send(self.random_request())
@@ -121,10 +133,10 @@
         timeout = self.rng.choice(["0.05", "0.3", "5.0"])
         further: dict[str, str] = {"Connection": "close"} if self.rng.random() < 0.2 else {}
         body = b"" if kind == "check" else b"x" * self.rng.choice([0, 7, 60_000])
-        return request(kind, timeout=timeout, body=body, **further)
+        return request_bytes(kind, timeout=timeout, body=body, **further)
 
     async def send_partial_request(self) -> None:
-        client = RandomClient(*await asyncio.open_connection(HOST, self.scene.sidecar.downstream.port))
+        client = RandomClient(*await asyncio.open_connection(HOST, self.harness.sidecar.downstream.port))
         client.reading = asyncio.get_running_loop().create_task(client.read())
         self.clients.append(client)
         whole = self.random_request()
@@ -182,22 +194,24 @@
             asyncio.get_running_loop().call_later(0.003, send_partial_status_line, heard.writer)
 
     async def update_list(self) -> None:
-        name = f"s-{self.rng.randrange(len(self.scene.servers))}"
+        name = f"s-{self.rng.randrange(len(self.harness.servers))}"
         state = self.rng.choice(["active", "active", "leaving", "left"])
         self.states[name] = state
-        address = self.scene.servers[int(name[2:])].address
-        self.scene.discovery.tell(line(name, address, state=state, cell=self.rng.randrange(2)))
+        address = self.harness.servers[int(name[2:])].address
+        self.harness.discovery.send_changes(
+            endpoint_entry(name, address, state=state, cell=self.rng.randrange(2))
+        )
 
     async def exclude(self) -> None:
-        name = f"s-{self.rng.randrange(len(self.scene.servers))}"
+        name = f"s-{self.rng.randrange(len(self.harness.servers))}"
         if self.rng.random() < 0.4:
-            self.scene.sidecar.administration.exclude(name)
+            self.harness.sidecar.administration.exclude(name)
         else:
-            self.scene.sidecar.administration.include(name)
+            self.harness.sidecar.administration.include(name)
 
     async def pass_time(self) -> None:
         """Those whose time is up by now go."""
-        downstream = self.scene.sidecar.downstream
+        downstream = self.harness.sidecar.downstream
         downstream.close_overdue(asyncio.get_running_loop().time() + self.rng.choice([0.0, 1.0]))
 
     async def pause(self) -> None:
@@ -256,17 +270,17 @@
         loop.set_exception_handler(lambda _, context: internal.append(context))
         gc.collect()
         before = sockets()
-        async with stage(OK, OK, OK, bounds=bounds, console=seed % 2 == 0) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            events = RandomEvents(scene, rng)
-            for server in scene.servers:
+        async with running_sidecar(OK, OK, OK, bounds=bounds, has_admin_interface=seed % 2 == 0) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            events = RandomEvents(harness, rng)
+            for server in harness.servers:
                 server.script = events.serve
             for _ in range(STEPS):
                 await events.step()
-                assert scene.sidecar.unanswered_requests >= 0
-                assert scene.sidecar.downstream.open_connections <= 340
+                assert harness.sidecar.unanswered_requests >= 0
+                assert harness.sidecar.downstream.open_connections <= 340
             owed = {id(each): each.sent for each in events.clients if each.is_well_behaved}
-            draining = loop.create_task(scene.sidecar.shut_down())
+            draining = loop.create_task(harness.sidecar.shut_down())
             while not draining.done():
                 await events.rng.choice([events.answer, events.complete_request, events.pause])()
                 await asyncio.sleep(0.001)
@@ -276,8 +290,8 @@
                 client.writer.close()
                 assert client.reading is not None
                 await client.reading
-            await until(lambda: scene.sidecar.downstream.is_empty)
-            await until(lambda: scene.sidecar.open_requests == 0)
+            await wait_until(lambda: harness.sidecar.downstream.is_empty)
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
             for client in events.clients:
                 assert client.responses <= client.sent + (not client.is_well_behaved) + bool(client.unsent), (
                     client.received
@@ -285,20 +299,20 @@
                 assert not client.is_well_behaved or client.responses >= owed.get(id(client), 0), (
                     client.received
                 )
-            assert scene.sidecar.unanswered_requests == 0
+            assert harness.sidecar.unanswered_requests == 0
             assert not [each for each, count in events.executions.items() if count > 1]
-            pool = scene.sidecar._upstream._pool
-            await until(lambda: not pool._endpoint_of and not pool._tasks)
-            await until(lambda: not scene.sidecar._discovery._tasks)
-            assert not [each for each in scene.log if "internal" in each]
+            pool = harness.sidecar._upstream._pool
+            await wait_until(lambda: not pool._endpoint_of and not pool._tasks)
+            await wait_until(lambda: not harness.sidecar._discovery._tasks)
+            assert not [each for each in harness.log if "internal" in each]
             for _, answer in events.unanswered:
                 answer.cancel()
-        await until(lambda: not [each for each in asyncio.all_tasks() if "/sidecar/" in repr(each)])
+        await wait_until(lambda: not [each for each in asyncio.all_tasks() if "/sidecar/" in repr(each)])
         gc.collect()
-        await until(lambda: sockets() <= before)
+        await wait_until(lambda: sockets() <= before)
         assert not [each for each in internal if "sidecar" in repr(each) or "protocol." in each["message"]]
 
-    play(work)
+    run_async(work)
     assert faults == []
 
 
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -6,7 +6,7 @@
 
 import pytest
 from helpers import MS, START, S, Stage, names, settings
-from loopback import OK, Heard, line, play, stage, until
+from loopback import OK, ReceivedRequest, endpoint_entry, run_async, running_sidecar, wait_until
 
 from balancer.actions import CloseIdleConnections, Reject
 from balancer.endpoints import EndpointCounts
@@ -150,28 +150,30 @@
 
 def test_calls_out_and_back_over_sockets() -> None:
     async def work() -> None:
-        async with stage(OK, OK, console=True) as scene:
-            await scene.call("POST", "/api/exclude", b'{"member":"s-0"}')
-            assert (await scene.call("POST", "/api/exclude", b'{"member":"s-0"}'))[0] == 200
-            assert (await scene.figures())["members_unavailable"] == 1
+        async with running_sidecar(OK, OK, has_admin_interface=True) as harness:
+            await harness.admin_request("POST", "/api/exclude", b'{"member":"s-0"}')
+            assert (await harness.admin_request("POST", "/api/exclude", b'{"member":"s-0"}'))[0] == 200
+            assert (await harness.metrics())["members_unavailable"] == 1
             for _ in range(10):
-                assert (await scene.ask()).status == 200
-            assert len(scene.servers[0].heard) == 0
-            assert (await scene.call("POST", "/api/include", b'{"member":"s-1"}'))[0] == 200  # never out
-            await scene.call("POST", "/api/exclude", b'{"member":"s-1"}')
-            assert (await scene.ask("lodge")).status == 503
-            assert (await scene.call("POST", "/api/include", b'{"member":"s-0"}'))[0] == 200
-            assert (await scene.ask("lodge")).status == 200
-            assert len(scene.servers[0].heard) == 1
+                assert (await harness.request()).status == 200
+            assert len(harness.servers[0].requests) == 0
+            assert (await harness.admin_request("POST", "/api/include", b'{"member":"s-1"}'))[
+                0
+            ] == 200  # never out
+            await harness.admin_request("POST", "/api/exclude", b'{"member":"s-1"}')
+            assert (await harness.request("lodge")).status == 503
+            assert (await harness.admin_request("POST", "/api/include", b'{"member":"s-0"}'))[0] == 200
+            assert (await harness.request("lodge")).status == 200
+            assert len(harness.servers[0].requests) == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_a_dial_under_way_when_its_server_is_excluded_carries_no_request() -> None:
     async def work() -> None:
-        async with stage(OK, console=True) as scene:
-            client = await scene.client()
-            sidecar = scene.sidecar
+        async with running_sidecar(OK, has_admin_interface=True) as harness:
+            client = await harness.client()
+            sidecar = harness.sidecar
             pool = sidecar._upstream._pool
             connect = pool._connect
 
@@ -180,25 +182,27 @@
                 await connect(*given)  # type: ignore[arg-type]
 
             pool._connect = connect_late  # type: ignore[assignment, method-assign]
-            assert (await client.ask("lodge")).status == 503
-            assert scene.heard == []
+            assert (await client.request("lodge")).status == 503
+            assert harness.requests == []
 
-    play(work)
+    run_async(work)
 
 
 def test_a_server_listed_anew_under_an_excluded_id_gets_nothing() -> None:
     async def work() -> None:
-        async def hold(heard: Heard) -> bytes:
+        async def hold(heard: ReceivedRequest) -> bytes:
             return OK
 
-        async with stage(hold, hold, console=True) as scene:
-            await scene.call("POST", "/api/exclude", b'{"member":"s-0"}')
-            scene.discovery.tell(line("s-0", scene.servers[0].address, started_ms=1_700_000_000_000))
-            await until(lambda: scene.sidecar._upstream._pool.endpoints["s-0"].started_at is not None)
-            await asyncio.gather(*(scene.ask() for _ in range(10)))
-            assert len(scene.servers[0].heard) == 0
+        async with running_sidecar(hold, hold, has_admin_interface=True) as harness:
+            await harness.admin_request("POST", "/api/exclude", b'{"member":"s-0"}')
+            harness.discovery.send_changes(
+                endpoint_entry("s-0", harness.servers[0].address, started_ms=1_700_000_000_000)
+            )
+            await wait_until(lambda: harness.sidecar._upstream._pool.endpoints["s-0"].started_at is not None)
+            await asyncio.gather(*(harness.request() for _ in range(10)))
+            assert len(harness.servers[0].requests) == 0
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -218,9 +222,9 @@
 )
 def test_a_call_on_no_server_is_a_no(body: bytes, status: int) -> None:
     async def work() -> None:
-        async with stage(OK, console=True) as scene:
+        async with running_sidecar(OK, has_admin_interface=True) as harness:
             for path in ("/api/exclude", "/api/include"):
-                assert (await scene.call("POST", path, body))[0] == status
-            assert (await scene.ask()).status == 200
+                assert (await harness.admin_request("POST", path, body))[0] == status
+            assert (await harness.request()).status == 200
 
-    play(work)
+    run_async(work)
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -18,14 +18,14 @@
     FULL,
     HOST,
     OK,
-    Heard,
-    SlowToAccept,
-    Stage,
-    line,
-    play,
-    request,
-    stage,
-    until,
+    ReceivedRequest,
+    SidecarHarness,
+    SlowAcceptServer,
+    endpoint_entry,
+    request_bytes,
+    run_async,
+    running_sidecar,
+    wait_until,
 )
 
 from balancer.actions import SendAttempt
@@ -40,45 +40,47 @@
 LONG = {"dialTimeoutUs": 60_000_000}  # far longer than a test waits
 
 
-def at_the_sidecar(scene: Stage) -> int:
-    return scene.sidecar.open_requests
+def at_the_sidecar(harness: SidecarHarness) -> int:
+    return harness.sidecar.open_requests
 
 
 @pytest.mark.parametrize("why", ["drains", "leaves", "client gone"])
 def test_nothing_is_written_when_connection_is_established_too_late(why: str) -> None:
     # Guards rule 3 (a drain that is told while the dial is under way) and an attempt that was called off.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        async with stage(bounds={"dialTimeoutUs": 15_000_000}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            client = await scene.client()
-            client.send(request("lodge", timeout="15"))
-            await until(lambda: at_the_sidecar(scene) == 1)
+        slow = SlowAcceptServer()
+        await slow.fill_accept_queue()
+        async with running_sidecar(bounds={"dialTimeoutUs": 15_000_000}) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            harness.discovery.send_changes(endpoint_entry("s", slow.address))
+            await wait_until(lambda: len(harness.discovery.requests) >= 3)
+            client = await harness.client()
+            client.send(request_bytes("lodge", timeout="15"))
+            await wait_until(lambda: at_the_sidecar(harness) == 1)
             if why == "client gone":
                 client.close()
-                await until(lambda: at_the_sidecar(scene) == 0)
+                await wait_until(lambda: at_the_sidecar(harness) == 0)
             else:
-                scene.discovery.tell(line("s", slow.address, state="leaving" if why == "drains" else "left"))
-                await until(lambda: len(scene.discovery.heard) >= 4)
-            accepted = await slow.let_go()
+                harness.discovery.send_changes(
+                    endpoint_entry("s", slow.address, state="leaving" if why == "drains" else "left")
+                )
+                await wait_until(lambda: len(harness.discovery.requests) >= 4)
+            accepted = await slow.accept()
             if why == "client gone":
-                scene.sidecar.close()  # the connection itself is good and was kept
+                harness.sidecar.close()  # the connection itself is good and was kept
             else:
-                assert (await client.answer()).status == 503
+                assert (await client.read_response()).status == 503
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
             accepted.close()
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
-async def nothing_was_written(scene: Stage, slow: SlowToAccept) -> None:
+async def nothing_was_written(harness: SidecarHarness, slow: SlowAcceptServer) -> None:
     """Let the late connection come up: it is good and kept, and gets nothing until the sidecar's end."""
-    accepted = await slow.let_go()
-    scene.sidecar.close()
+    accepted = await slow.accept()
+    harness.sidecar.close()
     assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
     accepted.close()
 
@@ -89,11 +91,11 @@
 
     upstream: Upstream
     clock: Clock
-    slow: SlowToAccept
+    slow: SlowAcceptServer
     ends: list[Outcome]
 
     def listed(self, **changes: Any) -> None:
-        listed = line("s-0", self.slow.address, **changes)
+        listed = endpoint_entry("s-0", self.slow.address, **changes)
         self.upstream.update_endpoints(parse_endpoint_list({"version": 1, "full": True, "servers": [listed]}))
 
     def call(self, **how: Any) -> Attempt:
@@ -106,7 +108,7 @@
 
     async def first_bytes(self) -> bytes:
         """What is written once the dial comes up, until the pool is closed."""
-        accepted = await self.slow.let_go()
+        accepted = await self.slow.accept()
         loop = asyncio.get_running_loop()
         loop.call_later(0.05, self.upstream.close)
         with contextlib.closing(accepted):
@@ -115,8 +117,8 @@
 
 @contextlib.asynccontextmanager
 async def late_pool(most: int = 4) -> AsyncIterator[Pool]:
-    slow = SlowToAccept()
-    await slow.fill()
+    slow = SlowAcceptServer()
+    await slow.fill_accept_queue()
     clock = Clock()
     pool = Pool(Upstream(clock, Limits(connect_timeout_us=60_000_000), most, lambda: None), clock, slow, [])
     pool.listed()
@@ -133,7 +135,7 @@
             pool.call(send_by=2**59)
             assert (await pool.first_bytes()).startswith(b"GET / HTTP/1.1")
 
-    play(work)
+    run_async(work)
 
 
 def test_retry_whose_window_ends_while_connecting_is_never_written() -> None:
@@ -141,11 +143,11 @@
     async def work() -> None:
         async with late_pool() as pool:
             pool.call(send_by=pool.clock.now() + 30_000)
-            await until(lambda: pool.ends == [Outcome.NOT_SENT])  # proof that nothing ran, at once
+            await wait_until(lambda: pool.ends == [Outcome.NOT_SENT])  # proof that nothing ran, at once
             assert await pool.first_bytes() == b""
             assert pool.ends == [Outcome.NOT_SENT]
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -158,17 +160,17 @@
             pool.upstream._expire(pool.call(send_by=send_by))
             assert pool.ends == [outcome]
 
-    play(work)
+    run_async(work)
 
 
 def test_attempt_whose_window_is_over_does_not_connect() -> None:
     async def work() -> None:
         async with late_pool() as pool:
             pool.call(send_by=pool.clock.now())
-            await until(lambda: pool.ends == [Outcome.NOT_SENT])
+            await wait_until(lambda: pool.ends == [Outcome.NOT_SENT])
             assert not pool.upstream._pool._tasks
 
-    play(work)
+    run_async(work)
 
 
 def test_server_that_changes_its_cell_while_connecting_gets_no_retry() -> None:
@@ -179,7 +181,7 @@
             assert await pool.first_bytes() == b""
             assert pool.ends == [Outcome.NOT_SENT]
 
-    play(work)
+    run_async(work)
 
 
 def test_unwanted_attempt_is_not_written_when_connected() -> None:
@@ -191,7 +193,7 @@
             assert await pool.first_bytes() == b""
             assert pool.ends == [Outcome.NOT_SENT]
 
-    play(work)
+    run_async(work)
 
 
 def test_cancelled_attempt_that_was_not_written_is_reported_as_not_sent() -> None:
@@ -200,10 +202,10 @@
             call = pool.call()
             pool.upstream.cancel(call)
             pool.upstream.withdraw(call)
-            await until(lambda: pool.ends == [Outcome.NOT_SENT])
+            await wait_until(lambda: pool.ends == [Outcome.NOT_SENT])
             assert await pool.first_bytes() == b""
 
-    play(work)
+    run_async(work)
 
 
 def test_connection_that_outlives_its_attempt_counts_against_the_limit_and_is_kept() -> None:
@@ -211,14 +213,16 @@
         async with late_pool(most=1) as pool:
             pool.upstream.withdraw(pool.call())
             pool.call()  # no room: the first is still coming up
-            await until(lambda: pool.ends == [Outcome.NOT_SENT] * 2)
-            accepted = await pool.slow.let_go()
-            await until(lambda: not pool.upstream._pool._tasks and len(pool.upstream._pool._endpoint_of) == 1)
+            await wait_until(lambda: pool.ends == [Outcome.NOT_SENT] * 2)
+            accepted = await pool.slow.accept()
+            await wait_until(
+                lambda: not pool.upstream._pool._tasks and len(pool.upstream._pool._endpoint_of) == 1
+            )
             pool.call()  # goes over what has come up
             assert (await asyncio.get_running_loop().sock_recv(accepted, 1_000)).startswith(b"GET /")
             accepted.close()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
@@ -226,118 +230,119 @@
 def test_request_is_not_forwarded_after_disconnect_while_connecting(may_cancel: bool, how: str) -> None:
     # Guards the operators' 0.3 s.  Where attempts may not be cancelled, one that is not written is none yet.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        async with stage(bounds={**LONG, "mayCancel": may_cancel}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            client = await scene.client()
-            client.send(request("lodge", timeout="50"))
-            await until(lambda: at_the_sidecar(scene) == 1)
+        slow = SlowAcceptServer()
+        await slow.fill_accept_queue()
+        async with running_sidecar(bounds={**LONG, "mayCancel": may_cancel}) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            harness.discovery.send_changes(endpoint_entry("s", slow.address))
+            await wait_until(lambda: len(harness.discovery.requests) >= 3)
+            client = await harness.client()
+            client.send(request_bytes("lodge", timeout="50"))
+            await wait_until(lambda: at_the_sidecar(harness) == 1)
             if how == "end":
                 client.close()
             else:
                 client.writer.transport.abort()
-            await until(lambda: at_the_sidecar(scene) == 0)
-            await nothing_was_written(scene, slow)
+            await wait_until(lambda: at_the_sidecar(harness) == 0)
+            await nothing_was_written(harness, slow)
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_burst_of_disconnects_while_connecting_leaves_nothing_behind() -> None:
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        async with stage(OK, bounds={**LONG, "mayCancel": False}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(
-                line("s", slow.address), line("s-0", scene.servers[0].address, state="leaving")
+        slow = SlowAcceptServer()
+        await slow.fill_accept_queue()
+        async with running_sidecar(OK, bounds={**LONG, "mayCancel": False}) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            harness.discovery.send_changes(
+                endpoint_entry("s", slow.address),
+                endpoint_entry("s-0", harness.servers[0].address, state="leaving"),
             )
-            await until(lambda: len(scene.discovery.heard) >= 3)
+            await wait_until(lambda: len(harness.discovery.requests) >= 3)
             for _ in range(20):
-                (await scene.client()).send(request("lodge", timeout="50"))
-            await until(lambda: at_the_sidecar(scene) == 20)
-            for client in scene.clients:
+                (await harness.client()).send(request_bytes("lodge", timeout="50"))
+            await wait_until(lambda: at_the_sidecar(harness) == 20)
+            for client in harness.clients:
                 client.close()
-            await until(lambda: at_the_sidecar(scene) == 0)
-            assert scene.sidecar.unanswered_requests == 0 and scene.heard == []
-            scene.discovery.tell(line("s-0", scene.servers[0].address, started_ms=1))
-            await until(lambda: len(scene.discovery.heard) >= 4)
-            scene.discovery.tell(line("s", slow.address, state="left"))
-            await until(lambda: len(scene.discovery.heard) >= 5)
-            assert (await scene.ask("lodge")).status == 200
+            await wait_until(lambda: at_the_sidecar(harness) == 0)
+            assert harness.sidecar.unanswered_requests == 0 and harness.requests == []
+            harness.discovery.send_changes(endpoint_entry("s-0", harness.servers[0].address, started_ms=1))
+            await wait_until(lambda: len(harness.discovery.requests) >= 4)
+            harness.discovery.send_changes(endpoint_entry("s", slow.address, state="left"))
+            await wait_until(lambda: len(harness.discovery.requests) >= 5)
+            assert (await harness.request("lodge")).status == 200
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_disconnect_of_paused_upload_is_noticed() -> None:
     # Guards against a request that waits in a dial while its client, not read from, is long gone.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        async with stage(bounds=LONG) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            client = await scene.client()
-            client.send(request("lodge", timeout="50", body=b"x" * 70_000, Content_Length="200000"))
-            connections = scene.sidecar.downstream._connections
-            await until(lambda: [each.receiving.paused_since for each in connections] != [None])
+        slow = SlowAcceptServer()
+        await slow.fill_accept_queue()
+        async with running_sidecar(bounds=LONG) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            harness.discovery.send_changes(endpoint_entry("s", slow.address))
+            await wait_until(lambda: len(harness.discovery.requests) >= 3)
+            client = await harness.client()
+            client.send(request_bytes("lodge", timeout="50", body=b"x" * 70_000, Content_Length="200000"))
+            connections = harness.sidecar.downstream._connections
+            await wait_until(lambda: [each.receiving.paused_since for each in connections] != [None])
             client.close()
-            await until(lambda: at_the_sidecar(scene) == 0)
-            await nothing_was_written(scene, slow)
+            await wait_until(lambda: at_the_sidecar(harness) == 0)
+            await nothing_was_written(harness, slow)
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_response_cancels_hedged_request_that_is_connecting() -> None:
     # Guards rule 1 on the socket: the second copy would be written for a request that has its answer.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
+        slow = SlowAcceptServer()
+        await slow.fill_accept_queue()
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(heard: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        def hurried(scene: Stage) -> bool:
-            return bool(scene.heard) and scene.sidecar._upstream._pool._connecting > 0
+        def hurried(harness: SidecarHarness) -> bool:
+            return bool(harness.requests) and harness.sidecar._upstream._pool._connecting > 0
 
         bounds = {**LONG, "mayCancel": False, "secondCopies": True, "sendCap": 2}
-        async with stage(hold, hold, hold, bounds=bounds) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            balancer = scene.sidecar._balancer
-            asked = asyncio.get_running_loop().create_task(scene.ask("check", timeout="20"))
-            await until(lambda: len(scene.heard) == 1)
-            (number,) = scene.sidecar._requests.numbers()
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: balancer.knows_endpoint("s"))
-            scene.sidecar._executor.execute(
+        async with running_sidecar(hold, hold, hold, bounds=bounds) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            balancer = harness.sidecar._balancer
+            asked = asyncio.get_running_loop().create_task(harness.request("check", timeout="20"))
+            await wait_until(lambda: len(harness.requests) == 1)
+            (number,) = harness.sidecar._requests.numbers()
+            harness.discovery.send_changes(endpoint_entry("s", slow.address))
+            await wait_until(lambda: balancer.knows_endpoint("s"))
+            harness.sidecar._executor.execute(
                 SendAttempt(number, "s", 2**60)
             )  # as the decisions do for an overdue attempt
-            await until(lambda: hurried(scene))
+            await wait_until(lambda: hurried(harness))
             release.set()
             assert (await asked).status == 200
-            await until(lambda: at_the_sidecar(scene) == 0)
-            await nothing_was_written(scene, slow)
+            await wait_until(lambda: at_the_sidecar(harness) == 0)
+            await nothing_was_written(harness, slow)
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_retry_with_key_whose_window_ends_while_connecting_fails_the_request() -> None:
     # The whole way: first attempt broken, so it may have run; the repeat dials until the window is over.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
+        slow = SlowAcceptServer()
+        await slow.fill_accept_queue()
         is_listed = asyncio.Event()
 
-        async def broken(heard: Heard) -> None:
+        async def broken(heard: ReceivedRequest) -> None:
             await is_listed.wait()
             heard.writer.transport.abort()
 
@@ -349,23 +354,23 @@
             "group": "all",
             "memorySpanUs": 2_000_000,
         }
-        async with stage(broken, bounds=LONG, lanes=[kind]) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            client = await scene.client()
-            client.send(request("amend", timeout="50"))
-            await until(lambda: len(scene.heard) == 1)
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: scene.sidecar._balancer.knows_endpoint("s"))
+        async with running_sidecar(broken, bounds=LONG, lanes=[kind]) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            client = await harness.client()
+            client.send(request_bytes("amend", timeout="50"))
+            await wait_until(lambda: len(harness.requests) == 1)
+            harness.discovery.send_changes(endpoint_entry("s", slow.address))
+            await wait_until(lambda: harness.sidecar._balancer.knows_endpoint("s"))
             is_listed.set()
-            await until(lambda: scene.sidecar._upstream._pool._connecting == 1)
-            answer = await client.answer()  # long before its time is up: the window is what ends it
+            await wait_until(lambda: harness.sidecar._upstream._pool._connecting == 1)
+            answer = await client.read_response()  # long before its time is up: the window is what ends it
             assert answer.status in (502, 503, 504)
-            await until(lambda: at_the_sidecar(scene) == 0)
-            assert len(scene.heard) == 1
-            await nothing_was_written(scene, slow)
+            await wait_until(lambda: at_the_sidecar(harness) == 0)
+            assert len(harness.requests) == 1
+            await nothing_was_written(harness, slow)
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_no_retry_is_written_after_disconnect_that_is_not_yet_seen() -> None:
@@ -375,7 +380,7 @@
         warm = asyncio.Event()
         leaving: list[socket.socket] = []
 
-        async def script(heard: Heard) -> bytes | None:
+        async def script(heard: ReceivedRequest) -> bytes | None:
             if not leaving:
                 await warm.wait()
                 return OK
@@ -384,18 +389,18 @@
             leaving[0].close()
             return None
 
-        async with stage(script, script) as scene:
+        async with running_sidecar(script, script) as harness:
             for count in (1, 2):
-                (await scene.client()).send(request("lodge", timeout="50"))
-                await until(lambda sent=count: len(scene.heard) == sent)  # type: ignore[misc]
+                (await harness.client()).send(request_bytes("lodge", timeout="50"))
+                await wait_until(lambda sent=count: len(harness.requests) == sent)  # type: ignore[misc]
             warm.set()
-            await until(lambda: at_the_sidecar(scene) == 0)
-            assert [len(each.heard) for each in scene.servers] == [1, 1]  # a connection to each
-            leaving.append(socket.create_connection((HOST, scene.sidecar.downstream.port)))
-            leaving[0].sendall(request("lodge", timeout="50"))
-            await until(lambda: len(scene.heard) >= 3)
-            await until(lambda: at_the_sidecar(scene) == 0)
+            await wait_until(lambda: at_the_sidecar(harness) == 0)
+            assert [len(each.requests) for each in harness.servers] == [1, 1]  # a connection to each
+            leaving.append(socket.create_connection((HOST, harness.sidecar.downstream.port)))
+            leaving[0].sendall(request_bytes("lodge", timeout="50"))
+            await wait_until(lambda: len(harness.requests) >= 3)
+            await wait_until(lambda: at_the_sidecar(harness) == 0)
             await asyncio.sleep(0.05)
-            assert len(scene.heard) == 3
+            assert len(harness.requests) == 3
 
-    play(work)
+    run_async(work)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from loopback import play, soon, until
+from loopback import run_async, wait_until, within_timeout
 from test_ground import a_day
 
 from testbed import events as log
@@ -35,7 +35,7 @@
             own = socket.socket()
             own.setblocking(False)
             await loop.sock_connect(own, address)
-            other, _ = await soon(loop.sock_accept(listener))
+            other, _ = await within_timeout(loop.sock_accept(listener))
             connection = Connection(application, own)
             await loop.create_connection(lambda: connection, sock=own)
             try:
@@ -45,7 +45,7 @@
                 application.close()
                 connection.close()
 
-    play(work)
+    run_async(work)
     return log.load(folder / "part.jsonl")
 
 
@@ -61,7 +61,7 @@
         ask = an_ask(application)
         other.close()
         connection.ask(ask)  # the end is here already, and not seen yet
-        await until(lambda: ask.sent_again)
+        await wait_until(lambda: ask.sent_again)
 
     written = with_a_connection(tmp_path, act)
     assert not any(isinstance(each, log.Answered) for each in written)
@@ -78,10 +78,10 @@
         loop = asyncio.get_running_loop()
         got = b""
         while b"\r\n\r\n" not in got:
-            got += await soon(loop.sock_recv(other, 4_096))
+            got += await within_timeout(loop.sock_recv(other, 4_096))
         await loop.sock_sendall(other, begun)
         other.close()
-        await until(lambda: ask.is_over)
+        await wait_until(lambda: ask.is_over)
         assert not ask.sent_again
 
     answers = [each for each in with_a_connection(tmp_path, act) if isinstance(each, log.Answered)]
@@ -94,7 +94,7 @@
         connection.ask(ask)
         body = b"%x %x" % (ask.number + 16, 5)
         other.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        await until(lambda: ask.is_over)
+        await wait_until(lambda: ask.is_over)
 
     answers = [each for each in with_a_connection(tmp_path, act) if isinstance(each, log.Answered)]
     assert [(each.status, each.attempt) for each in answers] == [(200, -1)]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,34 +16,34 @@
 
 import pytest
 from loopback import (
-    CLASSES,
     HOST,
     OK,
+    SERVICE_CLASSES,
     Client,
-    Heard,
+    ReceivedRequest,
     ScriptedDiscovery,
     ScriptedServer,
-    line,
-    play,
-    request,
-    soon,
-    until,
+    endpoint_entry,
+    request_bytes,
+    run_async,
+    wait_until,
+    within_timeout,
 )
 
 ROOT = Path(__file__).parent.parent
-GOOD: dict[str, Any] = {
+VALID_CONFIGURATION: dict[str, Any] = {
     "name": "n0",
     "listen": f"{HOST}:0",
     "discovery": f"{HOST}:9",
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
     "known": {"version": 1, "full": True, "servers": []},
-    "settings": {"lanes": CLASSES, "zone": "a", "discovery": "on_request"},
+    "settings": {"lanes": SERVICE_CLASSES, "zone": "a", "discovery": "on_request"},
 }
 
 
 def _without(key: str) -> dict[str, Any]:
-    return {name: value for name, value in GOOD.items() if name != key}
+    return {name: value for name, value in VALID_CONFIGURATION.items() if name != key}
 
 
 @pytest.mark.parametrize(
@@ -52,18 +52,18 @@
         ("", "BALANCER_CONFIG"),
         ("[1]", "BALANCER_CONFIG"),
         (_without("name"), "name"),
-        ({**GOOD, "listen": "localhost:80"}, "listen"),
-        ({**GOOD, "discovery": 5}, "discovery"),
-        ({**GOOD, "seed": "xyz"}, "seed"),
-        ({**GOOD, "limits": {"sockets": 3}}, "limits.sockets"),
-        ({**GOOD, "known": {"version": 1}}, "known: full"),
-        ({**GOOD, "peers": ["nowhere"]}, "peers[0]"),
-        ({**GOOD, "peer_listen": "x"}, "peer_listen"),
-        ({**GOOD, "console": "nowhere"}, "console"),
+        ({**VALID_CONFIGURATION, "listen": "localhost:80"}, "listen"),
+        ({**VALID_CONFIGURATION, "discovery": 5}, "discovery"),
+        ({**VALID_CONFIGURATION, "seed": "xyz"}, "seed"),
+        ({**VALID_CONFIGURATION, "limits": {"sockets": 3}}, "limits.sockets"),
+        ({**VALID_CONFIGURATION, "known": {"version": 1}}, "known: full"),
+        ({**VALID_CONFIGURATION, "peers": ["nowhere"]}, "peers[0]"),
+        ({**VALID_CONFIGURATION, "peer_listen": "x"}, "peer_listen"),
+        ({**VALID_CONFIGURATION, "console": "nowhere"}, "console"),
         (_without("settings"), "settings"),
-        ({**GOOD, "settings": {"lanes": []}}, "settings.lanes"),
+        ({**VALID_CONFIGURATION, "settings": {"lanes": []}}, "settings.lanes"),
         (
-            {**GOOD, "settings": {"lanes": CLASSES, "bounds": {"sendCap": "x"}}},
+            {**VALID_CONFIGURATION, "settings": {"lanes": SERVICE_CLASSES, "bounds": {"sendCap": "x"}}},
             "settings.bounds.sendCap",
         ),
     ],
@@ -88,7 +88,7 @@
     assert done.stderr.startswith(f"sidecar: config: {key}")
 
 
-class Program:
+class RunningProgram:
     """The running program, with one server behind it."""
 
     def __init__(self, process: asyncio.subprocess.Process, port: int, server: ScriptedServer) -> None:
@@ -98,7 +98,7 @@
         return Client(*await asyncio.open_connection(HOST, self.port))
 
 
-async def started(
+async def start_program(
     config: Path, environ: dict[str, str] | None = None, descriptors: tuple[int, ...] = ()
 ) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
@@ -112,7 +112,7 @@
     )
 
 
-async def ended(process: asyncio.subprocess.Process) -> None:
+async def kill_program(process: asyncio.subprocess.Process) -> None:
     """See to it that a process is over, if it is not yet."""
     if process.returncode is None:
         process.kill()
@@ -120,23 +120,25 @@
 
 
 @asynccontextmanager
-async def program(script: Callable[[Heard], Any] | bytes, folder: Path) -> AsyncIterator[Program]:
+async def running_program(
+    script: Callable[[ReceivedRequest], Any] | bytes, folder: Path
+) -> AsyncIterator[RunningProgram]:
     server = await ScriptedServer(script).start()
     discovery = ScriptedDiscovery()
-    discovery.servers = [line("s-1", server.address)]
+    discovery.servers = [endpoint_entry("s-1", server.address)]
     await discovery.start()
     known = {"version": 1, "full": True, "servers": discovery.servers}
     path = folder / "config.json"
-    path.write_text(json.dumps({**GOOD, "discovery": discovery.address, "known": known}))
-    process = await started(path)
+    path.write_text(json.dumps({**VALID_CONFIGURATION, "discovery": discovery.address, "known": known}))
+    process = await start_program(path)
     try:
         assert process.stderr is not None
-        ready = (await soon(process.stderr.readline())).decode()
+        ready = (await within_timeout(process.stderr.readline())).decode()
         told = re.search(r"serves on .*:(\d+)", ready)
         assert told is not None, ready
-        yield Program(process, int(told[1]), server)
+        yield RunningProgram(process, int(told[1]), server)
     finally:
-        await ended(process)
+        await kill_program(process)
         server.stop()
         discovery.stop()
 
@@ -146,53 +148,53 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(heard: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        async with program(hold, tmp_path) as running:
+        async with running_program(hold, tmp_path) as running:
             taken, resting = await running.client(), await running.client()
             resting.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert (await resting.answer()).status == 200
-            taken.send(request("lodge"))
-            await until(lambda: len(running.server.heard) == 1)
+            assert (await resting.read_response()).status == 200
+            taken.send(request_bytes("lodge"))
+            await wait_until(lambda: len(running.server.requests) == 1)
             running.process.send_signal(signal.SIGTERM)
-            assert await soon(resting.reader.read()) == b""  # a connection at rest is let go
+            assert await within_timeout(resting.reader.read()) == b""  # a connection at rest is let go
             late = await running.client()
-            late.send(request("lodge"))
-            await until(lambda: len(running.server.heard) == 2)
+            late.send(request_bytes("lodge"))
+            await wait_until(lambda: len(running.server.requests) == 2)
             release.set()
             for client in (taken, late):
-                answer = await client.answer()
+                answer = await client.read_response()
                 assert (answer.status, answer.headers["connection"]) == (200, "close")
-                assert await soon(client.reader.read()) == b""
-            assert await soon(running.process.wait()) == 0
+                assert await within_timeout(client.reader.read()) == b""
+            assert await within_timeout(running.process.wait()) == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_sigterm_with_a_silent_server_answers_in_time(tmp_path: Path) -> None:
     # Guards against SIGKILL finding a request unanswered that had more time left than the process has.
     async def work() -> None:
-        async def silent(heard: Heard) -> None:
+        async def silent(heard: ReceivedRequest) -> None:
             return None
 
-        async with program(silent, tmp_path) as running:
+        async with running_program(silent, tmp_path) as running:
             taken = await running.client()
-            taken.send(request("lodge", timeout="30"))
-            await until(lambda: len(running.server.heard) == 1)
+            taken.send(request_bytes("lodge", timeout="30"))
+            await wait_until(lambda: len(running.server.requests) == 1)
             running.process.send_signal(signal.SIGTERM)
-            answer = await taken.answer()
+            answer = await taken.read_response()
             assert (answer.status, answer.headers["connection"]) == (504, "close")
-            assert await soon(running.process.wait()) == 0
+            assert await within_timeout(running.process.wait()) == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_sighup_moves_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     async def work() -> None:
         path = tmp_path / "config.json"
-        async with program(OK, tmp_path) as running:
+        async with running_program(OK, tmp_path) as running:
             stderr = running.process.stderr
             assert stderr is not None
             other = ScriptedDiscovery()
@@ -201,28 +203,30 @@
             other.servers = good["known"]["servers"]
             path.write_text("{")
             running.process.send_signal(signal.SIGHUP)
-            assert (await soon(stderr.readline())).startswith(b"configuration_rejected: BALANCER_CONFIG: ")
+            assert (await within_timeout(stderr.readline())).startswith(
+                b"configuration_rejected: BALANCER_CONFIG: "
+            )
             path.write_text(json.dumps({**good, "discovery": other.address}))
             running.process.send_signal(signal.SIGHUP)
-            told = (await soon(stderr.readline())).decode()
+            told = (await within_timeout(stderr.readline())).decode()
             assert told == f"configuration_reloaded: discovery is at {other.address}, version none\n"
-            await until(lambda: len(other.heard) >= 2)
-            assert (await (await running.client()).ask()).status == 200
+            await wait_until(lambda: len(other.requests) >= 2)
+            assert (await (await running.client()).request()).status == 200
             running.process.send_signal(signal.SIGTERM)
-            assert await soon(running.process.wait()) == 0
+            assert await within_timeout(running.process.wait()) == 0
             other.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_address_in_use_exits_with_1(tmp_path: Path) -> None:
     async def work() -> None:
-        async with program(OK, tmp_path) as running:
+        async with running_program(OK, tmp_path) as running:
             path = tmp_path / "second.json"
-            path.write_text(json.dumps({**GOOD, "listen": f"{HOST}:{running.port}"}))
-            second = await started(path)
-            _, told = await soon(second.communicate())
+            path.write_text(json.dumps({**VALID_CONFIGURATION, "listen": f"{HOST}:{running.port}"}))
+            second = await start_program(path)
+            _, told = await within_timeout(second.communicate())
             assert second.returncode == 1
             assert told.startswith(b"sidecar: can't listen: ") and told.count(b"\n") == 1
 
-    play(work)
+    run_async(work)
--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -5,8 +5,19 @@
 import asyncio
 
 import pytest
-from loopback import LONG_BODY, Client, Heard, play, read_chunks, read_head, request, soon, stage, until
-from test_client_draining import health
+from loopback import (
+    LONG_BODY,
+    Client,
+    ReceivedRequest,
+    read_chunked_body,
+    read_head,
+    request_bytes,
+    run_async,
+    running_sidecar,
+    wait_until,
+    within_timeout,
+)
+from test_client_draining import health_status
 
 from sidecar import graceful_shutdown
 from sidecar.upstream import http_exchange, upstream
@@ -15,19 +26,19 @@
 
 
 async def long_response(client: Client, kind: str = "check") -> tuple[int, bytes]:
-    client.send(request(kind, timeout="5"))
-    first, headers = await soon(read_head(client.reader))
+    client.send(request_bytes(kind, timeout="5"))
+    first, headers = await within_timeout(read_head(client.reader))
     if "content-length" in headers:
-        body = await soon(client.reader.readexactly(int(headers["content-length"])))
+        body = await within_timeout(client.reader.readexactly(int(headers["content-length"])))
     else:
-        body = await soon(read_chunks(client.reader))
+        body = await within_timeout(read_chunked_body(client.reader))
     return int(first.split(" ")[1]), body
 
 
 @pytest.mark.parametrize("form", ["length", "chunks", "close"])
 def test_long_response_is_complete_in_every_framing(form: str) -> None:
     async def work() -> None:
-        async def script(heard: Heard) -> bytes | None:
+        async def script(heard: ReceivedRequest) -> bytes | None:
             if form == "length":
                 return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY
             if form == "chunks":
@@ -39,61 +50,61 @@
             heard.writer.close()
             return None
 
-        async with stage(script, console=True) as scene:
-            client = await scene.client()
+        async with running_sidecar(script, has_admin_interface=True) as harness:
+            client = await harness.client()
             for _ in range(2):
                 assert await long_response(client) == (200, LONG_BODY)
-            figures = await scene.figures()
+            figures = await harness.metrics()
             assert figures["downstream_requests"]["check"]["completed"] == 2
-            assert (figures["pending"], scene.sidecar.open_requests) == (0, 0)
+            assert (figures["pending"], harness.sidecar.open_requests) == (0, 0)
 
-    play(work)
+    run_async(work)
 
 
 def test_http_1_0_client_gets_long_response_delimited_by_close() -> None:
     # It can't read chunks; the end of the connection is the end of the answer.
     async def work() -> None:
-        async def script(heard: Heard) -> None:
+        async def script(heard: ReceivedRequest) -> None:
             heard.writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG_BODY)
             heard.writer.close()
 
-        async with stage(script) as scene:
-            client = await scene.client()
-            client.send(request("check", timeout="5").replace(b"HTTP/1.1", b"HTTP/1.0", 1))
-            first, headers = await soon(read_head(client.reader))
+        async with running_sidecar(script) as harness:
+            client = await harness.client()
+            client.send(request_bytes("check", timeout="5").replace(b"HTTP/1.1", b"HTTP/1.0", 1))
+            first, headers = await within_timeout(read_head(client.reader))
             assert first.split(" ")[1] == "200" and headers["connection"] == "close"
             assert "transfer-encoding" not in headers and "content-length" not in headers
-            assert await soon(client.reader.read()) == LONG_BODY
+            assert await within_timeout(client.reader.read()) == LONG_BODY
 
-    play(work)
+    run_async(work)
 
 
 def test_beginning_of_long_response_is_forwarded_before_the_rest_arrives() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
-        async def script(heard: Heard) -> bytes:
+        async def script(heard: ReceivedRequest) -> bytes:
             heard.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"a" * 1_000)
             await release.wait()
             return b"b" * 199_000
 
-        async with stage(script) as scene:
-            client = await scene.client()
-            client.send(request("check", timeout="0.300"))
-            await soon(read_head(client.reader))
-            assert await soon(client.reader.readexactly(1_000)) == b"a" * 1_000
+        async with running_sidecar(script) as harness:
+            client = await harness.client()
+            client.send(request_bytes("check", timeout="0.300"))
+            await within_timeout(read_head(client.reader))
+            assert await within_timeout(client.reader.readexactly(1_000)) == b"a" * 1_000
             await asyncio.sleep(0)
             release.set()  # however long that takes: the client's time has stopped
-            assert await soon(client.reader.readexactly(199_000)) == b"b" * 199_000
+            assert await within_timeout(client.reader.readexactly(199_000)) == b"b" * 199_000
 
-    play(work)
+    run_async(work)
 
 
 def test_client_that_stops_reading_pauses_server_in_bounded_memory() -> None:
     async def work() -> None:
         sent = 0
 
-        async def script(heard: Heard) -> None:
+        async def script(heard: ReceivedRequest) -> None:
             nonlocal sent
             heard.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 << 20))
             while sent < 32 << 20:
@@ -101,40 +112,40 @@
                 await heard.writer.drain()
                 sent += 1 << 16
 
-        async with stage(script) as scene:
-            client = await scene.client()
-            client.send(request("check", timeout="5"))
-            await until(
-                lambda: any(side._is_writing_paused for side in scene.sidecar.downstream._connections)
+        async with running_sidecar(script) as harness:
+            client = await harness.client()
+            client.send(request_bytes("check", timeout="5"))
+            await wait_until(
+                lambda: any(side._is_writing_paused for side in harness.sidecar.downstream._connections)
             )
-            (side,) = scene.sidecar.downstream._connections
-            limit = scene.sidecar.downstream.write_buffer_bytes + 2 * (1 << 16)
+            (side,) = harness.sidecar.downstream._connections
+            limit = harness.sidecar.downstream.write_buffer_bytes + 2 * (1 << 16)
             assert side._transport is not None and side._transport.get_write_buffer_size() <= limit
             assert sent < 32 << 20
-            await soon(read_head(client.reader))
-            assert len(await soon(client.reader.readexactly(32 << 20))) == 32 << 20
+            await within_timeout(read_head(client.reader))
+            assert len(await within_timeout(client.reader.readexactly(32 << 20))) == 32 << 20
 
-    play(work)
+    run_async(work)
 
 
 def test_truncated_response_is_recognizable_to_client() -> None:
     async def work() -> None:
-        async def script(heard: Heard) -> None:
+        async def script(heard: ReceivedRequest) -> None:
             heard.writer.write(TRUNCATED_RESPONSE)
             await heard.writer.drain()
             heard.writer.close()
 
-        async with stage(script, console=True) as scene:
-            client = await scene.client()
-            client.send(request("check", timeout="5"))
-            await soon(read_head(client.reader))
+        async with running_sidecar(script, has_admin_interface=True) as harness:
+            client = await harness.client()
+            client.send(request_bytes("check", timeout="5"))
+            await within_timeout(read_head(client.reader))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
-                await soon(client.reader.readexactly(200_000))
-            await until(lambda: scene.sidecar.open_requests == 0)
-            assert len(scene.heard) == 1
-            assert (await scene.figures())["downstream_requests"]["check"]["failed"] == 1
+                await within_timeout(client.reader.readexactly(200_000))
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
+            assert len(harness.requests) == 1
+            assert (await harness.metrics())["downstream_requests"]["check"]["failed"] == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_graceful_shutdown_completes_long_response(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -145,59 +156,61 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def script(heard: Heard) -> bytes | None:
+        async def script(heard: ReceivedRequest) -> bytes | None:
             if heard.headers["request-class"] == "lodge":
                 return None
             heard.writer.write(TRUNCATED_RESPONSE)
             await release.wait()
             return b"b" * 110_000
 
-        async with stage(script) as scene:
-            reading, waiting = await scene.client(), await scene.client()
-            reading.send(request("check", timeout="5"))
-            await soon(read_head(reading.reader))
-            waiting.send(request("lodge", timeout="5"))
-            await until(lambda: len(scene.heard) == 2)
-            ending = asyncio.create_task(scene.sidecar.shut_down())
-            assert (await waiting.answer()).status == 504
+        async with running_sidecar(script) as harness:
+            reading, waiting = await harness.client(), await harness.client()
+            reading.send(request_bytes("check", timeout="5"))
+            await within_timeout(read_head(reading.reader))
+            waiting.send(request_bytes("lodge", timeout="5"))
+            await wait_until(lambda: len(harness.requests) == 2)
+            ending = asyncio.create_task(harness.sidecar.shut_down())
+            assert (await waiting.read_response()).status == 504
             assert not ending.done()
             release.set()
-            assert await soon(reading.reader.readexactly(200_000)) == b"a" * 90_000 + b"b" * 110_000
-            await soon(ending)
+            assert await within_timeout(reading.reader.readexactly(200_000)) == b"a" * 90_000 + b"b" * 110_000
+            await within_timeout(ending)
 
-    play(work)
+    run_async(work)
 
 
 def test_disconnect_during_long_response_ends_the_exchange() -> None:
     async def work() -> None:
-        async def script(heard: Heard) -> bytes:
+        async def script(heard: ReceivedRequest) -> bytes:
             return TRUNCATED_RESPONSE
 
-        async with stage(script) as scene:
-            client = await scene.client()
-            client.send(request("check", timeout="5"))
-            await soon(read_head(client.reader))
+        async with running_sidecar(script) as harness:
+            client = await harness.client()
+            client.send(request_bytes("check", timeout="5"))
+            await within_timeout(read_head(client.reader))
             client.close()
-            await until(lambda: scene.servers[0].closed == [0] and scene.sidecar.open_requests == 0)
+            await wait_until(
+                lambda: harness.servers[0].closed_connections == [0] and harness.sidecar.open_requests == 0
+            )
 
-    play(work)
+    run_async(work)
 
 
 def test_server_that_stalls_within_long_response_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream, "STALL_TIMEOUT_S", 0.1)
 
     async def work() -> None:
-        async def script(heard: Heard) -> bytes:
+        async def script(heard: ReceivedRequest) -> bytes:
             return TRUNCATED_RESPONSE
 
-        async with stage(script) as scene:
-            client = await scene.client()
-            client.send(request("check", timeout="5"))
-            await soon(read_head(client.reader))
+        async with running_sidecar(script) as harness:
+            client = await harness.client()
+            client.send(request_bytes("check", timeout="5"))
+            await within_timeout(read_head(client.reader))
             with pytest.raises((asyncio.IncompleteReadError, ConnectionResetError)):
-                await soon(client.reader.readexactly(200_000))
+                await within_timeout(client.reader.readexactly(200_000))
 
-    play(work)
+    run_async(work)
 
 
 def test_slow_rejection_of_unknown_length_stays_a_rejection(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -207,18 +220,18 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def script(heard: Heard) -> bytes:
+        async def script(heard: ReceivedRequest) -> bytes:
             head = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
             heard.writer.write(head + b"3\r\nful\r\n")
             await release.wait()
             return b"1\r\nl\r\n0\r\n\r\n"
 
-        async with stage(script) as scene:
-            asking = await scene.client()
-            asking.send(request("lodge"))
-            await until(lambda: len(scene.heard) == 1)
-            assert await health(await scene.client()) == 200  # some rounds of the event loop
+        async with running_sidecar(script) as harness:
+            asking = await harness.client()
+            asking.send(request_bytes("lodge"))
+            await wait_until(lambda: len(harness.requests) == 1)
+            assert await health_status(await harness.client()) == 200  # some rounds of the event loop
             release.set()
-            assert (await asking.answer()).status == 503
+            assert (await asking.read_response()).status == 503
 
-    play(work)
+    run_async(work)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -8,7 +8,7 @@
 from typing import Any, TypeVar
 
 import pytest
-from loopback import HOST, OK, Heard, play, request, stage, until
+from loopback import HOST, OK, ReceivedRequest, request_bytes, run_async, running_sidecar, wait_until
 
 from balancer import Settings
 from balancer.actions import (
@@ -96,14 +96,14 @@
 
     async def work() -> None:
         scripted(decide)
-        async with stage(OK) as scene:
-            refused = await scene.ask("check", timeout="9000")
+        async with running_sidecar(OK) as harness:
+            refused = await harness.request("check", timeout="9000")
             assert (refused.status, refused.headers["retry-after"]) == (503, "0.250")
-            failed = await scene.ask("lodge", timeout="9000")
+            failed = await harness.request("lodge", timeout="9000")
             assert failed.status in (502, 504) and "retry-after" not in failed.headers
-            assert scene.heard == [] and scene.sidecar.open_requests == 0
+            assert harness.requests == [] and harness.sidecar.open_requests == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_cancelled_attempt_ends_once_and_its_connection_is_closed(scripted: Use) -> None:
@@ -116,19 +116,19 @@
 
     async def work() -> None:
         balancer = scripted(decide)
-        async with stage(None) as scene:
-            assert (await scene.ask("lodge")).status == 502
+        async with running_sidecar(None) as harness:
+            assert (await harness.request("lodge")).status == 502
             (ended,) = balancer.heard(AttemptEnded)
             assert (ended.outcome, ended.is_request_answered, ended.server) == (
                 Outcome.CANCELLED,
                 False,
                 "s-0",
             )
-            await until(lambda: scene.servers[0].closed == [0])
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
             assert balancer.heard(TimerFired)[0].token == "later"
             assert balancer.times == sorted(balancer.times)
 
-    play(work)
+    run_async(work)
 
 
 def test_attempt_time_excludes_time_in_the_socket_buffer(
@@ -140,12 +140,12 @@
         monkeypatch.setattr(
             "sidecar.connection_socket.ConnectionSocket.unread_us", lambda wire: 3_600_000_000
         )
-        async with stage(OK) as scene:
-            assert (await scene.ask()).status == 200
+        async with running_sidecar(OK) as harness:
+            assert (await harness.request()).status == 200
             (ended,) = balancer.heard(AttemptEnded)
             assert (ended.outcome, ended.elapsed_us) == (Outcome.DELIVERED, 0)
 
-    play(work)
+    run_async(work)
 
 
 def test_first_delivery_is_the_response_and_every_attempt_ends(scripted: Use) -> None:
@@ -158,9 +158,9 @@
                 lambda number: SendAttempt(number, "s-0", 1),
             )
         )
-        async with stage(OK, OK) as scene:
-            assert (await scene.ask()).body == b"served"
-            await until(lambda: len(balancer.heard(AttemptEnded)) == 4)
+        async with running_sidecar(OK, OK) as harness:
+            assert (await harness.request()).body == b"served"
+            await wait_until(lambda: len(balancer.heard(AttemptEnded)) == 4)
             ended = {each.attempt: each for each in balancer.heard(AttemptEnded)}
             assert [ended[number].outcome for number in range(4)] == [
                 Outcome.DELIVERED,
@@ -169,9 +169,9 @@
                 Outcome.NOT_SENT,
             ]
             assert all(each.is_request_answered for each in (ended[0], ended[1]))
-            assert scene.sidecar.open_requests == 0
+            assert harness.sidecar.open_requests == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_client_disconnect_is_dispatched_to_the_balancer(scripted: Use) -> None:
@@ -179,26 +179,26 @@
         balancer = scripted(on_arrival(lambda number: SendAttempt(number, "s-0", FAR)))
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(heard: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        async with stage(hold) as scene:
-            client = await scene.client()
-            client.send(request("check"))
-            await until(lambda: len(scene.heard) == 1)
+        async with running_sidecar(hold) as harness:
+            client = await harness.client()
+            client.send(request_bytes("check"))
+            await wait_until(lambda: len(harness.requests) == 1)
             client.close()
-            await until(lambda: balancer.heard(ClientDisconnected) == [ClientDisconnected(1)])
+            await wait_until(lambda: balancer.heard(ClientDisconnected) == [ClientDisconnected(1)])
             release.set()
-            await until(lambda: len(balancer.heard(AttemptEnded)) == 1)
+            await wait_until(lambda: len(balancer.heard(AttemptEnded)) == 1)
             assert balancer.heard(AttemptEnded)[0].is_request_answered
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("how", ["header", "body"])
 def test_health_check_returns_its_load_report(scripted: Use, how: str) -> None:
-    async def report(heard: Heard) -> bytes:
+    async def report(heard: ReceivedRequest) -> bytes:
         text = b"TEXT qps=7, util=0.5"
         if how == "header":
             return b"HTTP/1.1 200 OK\r\nServer-Load: %s\r\nContent-Length: 0\r\n\r\n" % text
@@ -206,15 +206,15 @@
 
     async def work() -> None:
         balancer = scripted(lambda event: [HealthCheck("s-0")] if isinstance(event, RequestArrived) else [])
-        async with stage(report, bounds={"probing": True}) as scene:
-            (await scene.client()).send(request())
-            await until(lambda: len(balancer.heard(HealthCheckEnded)) == 1)
+        async with running_sidecar(report, bounds={"probing": True}) as harness:
+            (await harness.client()).send(request_bytes())
+            await wait_until(lambda: len(balancer.heard(HealthCheckEnded)) == 1)
             ended = balancer.heard(HealthCheckEnded)[0]
             assert (ended.server, ended.outcome) == ("s-0", Outcome.DELIVERED)
             assert ended.load_report == {"qps": 7.0, "util": 0.5}
-            assert scene.heard[0].target == "/_load" and "request-id" not in scene.heard[0].headers
+            assert harness.requests[0].target == "/_load" and "request-id" not in harness.requests[0].headers
 
-    play(work)
+    run_async(work)
 
 
 def test_actions_close_idle_connections_poll_endpoints_and_log(scripted: Use) -> None:
@@ -232,18 +232,18 @@
 
     async def work() -> None:
         balancer = scripted(decide)
-        async with stage(OK) as scene:
-            assert (await scene.ask()).status == 200
-            await until(lambda: scene.servers[0].closed == [0])
-            await until(lambda: len(balancer.heard(EndpointListReceived)) == 2)
+        async with running_sidecar(OK) as harness:
+            assert (await harness.request()).status == 200
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
+            await wait_until(lambda: len(balancer.heard(EndpointListReceived)) == 2)
             assert [each.kind for each in balancer.heard(EndpointListReceived)] == [
                 EndpointListKind.CACHED,
                 EndpointListKind.COMPLETE,
             ]
-            assert scene.discovery.heard[0].target == "/catalog/members"
-            assert scene.log == ["a line"]
+            assert harness.discovery.requests[0].target == "/catalog/members"
+            assert harness.log == ["a line"]
 
-    play(work)
+    run_async(work)
 
 
 def test_peer_message_reaches_the_other_sidecar(scripted: Use) -> None:
@@ -273,16 +273,16 @@
             "peers": [f"{own[0]}:{own[1]}", f"{other[0]}:{other[1]}"],
             "membership": {"on": False},
         }
-        async with stage(OK, given=peers, bounds={"mayTell": True}) as scene:
-            (await scene.client()).send(request())
+        async with running_sidecar(OK, configuration=peers, bounds={"mayTell": True}) as harness:
+            (await harness.client()).send(request_bytes())
             data, sender = await got.get()
             assert (data, sender) == (b"hi", own)
-            assert scene.log == ["peer_message_not_sent: no such peer, or over 256 bytes"]
+            assert harness.log == ["peer_message_not_sent: no such peer, or over 256 bytes"]
             transport.sendto(b"back", own)
-            await until(lambda: balancer.heard(PeerMessageReceived) == [PeerMessageReceived(1, b"back")])
+            await wait_until(lambda: balancer.heard(PeerMessageReceived) == [PeerMessageReceived(1, b"back")])
         transport.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_balancer_defect_fails_its_request_and_no_other(scripted: Use) -> None:
@@ -296,12 +296,12 @@
 
     async def work() -> None:
         scripted(decide)
-        async with stage(OK) as scene:
-            assert (await scene.ask("lodge")).status == 500
-            assert (await scene.ask("check")).status == 200
-            assert scene.log == ["internal_error: RequestArrived: ZeroDivisionError()"]
+        async with running_sidecar(OK) as harness:
+            assert (await harness.request("lodge")).status == 500
+            assert (await harness.request("check")).status == 200
+            assert harness.log == ["internal_error: RequestArrived: ZeroDivisionError()"]
 
-    play(work)
+    run_async(work)
 
 
 def test_sidecar_survives_any_bytes_from_clients_and_servers() -> None:
@@ -314,27 +314,29 @@
             data[at : at + chance.randint(0, 4)] = chance.randbytes(chance.randint(0, 4))
         return bytes(data)
 
-    async def odd(heard: Heard) -> bytes:
+    async def odd(heard: ReceivedRequest) -> bytes:
         return mangled(OK + OK) if chance.random() < 0.7 else OK
 
     async def work() -> None:
         faults: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
-        async with stage(odd, odd, odd) as scene:
+        async with running_sidecar(odd, odd, odd) as harness:
             for number in range(150):
-                client = await scene.client()
+                client = await harness.client()
                 kind = ("check", "amend", "lodge")[number % 3]
-                client.send(mangled(request(kind, timeout="0.2", body=b"" if kind == "check" else b"body")))
+                client.send(
+                    mangled(request_bytes(kind, timeout="0.2", body=b"" if kind == "check" else b"body"))
+                )
                 client.writer.write_eof()
                 await client.reader.read()
                 client.close()
-            await until(lambda: scene.sidecar.open_requests == 0)
-            scene.servers[0].script = scene.servers[1].script = scene.servers[2].script = OK
-            await until(lambda: scene.sidecar.downstream.open_connections == 0)
-            assert not [each for each in scene.log if "internal" in each]
-            client = await scene.client()
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
+            harness.servers[0].script = harness.servers[1].script = harness.servers[2].script = OK
+            await wait_until(lambda: harness.sidecar.downstream.open_connections == 0)
+            assert not [each for each in harness.log if "internal" in each]
+            client = await harness.client()
             client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
         assert [each for each in faults if "sidecar" in repr(each) or "protocol." in each["message"]] == []
 
-    play(work)
+    run_async(work)
--- a/tests/test_socket_limits.py
+++ b/tests/test_socket_limits.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from loopback import HOST, OK, line, play, request, stage, until
+from loopback import HOST, OK, endpoint_entry, request_bytes, run_async, running_sidecar, wait_until
 
 import sidecar.sidecar
 from sidecar.address import Address
@@ -18,39 +18,39 @@
 @pytest.mark.parametrize(
     "sent",
     [
-        request("check"),
+        request_bytes("check"),
         b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n",
         b"",
         b"GET /api HT",
-        request("lodge", body=b"xx")[:-1],
+        request_bytes("lodge", body=b"xx")[:-1],
     ],
     ids=["at rest", "asked for health", "silent", "half a line", "half a body"],
 )
 def test_idle_clients_at_the_socket_limit_block_nobody(sent: bytes) -> None:
     async def work() -> None:
-        async with stage(OK, OK, given={"limits": {"sockets": 72}}) as scene:
-            downstream = scene.sidecar.downstream
-            await until(lambda: len(scene.discovery.heard) == 2)  # the list, and a watch behind it
-            port = int(scene.discovery.address.rpartition(":")[2])
-            scene.discovery.stop()
+        async with running_sidecar(OK, OK, configuration={"limits": {"sockets": 72}}) as harness:
+            downstream = harness.sidecar.downstream
+            await wait_until(lambda: len(harness.discovery.requests) == 2)  # the list, and a watch behind it
+            port = int(harness.discovery.address.rpartition(":")[2])
+            harness.discovery.stop()
             idle = []
             for _ in range(3 * downstream._max_connections):
                 idle.append(socket.create_connection((HOST, downstream.port)))
                 idle[-1].sendall(sent)
                 await asyncio.sleep(0)
-            await until(lambda: downstream.open_connections == downstream._max_connections)
-            assert (await scene.ask("lodge")).status == 200  # a server is dialled, a newcomer is served
-            scene.discovery.servers = [line("s-1", scene.servers[1].address)]
-            await scene.discovery.start(port)
-            await until(
-                lambda: scene.sidecar._balancer.endpoint_counts().listed == 1
+            await wait_until(lambda: downstream.open_connections == downstream._max_connections)
+            assert (await harness.request("lodge")).status == 200  # a server is dialled, a newcomer is served
+            harness.discovery.servers = [endpoint_entry("s-1", harness.servers[1].address)]
+            await harness.discovery.start(port)
+            await wait_until(
+                lambda: harness.sidecar._balancer.endpoint_counts().listed == 1
             )  # the list is heard again
             assert downstream.open_connections <= downstream._max_connections
-            assert (await scene.ask("lodge")).status == 200
+            assert (await harness.request("lodge")).status == 200
             for each in idle:
                 each.close()
 
-    play(work)
+    run_async(work)
 
 
 class Crowded(socket.socket):
@@ -80,11 +80,11 @@
     monkeypatch.setattr(sidecar.sidecar, "bind_listener", crowd)
 
     async def work() -> None:
-        async with stage(OK) as scene:
-            crowded[0].sidecar = scene.sidecar
+        async with running_sidecar(OK) as harness:
+            crowded[0].sidecar = harness.sidecar
             for _ in range(3 * Crowded.room):
-                assert (await scene.ask("lodge")).status == 200  # and its connection rests
+                assert (await harness.request("lodge")).status == 200  # and its connection rests
             assert crowded[0].refused > 0
-            assert scene.sidecar.downstream.open_connections <= Crowded.room
+            assert harness.sidecar.downstream.open_connections <= Crowded.room
 
-    play(work)
+    run_async(work)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -10,7 +10,16 @@
 from typing import Any
 
 import pytest
-from loopback import CLASSES, HOST, OK, ScriptedServer, free_for_datagrams, line, play, request
+from loopback import (
+    HOST,
+    OK,
+    SERVICE_CLASSES,
+    ScriptedServer,
+    endpoint_entry,
+    free_udp_addresses,
+    request_bytes,
+    run_async,
+)
 
 from sidecar.configuration import parse
 from sidecar.sidecar import Sidecar
@@ -57,8 +66,8 @@
         "listen": f"{HOST}:0",
         "discovery": f"{HOST}:1",
         "seed": "8c1f",
-        "known": {"version": 1, "full": True, "servers": [line("s-0", server.address)]},
-        "settings": {"lanes": CLASSES, "zone": "a", "discovery": "on_request", **settings},
+        "known": {"version": 1, "full": True, "servers": [endpoint_entry("s-0", server.address)]},
+        "settings": {"lanes": SERVICE_CLASSES, "zone": "a", "discovery": "on_request", **settings},
         "console": f"{HOST}:0",
         **changes,
     }
@@ -68,7 +77,7 @@
         async with asyncio.timeout(WITHIN_S):
             await sidecar.start()
             reader, writer = await asyncio.open_connection(HOST, sidecar.downstream.port)
-            writer.write(request("lodge"))
+            writer.write(request_bytes("lodge"))
             assert (await reader.readline()).startswith(b"HTTP/1.1 200")
             writer.close()
             assert sidecar.administration.exclude("s-0")
@@ -84,7 +93,7 @@
     folder = tmp_path / "own"
     folder.mkdir()
     damage(folder)
-    play(lambda: ready({}, {}, folder))
+    run_async(lambda: ready({}, {}, folder))
 
 
 TIER = {"bounds": {"mayTell": True}, "groupSize": 2, "me": 0}
@@ -105,17 +114,17 @@
             )
             assert any(line.startswith("peer_listen_failed: ") for line in log)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("discovery", ["on_request", "pushed"])
 def test_unreachable_peers_and_discovery_delay_no_start(discovery: str) -> None:
     async def work() -> None:
-        own, other = free_for_datagrams(2)
+        own, other = free_udp_addresses(2)
         peers = [f"{HOST}:{own[1]}", f"{HOST}:{other[1]}"]
         await ready(
             {"peer_listen": peers[0], "peers": peers, "membership": {"on": True}},
             {**TIER, "discovery": discovery},
         )
 
-    play(work)
+    run_async(work)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -9,13 +9,13 @@
     ERROR,
     FULL,
     OK,
-    Heard,
+    ReceivedRequest,
     ScriptedServer,
-    Stage,
-    line,
-    play,
-    stage,
-    until,
+    SidecarHarness,
+    endpoint_entry,
+    run_async,
+    running_sidecar,
+    wait_until,
 )
 
 from balancer.events import Outcome
@@ -27,8 +27,8 @@
 from sidecar.upstream.upstream import Upstream
 
 
-def at_the_sidecar(scene: Stage) -> int:
-    return scene.sidecar.open_requests
+def at_the_sidecar(harness: SidecarHarness) -> int:
+    return harness.sidecar.open_requests
 
 
 @pytest.mark.parametrize(
@@ -49,118 +49,118 @@
 )
 def test_non_idempotent_request_maps_response_to_status(answer: bytes, status: int) -> None:
     async def work() -> None:
-        async with stage(answer) as scene:
-            assert (await scene.ask("lodge")).status == status
-            assert len(scene.heard) == 1
-            assert at_the_sidecar(scene) == 0
+        async with running_sidecar(answer) as harness:
+            assert (await harness.request("lodge")).status == status
+            assert len(harness.requests) == 1
+            assert at_the_sidecar(harness) == 0
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("part", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"])
 def test_non_idempotent_request_is_not_retried_after_connection_loss(part: bytes) -> None:
     async def work() -> None:
-        async def hang_up(heard: Heard) -> None:
+        async def hang_up(heard: ReceivedRequest) -> None:
             heard.writer.write(part)
             heard.writer.close()
 
-        async with stage(hang_up, hang_up) as scene:
-            assert (await scene.ask("lodge")).status == 502
-            assert len(scene.heard) == 1
+        async with running_sidecar(hang_up, hang_up) as harness:
+            assert (await harness.request("lodge")).status == 502
+            assert len(harness.requests) == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_response_delimited_by_close_is_complete() -> None:
     async def work() -> None:
-        async def until_eof(heard: Heard) -> None:
+        async def until_eof(heard: ReceivedRequest) -> None:
             heard.writer.write(b"HTTP/1.1 200 OK\r\n\r\nserved")
             heard.writer.close()
 
-        async with stage(until_eof) as scene:
-            assert (await scene.ask("lodge")).body == b"served"
+        async with running_sidecar(until_eof) as harness:
+            assert (await harness.request("lodge")).body == b"served"
 
-    play(work)
+    run_async(work)
 
 
 def test_refused_connection_is_retried_elsewhere() -> None:
     async def work() -> None:
-        async with stage(OK, OK, OK) as scene:
-            scene.servers[0].stop()
-            scene.servers[1].stop()
-            answers = [await scene.ask("lodge") for _ in range(4)]
+        async with running_sidecar(OK, OK, OK) as harness:
+            harness.servers[0].stop()
+            harness.servers[1].stop()
+            answers = [await harness.request("lodge") for _ in range(4)]
             assert [each.status for each in answers] == [200] * 4
 
-    play(work)
+    run_async(work)
 
 
 def test_silent_server_times_out_and_its_connection_is_closed() -> None:
     async def work() -> None:
-        async with stage(None) as scene:
-            assert (await scene.ask("lodge", timeout="0.3")).status == 504
-            await until(lambda: scene.servers[0].closed == [0])
-            assert at_the_sidecar(scene) == 0
+        async with running_sidecar(None) as harness:
+            assert (await harness.request("lodge", timeout="0.3")).status == 504
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
+            assert at_the_sidecar(harness) == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_open_connection_is_reused_and_closed_one_is_not() -> None:
     # Guards against writing to a connection whose end lies unread in the socket: that may have run.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
             for _ in range(3):
-                assert (await client.ask("lodge")).status == 200
-            assert scene.servers[0].connections == 1
+                assert (await client.request("lodge")).status == 200
+            assert harness.servers[0].connection_count == 1
             for _ in range(20):
-                scene.servers[0].hang_up()
-                assert (await client.ask("lodge")).status == 200
+                harness.servers[0].close_connections()
+                assert (await client.request("lodge")).status == 200
 
-    play(work)
+    run_async(work)
 
 
 def test_connection_near_its_idle_timeout_is_not_reused() -> None:
     async def work() -> None:
-        async with stage(OK, bounds={"idleCloseUs": 50_000}) as scene:
-            client = await scene.client()
-            assert (await client.ask("lodge")).status == 200
-            await until(lambda: scene.servers[0].closed == [0])
-            assert (await client.ask("lodge")).status == 200
-            assert scene.servers[0].connections == 2
+        async with running_sidecar(OK, bounds={"idleCloseUs": 50_000}) as harness:
+            client = await harness.client()
+            assert (await client.request("lodge")).status == 200
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
+            assert (await client.request("lodge")).status == 200
+            assert harness.servers[0].connection_count == 2
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("change", ["addr", "started_ms"])
 def test_connections_to_replaced_server_are_closed(change: str) -> None:
     async def work() -> None:
-        async with stage(OK, OK, listed=False) as scene:
-            first, second = (each.address for each in scene.servers)
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", first))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            assert (await scene.ask()).status == 200
+        async with running_sidecar(OK, OK, is_listed=False) as harness:
+            first, second = (each.address for each in harness.servers)
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            harness.discovery.send_changes(endpoint_entry("s", first))
+            await wait_until(lambda: len(harness.discovery.requests) >= 3)
+            assert (await harness.request()).status == 200
             if change == "addr":
-                scene.discovery.tell(line("s", second))
+                harness.discovery.send_changes(endpoint_entry("s", second))
             else:
-                scene.discovery.tell(line("s", first, started_ms=1))
-            await until(lambda: scene.servers[0].closed == [0])
-            assert (await scene.ask()).status == 200
-            assert len(scene.servers[1].heard) == (1 if change == "addr" else 0)
+                harness.discovery.send_changes(endpoint_entry("s", first, started_ms=1))
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
+            assert (await harness.request()).status == 200
+            assert len(harness.servers[1].requests) == (1 if change == "addr" else 0)
 
-    play(work)
+    run_async(work)
 
 
 def test_idle_connections_to_draining_server_are_closed() -> None:
     # Guards against holding places, of which a server has few, where nothing new may go.
     async def work() -> None:
-        async with stage(OK, bounds={"idleCloseUs": 600_000_000}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            assert (await scene.ask()).status == 200
-            scene.discovery.tell(line("s-0", scene.servers[0].address, state="leaving"))
-            await until(lambda: scene.servers[0].closed == [0])
+        async with running_sidecar(OK, bounds={"idleCloseUs": 600_000_000}) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            assert (await harness.request()).status == 200
+            harness.discovery.send_changes(endpoint_entry("s-0", harness.servers[0].address, state="leaving"))
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
 
-    play(work)
+    run_async(work)
 
 
 def test_connections_are_limited_and_surplus_attempts_not_sent() -> None:
@@ -168,13 +168,13 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(heard: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
         server = await ScriptedServer(hold).start()
         upstream = Upstream(Clock(), Limits(connect_timeout_us=1_000_000), 4, lambda: None)
-        listed = line("s-0", server.address)
+        listed = endpoint_entry("s-0", server.address)
         upstream.update_endpoints(parse_endpoint_list({"version": 1, "full": True, "servers": [listed]}))
         ends: list[Outcome] = []
 
@@ -183,12 +183,12 @@
 
         for _ in range(6):
             upstream.start(Attempt("s-0", 2**60, message, lambda outcome, _: ends.append(outcome)))
-        await until(lambda: len(server.heard) == 4)
+        await wait_until(lambda: len(server.requests) == 4)
         assert ends == [Outcome.NOT_SENT] * 2
         release.set()
-        await until(lambda: len(ends) == 6)
+        await wait_until(lambda: len(ends) == 6)
         assert ends[2:] == [Outcome.DELIVERED] * 4
         upstream.close()
         server.stop()
 
-    play(work)
+    run_async(work)
