--- a/sidecar/cluster_membership.py
+++ b/sidecar/cluster_membership.py
@@ -77,9 +77,9 @@
         elif self.protocol is None:
             rng = random.Random(self._random.getrandbits(64))
             self.protocol = Membership(self._number, size, self._cluster, settings, rng, now, time.time())
-            self._carry_out(self.protocol.start(now))
+            self._execute(self.protocol.start(now))
         else:
-            self._carry_out(self.protocol.configure(now, size, settings))
+            self._execute(self.protocol.configure(now, size, settings))
 
     def datagram_received(self, sender: int, payload: bytes) -> None:
         """A datagram came from the address of the member `sender`."""
@@ -94,7 +94,7 @@
         membership, self.protocol = self.protocol, None
         self._timer.cancel()
         if membership is not None:
-            self._carry_out(membership.leave(has_successor=has_successor))
+            self._execute(membership.leave(has_successor=has_successor))
 
     def close(self) -> None:
         """Hold no timer any more."""
@@ -145,8 +145,8 @@
 
         super()._deliver(event_with_requests)
 
-    def _carry_out(self, actions: Sequence[MembershipAction]) -> None:
-        super()._carry_out(actions)
+    def _execute(self, actions: Sequence[MembershipAction]) -> None:
+        super()._execute(actions)
         if self.protocol is not None and self._informs:
             self._on_size(self.protocol.size())
 
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -35,7 +35,7 @@
 _MAX_VERSION = (1 << 63) - 1
 # What stays in force from the start of a process to its end: fields, and their keys in the file.
 # Not among them: the known endpoints and the seed, which differ in each file and only matter at a start.
-_KEY_BY_FIXED_FIELD = {
+_KEY_BY_RESTART_FIELD = {
     "name": "name",
     "listen_address": "listen",
     "settings": "settings",
@@ -75,10 +75,12 @@
     listen_descriptor: int | None  # of the clients' listening socket, where the platform holds it
     state_directory: Path | None  # for files that outlive the process
 
-    def fixed_keys_that_differ(self, other: Configuration) -> list[str]:
+    def keys_requiring_restart(self, other: Configuration) -> list[str]:
         """Return the keys whose values differ in `other` but only take effect at a restart."""
         return [
-            key for field, key in _KEY_BY_FIXED_FIELD.items() if getattr(other, field) != getattr(self, field)
+            key
+            for field, key in _KEY_BY_RESTART_FIELD.items()
+            if getattr(other, field) != getattr(self, field)
         ]
 
 
--- a/sidecar/configuration_rollout.py
+++ b/sidecar/configuration_rollout.py
@@ -146,7 +146,7 @@
         self.protocol = Rollout(
             self._number, self._cluster, self._table, config.rollout, rng, now, version, digest
         )
-        self._carry_out(self.protocol.start(now))
+        self._execute(self.protocol.start(now))
 
     def _reconfigure(
         self, rollout: Rollout, config: Configuration, version: int, *, is_complete: bool
@@ -157,7 +157,7 @@
             actions += rollout.configuration_applied(now, version, config.digest)
         else:
             actions += rollout.configuration_pending(now, version)
-        self._carry_out(actions)
+        self._execute(actions)
 
     def _tick(self) -> None:
         self._deliver(Rollout.tick)
--- a/sidecar/discovery/endpoint_list.py
+++ b/sidecar/discovery/endpoint_list.py
@@ -44,9 +44,9 @@
 
     def event(self, kind: EndpointListKind | None = None) -> EndpointListReceived:
         """Return the list as an event for the balancer, by default of the kind that it is."""
-        own_kind = EndpointListKind.COMPLETE if self.is_complete else EndpointListKind.CHANGES
+        content_kind = EndpointListKind.COMPLETE if self.is_complete else EndpointListKind.CHANGES
         entries = [endpoint.entry for endpoint in self.endpoints]
-        return EndpointListReceived(kind or own_kind, entries, self.version)
+        return EndpointListReceived(kind or content_kind, entries, self.version)
 
 
 def parse_endpoint_list(document: object) -> EndpointList:
--- a/sidecar/discovery/endpoint_list_tracker.py
+++ b/sidecar/discovery/endpoint_list_tracker.py
@@ -68,12 +68,12 @@
                 raise InconsistentChangesError(
                     f"changes up to {endpoint_list.version} for a list of {self.version}"
                 )
-            endpoints = tuple(self._without_revival(endpoint) for endpoint in endpoint_list.endpoints)
+            endpoints = tuple(self._keep_unavailable(endpoint) for endpoint in endpoint_list.endpoints)
             endpoint_list = replace(endpoint_list, endpoints=endpoints)
-        self._take_over(endpoint_list)
+        self._apply(endpoint_list)
         return endpoint_list
 
-    def _without_revival(self, endpoint: ListedEndpoint) -> ListedEndpoint:
+    def _keep_unavailable(self, endpoint: ListedEndpoint) -> ListedEndpoint:
         """Return what an older list says of a server, except where a newer list said it was unavailable."""
         entry = endpoint.entry
         started_at = entry.started_at or 0
@@ -87,7 +87,7 @@
         entry = replace(entry, state=state, started_at=previous.started_at)
         return ListedEndpoint(entry, endpoint.address)
 
-    def _take_over(self, endpoint_list: EndpointList) -> None:
+    def _apply(self, endpoint_list: EndpointList) -> None:
         self.version = endpoint_list.version
         self._accepted_position = self.begin_poll()
         self._is_continuous = True
--- a/sidecar/event_dispatcher.py
+++ b/sidecar/event_dispatcher.py
@@ -48,11 +48,11 @@
             for action in self._balancer.handle(self._clock.now(), event):
                 self.execute(action)
         except Exception as error:
-            self._contain_defect(event, error)
+            self._handle_internal_error(event, error)
         if isinstance(event, AttemptEnded):
-            self._requests.remove_if_over(event.request)
+            self._requests.remove_if_finished(event.request)
 
-    def _contain_defect(self, event: Event, error: Exception) -> None:
+    def _handle_internal_error(self, event: Event, error: Exception) -> None:
         """Keep running after a defect in the balancer, and leave no client without a response."""
         self._log(InternalError(type(event).__name__, error))
         if isinstance(event, (RequestArrived, AttemptEnded)):
--- a/sidecar/hot_restart.py
+++ b/sidecar/hot_restart.py
@@ -22,7 +22,9 @@
     upstream: int
 
 
-def connection_limits(max_sockets: int, max_admin_connections: int, *, is_alone: bool) -> ConnectionLimits:
+def connection_limits(
+    max_sockets: int, max_admin_connections: int, *, is_only_process: bool
+) -> ConnectionLimits:
     """Divide the sockets of a sidecar.
 
     Two processes get half of the upstream connections each.  Clients get their share of all sockets whichever
@@ -30,7 +32,7 @@
     """
     available = max_sockets - _RESERVED_SOCKETS - max_admin_connections
     downstream = int(min(max_sockets * _MAX_DOWNSTREAM_SHARE, available * _DOWNSTREAM_SHARE))
-    return ConnectionLimits(downstream, (available - downstream) // (1 if is_alone else 2))
+    return ConnectionLimits(downstream, (available - downstream) // (1 if is_only_process else 2))
 
 
 class HotRestart:
@@ -41,14 +43,14 @@
         self._process_lock = process_lock
         self._timer: asyncio.TimerHandle | None = None
         self._on_change: Callable[[], None] = lambda: None
-        self.is_alone = not self.has_other_process()  # when last polled
+        self.is_only_process = not self.has_other_process()  # when last polled
 
     def has_other_process(self) -> bool:
         """Check now whether another process of this sidecar is alive."""
-        return self._process_lock is not None and not self._process_lock.is_alone()
+        return self._process_lock is not None and not self._process_lock.is_only_process()
 
     def watch(self, on_change: Callable[[], None]) -> None:
-        """Start polling; `on_change` is called after `is_alone` has changed."""
+        """Start polling; `on_change` is called after `is_only_process` has changed."""
         self._on_change = on_change
         if self._process_lock is not None:
             self._poll()
@@ -62,7 +64,7 @@
 
     def _poll(self) -> None:
         self._timer = asyncio.get_running_loop().call_later(_POLL_INTERVAL_S, self._poll)
-        is_alone = not self.has_other_process()
-        if is_alone != self.is_alone:
-            self.is_alone = is_alone
+        is_only_process = not self.has_other_process()
+        if is_only_process != self.is_only_process:
+            self.is_only_process = is_only_process
             self._on_change()
--- a/sidecar/open_requests.py
+++ b/sidecar/open_requests.py
@@ -80,15 +80,15 @@
 
     def respond(self, number: int, status: int, headers: Headers | None = None, body: bytes = b"") -> None:
         """Send the final response, unless the request has been answered."""
-        client = self.settle(number)
+        client = self.release_client(number)
         if client is not None:
             self._metrics.response_sent(self._requests[number].incoming.service_class, status)
             client.respond(status, headers or [], body)
-        self.remove_if_over(number)
+        self.remove_if_finished(number)
 
     def finish_streaming(self, number: int, *, is_complete: bool) -> None:
         """End a response that was passed through; a client sees by an abort that it is not complete."""
-        client = self.settle(number)
+        client = self.release_client(number)
         if client is None:
             return
         status = 200 if is_complete else 502
@@ -98,7 +98,7 @@
         else:
             client.abort()
 
-    def settle(self, number: int) -> DownstreamConnection | None:
+    def release_client(self, number: int) -> DownstreamConnection | None:
         """Owe nothing from here on; return the client if something was owed to it."""
         request = self._requests.get(number)
         if request is None or request.client is None:
@@ -109,7 +109,7 @@
             self._withdraw(attempt)
         return client
 
-    def remove_if_over(self, number: int) -> None:
+    def remove_if_finished(self, number: int) -> None:
         """Forget a request that is answered and has no attempt in flight."""
         request = self._requests.get(number)
         if request is not None and request.client is None and request.attempts_in_flight == 0:
--- a/sidecar/process_lock.py
+++ b/sidecar/process_lock.py
@@ -33,7 +33,7 @@
         except OSError as error:
             log(ProcessLockFailed(str(error)))
 
-    def is_alone(self) -> bool:
+    def is_only_process(self) -> bool:
         """Return whether no other process is alive; assumed where that can't be determined."""
         try:
             others = [path for path in self._directory.glob(f"{_LOCK_PREFIX}*") if path != self._path]
--- a/sidecar/protocol_runner.py
+++ b/sidecar/protocol_runner.py
@@ -42,13 +42,13 @@
         if protocol is None:
             return
         try:
-            self._carry_out(event(protocol, now))
+            self._execute(event(protocol, now))
         except Exception as error:
             self._log(InternalError(self._label, error))
             if not self._timer.is_set:
                 self._timer.schedule(now + _RETRY_US)
 
-    def _carry_out(self, actions: Sequence[ActionT]) -> None:
+    def _execute(self, actions: Sequence[ActionT]) -> None:
         for action in actions:
             if isinstance(action, SendDatagram):
                 self._peers.send(action.receiver, action.payload)
--- a/sidecar/request_intake.py
+++ b/sidecar/request_intake.py
@@ -38,7 +38,7 @@
 
     def request_received(self, client: DownstreamConnection, incoming: IncomingRequest) -> int | None:
         """Take a request; return its number, or None if it has been answered already."""
-        incoming.remaining_us = self._shutdown.limit(incoming.remaining_us, self._clock.now())
+        incoming.remaining_us = self._shutdown.limit_remaining_time(incoming.remaining_us, self._clock.now())
         number = self._requests.add(client, incoming)
         self._on_request()
         if self._max_open_requests is not None and self._requests.unanswered > self._max_open_requests:
@@ -63,7 +63,7 @@
         """Start the time of a request whose streamed body has arrived; `waited_us` were spent in waiting."""
         request, now = self._requests[number], self._clock.now()
         remaining_us = max(request.incoming.remaining_us - waited_us, 1)
-        remaining_us = self._shutdown.limit(remaining_us, now)
+        remaining_us = self._shutdown.limit_remaining_time(remaining_us, now)
         for attempt in request.attempts:
             self._upstream.shorten_deadline(attempt, now + remaining_us)
         self._dispatch(RequestBodyCompleted(number, remaining_us))
@@ -73,6 +73,6 @@
         request = self._requests.get(number)
         if request is not None and request.streaming_attempt is not None:
             self._upstream.cancel(request.attempts[request.streaming_attempt])  # nobody reads the rest
-        self._requests.settle(number)
+        self._requests.release_client(number)
         self._dispatch(ClientDisconnected(number))
-        self._requests.remove_if_over(number)
+        self._requests.remove_if_finished(number)
--- a/sidecar/shutdown_state.py
+++ b/sidecar/shutdown_state.py
@@ -18,7 +18,7 @@
         """Begin the shutdown; all requests must be answered by this clock time."""
         self._respond_by = respond_by
 
-    def limit(self, remaining_us: int, now: int) -> int:
+    def limit_remaining_time(self, remaining_us: int, now: int) -> int:
         """Return the time that a request has left, which ends with the shutdown; at least 1 us then."""
         if self._respond_by is None:
             return remaining_us
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -90,7 +90,7 @@
         changes nothing, if the version is older than that in force.
         """
         self._cluster.check_version(configuration)
-        unchanged_keys = self._configuration.fixed_keys_that_differ(configuration)
+        unchanged_keys = self._configuration.keys_requiring_restart(configuration)
         self._discovery.change_address(configuration.discovery_address)
         self._cluster.reconfigure(configuration, is_complete=not unchanged_keys)
         return unchanged_keys
@@ -151,7 +151,9 @@
     def _connection_limits(self) -> ConnectionLimits:
         max_admin_connections = 0 if self._configuration.admin_address is None else MAX_CONNECTIONS
         return connection_limits(
-            self._configuration.max_sockets, max_admin_connections, is_alone=self._hot_restart.is_alone
+            self._configuration.max_sockets,
+            max_admin_connections,
+            is_only_process=self._hot_restart.is_only_process,
         )
 
     def _resize_upstream(self) -> None:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -89,7 +89,7 @@
 )
 def test_fixed_keys_that_differ_are_named_as_in_the_file(changes: dict[str, Any], key: str) -> None:
     before, after = parse(RECORDED), parse({**RECORDED, **changes})
-    assert before.fixed_keys_that_differ(after) == [key]
+    assert before.keys_requiring_restart(after) == [key]
 
 
 # In a running sidecar
--- a/tests/test_event_dispatcher.py
+++ b/tests/test_event_dispatcher.py
@@ -77,6 +77,6 @@
 )
 def test_requests_end_with_the_shutdown(remaining_us: int, now: int, limited_us: int) -> None:
     state = ShutdownState()
-    assert state.limit(remaining_us, now) == remaining_us and not state.is_shutting_down
+    assert state.limit_remaining_time(remaining_us, now) == remaining_us and not state.is_shutting_down
     state.begin(respond_by=1_000)
-    assert state.limit(remaining_us, now) == limited_us and state.is_shutting_down
+    assert state.limit_remaining_time(remaining_us, now) == limited_us and state.is_shutting_down
--- a/tests/test_recorded_samples.py
+++ b/tests/test_recorded_samples.py
@@ -191,8 +191,8 @@
     assert [path.name for path in tmp_path.iterdir()] == ["alive.1"]
     with (tmp_path / "alive.4711").open("wb") as mark:
         fcntl.flock(mark, fcntl.LOCK_EX)
-        assert not presence.is_alone()
-    assert presence.is_alone()
+        assert not presence.is_only_process()
+    assert presence.is_only_process()
     presence.close()
 
 
