--- a/sidecar/__main__.py
+++ b/sidecar/__main__.py
@@ -35,7 +35,11 @@
 
 
 def inherited_listener(configuration: Configuration) -> socket.socket | None:
-    """Return the listening socket that the platform holds, if any; raise ConfigurationError if it is none."""
+    """Return the listening socket that the platform passes as a file descriptor; None if it passes none.
+
+    Raises:
+        ConfigurationError: the descriptor is not that of a listening socket.
+    """
     if configuration.listen_descriptor is None:
         return None
     try:
@@ -60,7 +64,8 @@
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     await sidecar.start()
     _log_addresses(configuration, sidecar, log)
-    gc.freeze()  # what exists now lives as long as the process: garbage collections need not scan it
+    # Objects that exist now live as long as the process, so garbage collections need not scan them.
+    gc.freeze()
     await stop_requested.wait()
     log(ShutdownStarted())
     await sidecar.shut_down()
@@ -74,7 +79,7 @@
 
 
 def main() -> int:
-    """Run a sidecar as the environment says; return the exit code."""
+    """Run a sidecar that is configured by environment variables; return the exit code."""
     try:
         configuration = load(os.environ)
         listener = inherited_listener(configuration)
--- a/sidecar/action_executor.py
+++ b/sidecar/action_executor.py
@@ -32,7 +32,7 @@
 
 
 class ActionExecutor:
-    """Hands each action to the component that carries it out."""
+    """Passes each action to the component that executes it."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         *,
         sends_retry_after: bool,
     ) -> None:
-        """`sends_retry_after`: rejections tell clients when to try again."""
+        """If `sends_retry_after` is set, rejections carry a Retry-After header."""
         self._clock = clock
         self._requests = requests
         self._attempts = attempts
@@ -100,13 +100,13 @@
         self._requests.respond(action.request, 504 if is_timeout else 502)
 
     def _set_timer(self, due: int, token: str) -> None:
-        """Dispatch TimerFired at this clock time, never before it."""
+        """Dispatch TimerFired at the clock time `due` (microseconds), never before it."""
 
-        def fire() -> None:
+        def on_timeout() -> None:
             if self._clock.now() < due:
-                self._set_timer(due, token)  # the event loop's timer was early
+                self._set_timer(due, token)  # the event loop's timer fired early
             else:
                 self._dispatch(TimerFired(token))
 
         delay_s = (due - self._clock.now()) / 1e6
-        asyncio.get_running_loop().call_later(max(delay_s, 0.0), fire)
+        asyncio.get_running_loop().call_later(max(delay_s, 0.0), on_timeout)
--- a/sidecar/admin_interface.py
+++ b/sidecar/admin_interface.py
@@ -1,10 +1,11 @@
-"""The admin interface: HTTP on an address of its own, one request to a connection.
+"""The admin interface: an HTTP server on a separate address that handles one request per connection.
 
-It reads requests and writes responses; what they do is up to an `AdminOperations`.  A client that is slow,
-silent or sends no HTTP gets an error or a close and delays nobody: the number of connections and the time of
-each are bounded, and where one more connects the oldest is closed.
+It reads requests and writes responses; the operations themselves are implemented by an `AdminOperations`.
+A client that is slow or silent, or does not speak HTTP, gets an error response or is disconnected, and cannot
+block other clients: the number of connections and the duration of each are limited, and a connection beyond
+the limit closes the oldest one.
 
-Paths, methods and bodies are fixed: operators' tools depend on them.
+Operators' tools depend on the paths, methods and bodies, so these must not change.
 """
 
 from __future__ import annotations
@@ -19,32 +20,32 @@
 from sidecar.errors import SidecarError
 from sidecar.http import CONTINUE, MalformedMessageError, RequestHead, RequestReader, Signal, response_head
 
-MAX_CONNECTIONS = 16  # at once; each takes a descriptor
+MAX_CONNECTIONS = 16  # open at the same time; each uses a file descriptor
 _MAX_BODY_BYTES = 4 << 10
-_CONNECTION_TIMEOUT_S = 2.0  # to send a request and read its response; honest clients wait for 1 s
+_CONNECTION_TIMEOUT_S = 2.0  # for request and response; operators' tools give up after 1 s
 _CONTENT_TYPE = (b"content-type", b"application/json")
 
 
 class AdminOperations(Protocol):
-    """What operators can ask for.  A method that returns a bool says whether it was done."""
+    """The operations that operators can request; a bool is true if the operation was carried out."""
 
     def is_ready(self) -> bool:
         """Return whether this process accepts clients."""
 
     def metrics(self) -> dict[str, object]:
-        """Return all metrics under their names."""
+        """Return all metrics by name."""
 
     def exclude(self, server: str) -> bool:
-        """Send nothing more to a server; False if it was never listed."""
+        """Send no more requests to a server; return False if it was never listed."""
 
     def include(self, server: str) -> bool:
-        """Use a server again; False if it was never listed."""
+        """Use an excluded server again; return False if it was never listed."""
 
     def drain_clients(self) -> bool:
-        """Send clients away, as at an end, and keep running; False during the graceful shutdown."""
+        """Drain clients as in a graceful shutdown, but keep running; return False during a shutdown."""
 
     def resume_clients(self) -> bool:
-        """Accept clients again; False during the graceful shutdown."""
+        """Accept clients again after draining; return False during a graceful shutdown."""
 
 
 class AdminRequestError(SidecarError):
@@ -53,21 +54,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """A response; the body is `content` as JSON."""
+    """A response whose body is `content` encoded as JSON."""
 
     status: int
     content: dict[str, object] = field(default_factory=dict)
-    allow: bytes | None = None  # the method that the path allows, where the request had another
+    allow: bytes | None = None  # value of the Allow header of a 405 response
 
 
 @dataclass(frozen=True, slots=True)
 class _Route:
     method: bytes
-    handler: Callable[[bytes], AdminResponse]  # takes the body
+    handler: Callable[[bytes], AdminResponse]  # called with the request's body
 
 
 class AdminRoutes:
-    """The requests by path and method."""
+    """Maps paths and methods to operations."""
 
     def __init__(self, operations: AdminOperations) -> None:
         self._operations = operations
@@ -81,7 +82,7 @@
         }
 
     def reject(self, request: RequestHead) -> AdminResponse | None:
-        """Return the error that a request gets for its head alone; None if its body is worth reading."""
+        """Return the error response for an unknown path or wrong method; None if the body is to be read."""
         route = self._routes.get(_path(request))
         if route is None:
             return AdminResponse(404, {"error": "there is no such call"})
@@ -90,7 +91,7 @@
         return None
 
     def handle(self, request: RequestHead, body: bytes) -> AdminResponse:
-        """Carry out a request that `reject` has not rejected."""
+        """Carry out a request for which `reject` returned None."""
         try:
             return self._routes[_path(request)].handler(body)
         except AdminRequestError as error:
@@ -120,11 +121,11 @@
 
 
 class AdminInterface:
-    """The listener and its connections, `MAX_CONNECTIONS` at most."""
+    """The listener and up to `MAX_CONNECTIONS` connections."""
 
     def __init__(self, operations: AdminOperations) -> None:
         self.routes = AdminRoutes(operations)
-        self._connections: dict[_AdminConnection, None] = {}  # the oldest first
+        self._connections: dict[_AdminConnection, None] = {}  # oldest first
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> None:
@@ -136,7 +137,7 @@
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
+        """The port that the interface listens on."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
@@ -148,7 +149,7 @@
             connection.abort()
 
     def connection_opened(self, connection: _AdminConnection) -> None:
-        """Count a connection in, and close the oldest if there are too many."""
+        """Register a connection; abort the oldest one if the limit is exceeded."""
         if len(self._connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self._connections))
             del self._connections[oldest]
@@ -156,12 +157,12 @@
         self._connections[connection] = None
 
     def connection_closed(self, connection: _AdminConnection) -> None:
-        """Count a connection out."""
+        """Unregister a connection."""
         self._connections.pop(connection, None)
 
 
 class _AdminConnection(asyncio.Protocol):
-    """One connection, one request."""
+    """A connection of the admin interface, which handles one request."""
 
     def __init__(self, interface: AdminInterface) -> None:
         self._interface = interface
@@ -173,7 +174,7 @@
         self._timeout: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # uvloop's transports don't derive from asyncio's, so there is nothing to check.
+        # uvloop's transports don't derive from asyncio.Transport, so an isinstance check would fail.
         self._transport = cast(asyncio.Transport, transport)
         self._timeout = asyncio.get_running_loop().call_later(_CONNECTION_TIMEOUT_S, self._timed_out)
         self._interface.connection_opened(self)
@@ -194,7 +195,7 @@
         self._interface.connection_closed(self)
 
     def abort(self) -> None:
-        """Close the connection at once, whatever is still to be written."""
+        """Close the connection at once and discard unsent data."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -240,8 +241,9 @@
         if self._request is None or self._request.method != b"HEAD":
             self._write(content)
         if self._transport is not None:
-            # What the client still sends is discarded: closing with unread data would reset the connection
-            # before the response is read.  A client that does not close is cut off by the timeout.
+            # Only the sending side is closed, and further data from the client is discarded: closing the
+            # socket with unread data would reset the connection before the client has read the response.
+            # If the client does not close its side, the timeout aborts the connection.
             self._transport.write_eof()
 
     def _write(self, data: bytes) -> None:
@@ -258,7 +260,11 @@
 
 
 def _server(body: bytes) -> str:
-    """Return the server that a body names; raise AdminRequestError if it names none."""
+    """Return the server id in the body of a request.
+
+    Raises:
+        AdminRequestError: the body is not a JSON object with a non-empty `member`.
+    """
     try:
         content = json.loads(body)
     except (ValueError, RecursionError):
--- a/sidecar/administration.py
+++ b/sidecar/administration.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a running sidecar: metrics, exclusion of servers, draining of clients."""
+"""Operations of the admin interface: metrics, exclusion of servers and draining of clients."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ServerExclusions:
-    """Excludes servers in the connection pool, the balancer and the file that outlives the process."""
+    """Excludes servers in the connection pool, in the balancer and in the file of persisted exclusions."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self._dispatch = dispatch
 
     def restore(self, *, watch: bool) -> None:
-        """Apply what the file says; `watch`: and what another process writes to it from now on."""
+        """Apply the persisted exclusions; with `watch`, also later changes that another process makes."""
         if self._persisted is None:
             return
         self._apply_all(self._persisted.read() or frozenset())
@@ -40,7 +40,7 @@
             self._persisted.watch(self._apply_all)
 
     def set_excluded(self, server: str, *, is_excluded: bool) -> bool:
-        """Exclude or include a server, as an operator asked; False if it was never listed."""
+        """Exclude or include a server; return False if it was never in an endpoint list."""
         if not self._balancer.knows_endpoint(server):
             return False
         if self._persisted is not None:
@@ -49,7 +49,7 @@
         return True
 
     def close(self) -> None:
-        """Stop watching the file."""
+        """Stop watching the file of persisted exclusions."""
         if self._persisted is not None:
             self._persisted.close()
 
@@ -67,7 +67,7 @@
 
 
 class Administration:
-    """The operations of the admin interface on one process."""
+    """Implements the operations of the admin interface for one process."""
 
     def __init__(
         self,
@@ -94,21 +94,21 @@
         return self._downstream.is_accepting
 
     def metrics(self) -> dict[str, object]:
-        """Return all metrics under their names."""
+        """Return all metrics by name."""
         counts = self._balancer.endpoint_counts()
-        own = self._metrics.snapshot(self._requests.pending, counts.listed, counts.unavailable)
-        return {**own, **self._cluster.metrics()}
+        request_metrics = self._metrics.snapshot(self._requests.pending, counts.listed, counts.unavailable)
+        return {**request_metrics, **self._cluster.metrics()}
 
     def exclude(self, server: str) -> bool:
-        """Send nothing more to a server; False if it was never listed."""
+        """Send no more requests to a server; return False if it was never listed."""
         return self._exclusions.set_excluded(server, is_excluded=True)
 
     def include(self, server: str) -> bool:
-        """Use a server again; False if it was never listed."""
+        """Use an excluded server again; return False if it was never listed."""
         return self._exclusions.set_excluded(server, is_excluded=False)
 
     def drain_clients(self) -> bool:
-        """Send clients away, as at an end, and keep running; False during the graceful shutdown."""
+        """Drain clients as in a graceful shutdown, but keep running; return False during a shutdown."""
         if self._shutdown.is_shutting_down:
             return False
         self._downstream.fails_health_checks = True
@@ -117,7 +117,7 @@
         return True
 
     def resume_clients(self) -> bool:
-        """Accept clients again; False during the graceful shutdown."""
+        """Accept clients again after draining; return False during a graceful shutdown."""
         if self._shutdown.is_shutting_down:
             return False
         self._downstream.resume()
--- a/sidecar/attempts.py
+++ b/sidecar/attempts.py
@@ -1,4 +1,4 @@
-"""Sends attempts to servers, and turns their responses and outcomes into events for the balancer."""
+"""Sends attempts to servers, and reports their responses and outcomes to the balancer as events."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Attempts:
-    """Attempts of open requests, and health checks."""
+    """Sends the attempts of open requests, and health checks."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._dispatch = dispatch
 
     def send(self, action: SendAttempt) -> None:
-        """Start a further attempt of an open request."""
+        """Start the next attempt of an open request."""
         number = action.request
         request = self._requests[number]
         attempt_number = len(request.attempts)
@@ -68,13 +68,13 @@
         self._upstream.start(attempt, is_late=attempt_number > 0)
 
     def cancel(self, action: CancelAttempt) -> None:
-        """Stop waiting for an attempt; one that does not exist is ignored."""
+        """Cancel an attempt; an unknown request or attempt is ignored."""
         request = self._requests.get(action.request)
         if request is not None and action.attempt < len(request.attempts):
             self._upstream.cancel(request.attempts[action.attempt])
 
     def send_health_check(self, server: str) -> None:
-        """Ask a server whether it is healthy, and for its load report where servers give one."""
+        """Send a health check, which also requests a load report if servers are configured to send them."""
         sent_at = self._clock.now()
         is_report_in_body = self._has_load_reports
 
@@ -91,7 +91,10 @@
     def _response_started(
         self, number: int, attempt_number: int, source: UpstreamConnection, head: Response, length: int | None
     ) -> ResponseSink | None:
-        """Pass a response through that is too long to be buffered; None if the client has one or is gone."""
+        """Start streaming a response that is too long to be buffered; return the sink for its body.
+
+        Returns None if another response is being streamed, or if the client was answered or disconnected.
+        """
         request = self._requests.get(number)
         if request is None or request.client is None or request.streaming_attempt is not None:
             return None
@@ -113,7 +116,7 @@
         elif outcome is Outcome.DELIVERED and response is not None and request.streaming_attempt is None:
             self._requests.respond(number, 200, response.content_headers(), response.body)
         attempt, upload = request.attempts[attempt_number], request.incoming.upload
-        # Time in the socket's buffer is this process's delay, not the server's.
+        # Time that the response spent unread in the socket buffer is this process's delay, not the server's.
         unread_us = response.unread_us if response is not None else 0
         self._dispatch(
             AttemptEnded(
@@ -122,7 +125,7 @@
                 server=attempt.server,
                 outcome=outcome,
                 elapsed_us=max(self._clock.now() - unread_us - attempt.sent_at, 0),
-                is_request_answered=False,  # set when the event is handled
+                is_request_answered=False,  # set by EventDispatcher when it handles the event
                 load_report=parse_load_report(response, self._load_report_columns),
                 is_body_consumed=upload is not None and upload.is_consumed,
             )
--- a/sidecar/clock.py
+++ b/sidecar/clock.py
@@ -1,4 +1,4 @@
-"""The sidecar's clock, and a timer that goes by it."""
+"""The sidecar's clock, and timers that use it."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 import time
 from collections.abc import Callable
 
-_MIN_DELAY_S = 0.001  # a timer that is due must not keep the event loop spinning
+_MIN_DELAY_S = 0.001  # keeps a timer that is always due from spinning the event loop
 
 
 class Clock:
-    """Unix time in whole microseconds, read once; from then on only the monotonic clock moves it.
+    """Unix time in whole microseconds.
 
-    It can be compared with the start times of servers, and a step of the system's clock affects no timer.
+    The system clock is read once; after that the monotonic clock is used.  So times can be compared with the
+    start times of servers, but a step of the system clock affects no timer.
     """
 
     def __init__(self) -> None:
@@ -24,7 +25,7 @@
 
 
 class Timer:
-    """A timer that can be rescheduled: only the last schedule counts."""
+    """A timer that can be rescheduled: each `schedule` replaces the previous one."""
 
     def __init__(self, clock: Clock, callback: Callable[[], None]) -> None:
         self._clock = clock
@@ -33,17 +34,17 @@
 
     @property
     def is_set(self) -> bool:
-        """Whether the callback will be called."""
+        """Whether the timer is scheduled."""
         return self._handle is not None
 
     def schedule(self, due: int) -> None:
-        """Call the callback at this time of the clock, or about now if that has passed."""
+        """Call the callback at the clock time `due` (microseconds), or within 1 ms if that has passed."""
         self.cancel()
         delay_s = max((due - self._clock.now()) / 1e6, _MIN_DELAY_S)
         self._handle = asyncio.get_running_loop().call_later(delay_s, self._fire)
 
     def cancel(self) -> None:
-        """Don't call the callback, until it is scheduled again."""
+        """Cancel the scheduled call, if any."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -1,7 +1,7 @@
-"""Reads the JSON configuration, and the environment variables that complete it, into typed values.
+"""Reads the JSON configuration file, and the environment variables that supplement it, into typed values.
 
-The keys of the file and the environment variables are fixed; they are mapped to the names of `Configuration`
-here and nowhere else.
+The keys of the file and the environment variables must not change.  They are mapped to the fields of
+`Configuration` only in this module.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 _FILE_VARIABLE = "BALANCER_CONFIG"
 _ADMIN_VARIABLE = "BALANCER_CONSOLE"
 _DESCRIPTOR_VARIABLE = "BALANCER_SOCKET_FD"
-# Keys that an environment variable stands in for where the file leaves them out.
+# Environment variables that provide the defaults of keys which the file omits.
 _VARIABLE_BY_KEY = {
     "name": "BALANCER_NAME",
     "listen": "BALANCER_LISTEN",
@@ -33,8 +33,8 @@
 _MIN_MAX_SOCKETS = 64
 _DEFAULT_MEMORY_MB = 64
 _MAX_VERSION = (1 << 63) - 1
-# What stays in force from the start of a process to its end: fields, and their keys in the file.
-# Not among them: the known endpoints and the seed, which differ in each file and only matter at a start.
+# Fields that only take effect at a restart, with their keys in the file.  The known endpoints and the seed
+# are not included: they are only used at the start too, but differ in every file.
 _KEY_BY_RESTART_FIELD = {
     "name": "name",
     "listen_address": "listen",
@@ -48,7 +48,7 @@
 
 
 class ConfigurationError(SidecarError):
-    """The configuration can't be used; the message begins with the key, or environment variable, at fault."""
+    """The configuration is invalid; the message begins with the key or environment variable at fault."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,21 +62,21 @@
     seed: int
     max_sockets: int
     memory_mb: int
-    known_endpoints: EndpointList  # the endpoint list to start with
+    known_endpoints: EndpointList  # the last known endpoint list, used until discovery answers
     peer_listen_address: Address | None
-    peer_addresses: tuple[Address, ...]  # of all sidecars of the cluster, this one included
+    peer_addresses: tuple[Address, ...]  # of all sidecars of the cluster, including this one
     broadcast_address: Address | None  # reaches all other sidecars of the cluster
-    cluster: str  # name of the cluster; datagrams of another are dropped
+    cluster: str  # name of the cluster; datagrams of other clusters are dropped
     membership: MembershipSettings
-    version: int | None  # of this configuration; None: versions are not compared
-    digest: int  # checksum of what all files of this version have in common
+    version: int | None  # of this configuration; None if versions are not compared
+    digest: int  # checksum of the keys that must be equal in all files of this version
     rollout: RolloutSettings
-    admin_address: Address | None  # None: there is no admin interface
-    listen_descriptor: int | None  # of the clients' listening socket, where the platform holds it
-    state_directory: Path | None  # for files that outlive the process
+    admin_address: Address | None  # None if there is no admin interface
+    listen_descriptor: int | None  # of the listening socket for clients, if the platform passes one
+    state_directory: Path | None  # for files that persist across restarts
 
     def keys_requiring_restart(self, other: Configuration) -> list[str]:
-        """Return the keys whose values differ in `other` but only take effect at a restart."""
+        """Return the keys that differ in `other` and only take effect at a restart."""
         return [
             key
             for field, key in _KEY_BY_RESTART_FIELD.items()
@@ -85,39 +85,46 @@
 
 
 def read_file(environment: Mapping[str, str]) -> bytes:
-    """Return the content of the configuration file; raise ConfigurationError if it can't be read."""
+    """Return the content of the configuration file; raises ConfigurationError if it can't be read."""
     path = environment.get(_FILE_VARIABLE)
     if not path:
-        raise ConfigurationError(f"{_FILE_VARIABLE}: the path of the configuration is needed")
+        raise ConfigurationError(f"{_FILE_VARIABLE}: must be set to the path of the configuration file")
     try:
         return Path(path).read_bytes()
     except OSError as error:
-        raise ConfigurationError(f"{_FILE_VARIABLE}: {path} can't be read: {error}") from None
+        raise ConfigurationError(f"{_FILE_VARIABLE}: can't read {path}: {error}") from None
 
 
 def load(environment: Mapping[str, str], content: bytes | None = None) -> Configuration:
-    """Read the configuration file, or its `content` if that was read before; raise ConfigurationError."""
+    """Parse the configuration file, and complete it from the environment.
+
+    `content` is the content of the file if the caller has already read it.
+
+    Raises:
+        ConfigurationError: the file can't be read or is invalid.
+    """
     if content is None:
         content = read_file(environment)
     try:
         document = json.loads(content)
     except (ValueError, RecursionError) as error:
         path = environment.get(_FILE_VARIABLE)
-        raise ConfigurationError(f"{_FILE_VARIABLE}: {path} can't be read: {error}") from None
+        raise ConfigurationError(f"{_FILE_VARIABLE}: can't read {path}: {error}") from None
     if not isinstance(document, dict):
-        raise ConfigurationError(f"{_FILE_VARIABLE}: the file must hold an object")
+        raise ConfigurationError(f"{_FILE_VARIABLE}: the file must contain a JSON object")
     defaults = {
         key: environment[variable] for key, variable in _VARIABLE_BY_KEY.items() if variable in environment
     }
     document = {**defaults, **document}
     if environment.get(_ADMIN_VARIABLE):
-        # Takes precedence: during a hot restart two processes may share the file, but not this address.
+        # Takes precedence over the file: during a hot restart two processes may share the file, but each
+        # needs an admin address of its own.
         document["console"] = environment[_ADMIN_VARIABLE]
     return parse(document, environment)
 
 
 def parse(document: Mapping[str, Any], environment: Mapping[str, str] | None = None) -> Configuration:
-    """Validate a configuration; raise ConfigurationError, naming the key, if it is invalid."""
+    """Validate a configuration document; raises ConfigurationError that begins with the invalid key."""
     settings = _settings(document)
     version = _version(document.get("version"))
     rollout = _rollout(document.get("rollout"))
@@ -150,8 +157,9 @@
         return settings_from_wire(document.get("settings"))
     except ValueError as error:
         message = str(error)
-        path = message if message.startswith("settings") else f"settings.{message}"
-        raise ConfigurationError(path) from None
+        raise ConfigurationError(
+            message if message.startswith("settings") else f"settings.{message}"
+        ) from None
 
 
 def _known_endpoints(value: object) -> EndpointList:
@@ -179,20 +187,21 @@
 
 def _version(value: object) -> int | None:
     if value is not None and (type(value) is not int or not 0 <= value <= _MAX_VERSION):
-        raise ConfigurationError(
-            f"version: a whole number from 0 to {_MAX_VERSION} is needed, not {value!r:.60}"
-        )
+        raise ConfigurationError(f"version: must be an integer from 0 to {_MAX_VERSION}, got {value!r:.60}")
     return value
 
 
 def _digest(document: Mapping[str, Any], keys: tuple[str, ...]) -> int:
-    """Return a checksum that detects accidental, not malicious, differences between files of one version."""
+    """Return a checksum of the values of `keys`.
+
+    It detects accidental differences between files of the same version, not deliberate collisions.
+    """
     return crc32(json.dumps([document.get(key) for key in keys], sort_keys=True).encode())
 
 
 def _text(key: str, value: object) -> str:
     if not isinstance(value, str) or not value:
-        raise ConfigurationError(f"{key}: a text is needed, not {value!r:.60}")
+        raise ConfigurationError(f"{key}: must be a non-empty string, got {value!r:.60}")
     return value
 
 
@@ -211,7 +220,7 @@
     if not value:
         return ()
     if not isinstance(value, list):
-        raise ConfigurationError(f"{key}: a list of addresses is needed")
+        raise ConfigurationError(f"{key}: must be a list of addresses, got {value!r:.60}")
     return tuple(_address(f"{key}[{index}]", address) for index, address in enumerate(value))
 
 
@@ -221,14 +230,14 @@
     try:
         return int(value, 16)  # type: ignore[call-overload, no-any-return]
     except (TypeError, ValueError):
-        raise ConfigurationError(f"seed: hexadecimal digits are needed, not {value!r:.60}") from None
+        raise ConfigurationError(f"seed: must be hexadecimal digits, got {value!r:.60}") from None
 
 
 def _descriptor(value: str | None) -> int | None:
     if not value:
         return None
     if not value.isascii() or not value.isdecimal():
-        raise ConfigurationError(f"{_DESCRIPTOR_VARIABLE}: a number is needed, not {value!r:.60}")
+        raise ConfigurationError(f"{_DESCRIPTOR_VARIABLE}: must be a file descriptor, got {value!r:.60}")
     return int(value)
 
 
@@ -241,10 +250,10 @@
     if limits is None:
         return default
     if not isinstance(limits, Mapping):
-        raise ConfigurationError("limits: an object is needed")
+        raise ConfigurationError(f"limits: must be an object, got {limits!r:.60}")
     value = limits.get(key, default)
     if isinstance(value, float) and value.is_integer():
         value = int(value)
     if type(value) is not int or value < minimum:
-        raise ConfigurationError(f"limits.{key}: a whole number from {minimum} is needed, not {value!r:.60}")
+        raise ConfigurationError(f"limits.{key}: must be an integer of at least {minimum}, got {value!r:.60}")
     return value
--- a/sidecar/configuration_reload.py
+++ b/sidecar/configuration_reload.py
@@ -1,6 +1,6 @@
-"""Reloads the configuration file: at SIGHUP, and when other sidecars report a newer version.
+"""Reloads the configuration file on SIGHUP, and when other sidecars report a newer version.
 
-It decides whether the file is worth applying; what changes at run time is up to `Sidecar.reconfigure`.
+This module decides whether to apply the file; `Sidecar.reconfigure` applies what can change at run time.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
         self._sidecar = sidecar
         self._log = log
         self._environment = environment
-        self._last_checksum: int | None = None  # of the file that was read last
+        self._last_checksum: int | None = None  # of the content of the file when it was last read
 
     def reload(self) -> None:
-        """Apply the file; an invalid file, or an older version, changes nothing and is logged."""
+        """Read and apply the file; if it is invalid or of an older version, log that and change nothing."""
         try:
             content = read_file(self._environment)
             self._last_checksum = crc32(content)
@@ -33,7 +33,10 @@
             self._log_rejection(error)
 
     def reload_if_newer(self) -> None:
-        """Apply the file if its version is newer than that in force; it is parsed only if it has changed."""
+        """Apply the file if its version is newer than the one in force.
+
+        The file is only parsed if its content has changed since it was last read.
+        """
         try:
             content = read_file(self._environment)
             previous_checksum, self._last_checksum = self._last_checksum, crc32(content)
@@ -46,9 +49,9 @@
             self._log_rejection(error)
 
     def _apply(self, configuration: Configuration) -> None:
-        unchanged_keys = self._sidecar.reconfigure(configuration)
-        if unchanged_keys:
-            self._log(RestartRequired(tuple(unchanged_keys)))
+        keys_requiring_restart = self._sidecar.reconfigure(configuration)
+        if keys_requiring_restart:
+            self._log(RestartRequired(tuple(keys_requiring_restart)))
         host, port = configuration.discovery_address
         self._log(ConfigurationReloaded(host, port, self._sidecar.version))
 
--- a/sidecar/connection_socket.py
+++ b/sidecar/connection_socket.py
@@ -1,6 +1,6 @@
-"""Asks the socket of a connection what its transport does not tell.
+"""Queries the socket of a connection for state that asyncio transports don't expose.
 
-The socket belongs to the transport: it is queried, its sending may be shut down, and it is never closed here.
+The socket is owned by the transport: this module may shut it down, but never closes it.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from sidecar.interfaces import Transport
 
 PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-_LAST_DATA_RECEIVED_OFFSET = 52  # in struct tcp_info: ms since the last data came, tcpi_last_data_recv
+_LAST_DATA_RECEIVED_OFFSET = 52  # of tcpi_last_data_recv (ms since data was last received) in struct tcp_info
 
 
 class ConnectionSocket:
-    """One connection's socket until `release`; from then on it reports that nothing is there."""
+    """The socket of a connection; after `release` it reports no unread or unsent data and an open peer."""
 
     __slots__ = ("_getsockopt", "_poll", "_socket")
 
     def __init__(self, transport: Transport) -> None:
         borrowed = transport.get_extra_info("socket")
-        # One object for the connection's lifetime: uvloop creates a new one for each call.
+        # Created once per connection, because uvloop creates a new socket object at each get_extra_info call.
         self._socket = socket.socket(borrowed.family, borrowed.type, borrowed.proto, fileno=borrowed.fileno())
         self._getsockopt = self._socket.getsockopt
         self._poll = select.poll()
@@ -36,32 +36,33 @@
             self.release()
 
     def release(self) -> None:
-        """Stop using the socket: the transport closes it now, and its descriptor may be reused."""
+        """Stop using the socket; called when the transport closes it, as its descriptor may be reused."""
         if self._socket.fileno() >= 0:
             self._poll.unregister(self._socket.fileno())
             self._socket.detach()
 
     def is_idle(self) -> bool:
-        """Return whether no data is unread and the peer has not closed."""
+        """Return whether there is no unread data and the peer has not closed the connection."""
         return not self._poll.poll(0)
 
     def is_peer_closed(self) -> bool:
-        """Return whether the peer has closed, whatever it sent before."""
+        """Return whether the peer has closed the connection, even if there is unread data."""
         return any(events & PEER_CLOSED_EVENTS for _, events in self._poll.poll(0))
 
     def unread_us(self) -> int:
-        """Return how long the data that was read last had been in the socket, to some milliseconds.
+        """Return how many microseconds ago data was last received, accurate to some milliseconds.
 
-        This keeps the delay of a busy event loop from being taken for the peer's.
+        Called when data is read, this is the time the data spent in the socket buffer.  It is subtracted from
+        measured times, so that the delay of a busy event loop is not attributed to the peer.
         """
         try:
             info = self._getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _LAST_DATA_RECEIVED_OFFSET + 4)
         except OSError:
-            return 0  # released, or failed
+            return 0  # the socket was released or has failed
         return int.from_bytes(info[_LAST_DATA_RECEIVED_OFFSET:], sys.byteorder) * 1_000
 
     def unsent_bytes(self) -> int:
-        """Return how much was written and not acknowledged by the peer, as far as the system knows."""
+        """Return the number of bytes in the socket's send queue, which the peer has not acknowledged yet."""
         try:
             queued = fcntl.ioctl(self._socket.fileno(), termios.TIOCOUTQ, b"\0" * 4)
         except (OSError, ValueError):
@@ -69,6 +70,6 @@
         return int.from_bytes(queued, sys.byteorder)
 
     def shut_down(self, how: int = socket.SHUT_WR) -> None:
-        """Shut down sending (or both ways) within this call, whatever the transport does later."""
-        with contextlib.suppress(OSError):  # the peer was faster, or it was released
+        """Shut down sending, or both directions, immediately instead of when the transport gets to it."""
+        with contextlib.suppress(OSError):  # the peer has closed the connection, or the socket was released
             self._socket.shutdown(how)
--- a/sidecar/discovery/connection.py
+++ b/sidecar/discovery/connection.py
@@ -1,4 +1,4 @@
-"""Polls discovery over HTTP, one request after another on one connection while that lasts."""
+"""Polls discovery over HTTP, with consecutive requests on one persistent connection."""
 
 from __future__ import annotations
 
@@ -16,37 +16,40 @@
 
 
 class PollFailedError(SidecarError):
-    """Discovery did not answer a poll, or not with an endpoint list."""
+    """Discovery did not answer a poll, or its response is not a valid endpoint list."""
 
 
 class DiscoveryConnection:
-    """A connection to discovery, opened when it is needed."""
+    """A connection to discovery, which is opened at the first poll and reopened when it is closed."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._connection: UpstreamConnection | None = None
 
     async def poll(self, after_version: int | None, wait_ms: int) -> EndpointList:
-        """Ask for the changes after a version, or for a complete list; raise PollFailedError.
+        """Request the changes after `after_version`, or a complete list if that is None.
 
-        Discovery may answer up to `wait_ms` later if there are no changes yet.
+        If there are no changes yet, discovery may delay its response by up to `wait_ms`.
+
+        Raises:
+            PollFailedError: there was no response, or it is not a valid endpoint list.
         """
         query = "" if after_version is None else f"?after={after_version}&wait_ms={wait_ms}"
         try:
             response = await self._get(f"{_PATH}{query}".encode())
         except (OSError, TimeoutError) as error:
-            raise PollFailedError(f"no connection to {self._host}: {error}") from None
+            raise PollFailedError(f"can't connect to {self._host}: {error}") from None
         if isinstance(response, ExchangeFailure):
             raise PollFailedError(f"no response from {self._host}: {response.value}")
         if response.status != 200:
-            raise PollFailedError(f"{self._host} answered with status {response.status}")
+            raise PollFailedError(f"expected status 200 from {self._host}, got {response.status}")
         try:
             return parse_endpoint_list(json.loads(response.body))
         except (ValueError, RecursionError, EndpointListError) as error:
             raise PollFailedError(f"{self._host} sent an invalid endpoint list: {error}") from None
 
     def close(self) -> None:
-        """Close the connection, also while a poll is waiting for its response."""
+        """Close the connection, even if a poll is waiting for its response."""
         if self._connection is not None:
             self._connection.close()
 
@@ -60,21 +63,23 @@
             self._connection = await self._connect()
         result: asyncio.Future[Response | ExchangeFailure] = asyncio.get_running_loop().create_future()
 
-        def ended(response: Response | ExchangeFailure) -> None:
+        def on_ended(response: Response | ExchangeFailure) -> None:
             if not result.done():
                 result.set_result(response)
 
-        self._connection.exchange(OutgoingRequest(b"GET", target, [(b"host", self._host.encode())]), ended)
+        self._connection.exchange(OutgoingRequest(b"GET", target, [(b"host", self._host.encode())]), on_ended)
         return await result
 
     async def _connect(self) -> UpstreamConnection:
-        def create() -> UpstreamConnection:
+        def create_protocol() -> UpstreamConnection:
             return UpstreamConnection(_MAX_RESPONSE_BYTES, _ignore, _ignore)
 
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
-            _, connection = await asyncio.get_running_loop().create_connection(create, *self._address)
+            _, connection = await asyncio.get_running_loop().create_connection(
+                create_protocol, *self._address
+            )
         return connection
 
 
 def _ignore(_: UpstreamConnection) -> None:
-    """Connections to discovery are not pooled."""
+    """Do nothing: connections to discovery are not pooled, so no pool needs to be notified."""
--- a/sidecar/discovery/discovery.py
+++ b/sidecar/discovery/discovery.py
@@ -1,7 +1,7 @@
 """The client of service discovery: polls and watches the endpoint list.
 
-When to poll and to watch is decided by the balancer, except where an agent pushes its lists: those are
-watched from the start on.
+The balancer decides when to poll and to watch.  If a local agent pushes endpoint lists, however, these are
+watched from the start of the process, regardless of the balancer.
 """
 
 from __future__ import annotations
@@ -18,12 +18,16 @@
 from sidecar.discovery.hedged_poll import HedgedPoll
 from sidecar.discovery.watcher import Watcher
 
-_PUSHED_RETRY_DELAY_S = 0.2  # after which a broken watch is resumed where lists are pushed
-_MAX_POLLS = 8  # at once, watches included; more fail without being sent
+_PUSHED_RETRY_DELAY_S = 0.2  # before a failed watch of pushed lists is restarted
+_MAX_POLLS = 8  # concurrent polls including watches; further polls fail without being sent
 
 
 class Discovery:
-    """Each `watch` and `poll` is followed by one call of `on_list` or `on_failed`."""
+    """Polls and watches the endpoint list.
+
+    Each `watch` and `poll` leads to one call of `on_list` or `on_failed`.  A watch that is answered then
+    reports each newer list, until it fails.
+    """
 
     def __init__(
         self,
@@ -35,7 +39,7 @@
         *,
         is_pushed: bool,
     ) -> None:
-        """`is_pushed`: an agent pushes its lists, which are watched whatever the balancer asks for."""
+        """`is_pushed`: an agent pushes lists, which are watched regardless of calls of `watch`."""
         self._address = address
         self._tracker = EndpointListTracker(known)
         self._is_pushed = is_pushed
@@ -49,15 +53,16 @@
         self._first_poll_ended = asyncio.Event()
 
     def start(self) -> None:
-        """Watch from now on where lists are pushed."""
+        """Start watching if lists are pushed."""
         if self._is_pushed:
             self._is_watching = True
             self._start_watch()
 
     async def wait_for_first_list(self, timeout_s: float) -> None:
-        """Where lists are pushed, wait until the agent has answered once or can't be reached.
+        """If lists are pushed, wait until the first poll is answered or fails, at most `timeout_s`.
 
-        Its list counts as notified from the first moment of a process, received or not.
+        The platform regards changes in the agent's list as notified as soon as a process starts, even if the
+        process has not received the list yet.  So the list should be in use before clients are accepted.
         """
         if self._is_pushed:
             try:
@@ -67,9 +72,10 @@
                 pass
 
     def change_address(self, address: Address) -> None:
-        """Send all further polls to this address; a watch continues there at once, from the version it had.
+        """Send all further polls to this address; a watch is restarted there from the current version.
 
-        The first poll there does not wait: a change in the meantime must not be delayed until the next one.
+        The first poll of the restarted watch asks discovery not to wait, so that changes since the last
+        response are received at once.
         """
         if address == self._address:
             return
@@ -81,10 +87,11 @@
             self._start_watch()
 
     def watch(self, *, is_enabled: bool) -> None:
-        """Watch the list from now on, or no longer.
+        """Start or stop watching the endpoint list.
 
-        A watch that is enabled again before its first response continues as it is: a new one would give up
-        its place in discovery's queue, and polls that start over while it is slow would never be answered.
+        If a watch is enabled again before its first response, the pending poll is kept.  A new poll would go
+        to the end of discovery's queue, so that polls which are repeated while discovery is slow might never
+        be answered.
         """
         if self._is_pushed:
             return
@@ -98,7 +105,7 @@
             self._start_watch()
 
     def poll(self) -> None:
-        """Ask once for the complete list."""
+        """Request the complete list once."""
         if len(self._tasks) >= _MAX_POLLS:
             asyncio.get_running_loop().call_soon(self._on_failed)
             return
@@ -109,8 +116,8 @@
         for task in self._tasks:
             task.cancel()
 
-    def _start_task(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -132,7 +139,7 @@
             self._poll_failed()
 
     async def _watch_pushed(self, watcher: Watcher) -> None:
-        """Watch for ever: where lists are pushed nobody asks for a failed watch again."""
+        """Watch until cancelled; restart a failed watch, because the balancer does not request it again."""
         while True:
             try:
                 await watcher.run()
@@ -142,7 +149,7 @@
                 await asyncio.sleep(_PUSHED_RETRY_DELAY_S)
 
     async def _poll(self) -> None:
-        """Poll once; the response of an address that discovery has moved from is discarded."""
+        """Poll once; if discovery's address has changed meanwhile, discard the response and poll again."""
         address = None
         try:
             while address != self._address:
--- a/sidecar/discovery/endpoint_list.py
+++ b/sidecar/discovery/endpoint_list.py
@@ -1,7 +1,7 @@
-"""Endpoint lists: decoded from the JSON form of discovery, strictly and without I/O.
+"""Decodes endpoint lists from discovery's JSON format, with strict validation and without I/O.
 
-The keys and the names of states are fixed by the platform; they are mapped to the balancer's terms here and
-nowhere else.  Whether a list is newer than the last one is up to `endpoint_list_tracker`.
+The platform defines the keys and the names of states.  They are mapped to the balancer's terms only in this
+module.  `endpoint_list_tracker` decides whether a list is newer than the last one.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.GONE,
 }
-_MAX_NUMBER = 2**53  # every integer below is exact in JSON
+_MAX_NUMBER = 2**53  # all smaller integers are represented exactly by JSON numbers
 
 
 class EndpointListError(SidecarError):
@@ -28,47 +28,50 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """An entry of an endpoint list, and where the server can be reached."""
+    """An entry of an endpoint list, and the address of the server."""
 
     entry: EndpointEntry
-    address: Address | None  # None: the server is gone
+    address: Address | None  # None if the server is gone
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A response of discovery."""
+    """A response of discovery: a complete endpoint list, or changes to one."""
 
     version: int
-    is_complete: bool  # servers that are not in it are gone; else it holds changed entries only
+    is_complete: bool  # if true, unlisted servers are gone; otherwise only changed entries are listed
     endpoints: tuple[ListedEndpoint, ...]
 
     def event(self, kind: EndpointListKind | None = None) -> EndpointListReceived:
-        """Return the list as an event for the balancer, by default of the kind that it is."""
+        """Return the list as an event for the balancer.
+
+        `kind` defaults to COMPLETE or CHANGES, depending on the list.
+        """
         content_kind = EndpointListKind.COMPLETE if self.is_complete else EndpointListKind.CHANGES
         entries = [endpoint.entry for endpoint in self.endpoints]
         return EndpointListReceived(kind or content_kind, entries, self.version)
 
 
 def parse_endpoint_list(document: object) -> EndpointList:
-    """Decode an endpoint list; raise EndpointListError if it is invalid."""
+    """Decode an endpoint list; raises EndpointListError that begins with the invalid key."""
     if not isinstance(document, dict):
-        raise EndpointListError("an object is needed")
+        raise EndpointListError(f"must be an object, got {document!r:.60}")
     version, is_complete, servers = document.get("version"), document.get("full"), document.get("servers")
     if type(version) is not int or version < 0:
-        raise EndpointListError(f"version: a whole number is needed, not {version!r:.60}")
+        raise EndpointListError(f"version: must be a non-negative integer, got {version!r:.60}")
     if not isinstance(is_complete, bool):
-        raise EndpointListError(f"full: true or false is needed, not {is_complete!r:.60}")
+        raise EndpointListError(f"full: must be true or false, got {is_complete!r:.60}")
     if not isinstance(servers, list):
-        raise EndpointListError(f"servers: a list is needed, not {servers!r:.60}")
+        raise EndpointListError(f"servers: must be a list, got {servers!r:.60}")
     return EndpointList(version, is_complete, tuple(_listed_endpoint(server) for server in servers))
 
 
 def _listed_endpoint(server: object) -> ListedEndpoint:
     if not isinstance(server, dict):
-        raise EndpointListError("servers: an object is needed for each")
+        raise EndpointListError(f"servers: each must be an object, got {server!r:.60}")
     name = server.get("id")
     if not isinstance(name, str) or not name:
-        raise EndpointListError(f"servers: an id is needed, not {name!r:.60}")
+        raise EndpointListError(f"servers: id: must be a non-empty string, got {name!r:.60}")
     state = _state(server, name)
     started_ms = _number(server, "started_ms", 0)
     entry = EndpointEntry(
@@ -87,14 +90,17 @@
     try:
         return _STATE_BY_NAME[server["state"]]
     except (KeyError, TypeError):
-        raise EndpointListError(f"servers: unknown state {server.get('state')!r:.60} of {name:.60}") from None
+        raise EndpointListError(
+            f"servers: state: must be one of {', '.join(_STATE_BY_NAME)}, got {server.get('state')!r:.60} "
+            f"for {name:.60}"
+        ) from None
 
 
 def _address(server: Mapping[str, Any]) -> Address:
     try:
         return parse_address(server.get("addr"))
     except ValueError as error:
-        raise EndpointListError(str(error)) from None
+        raise EndpointListError(f"servers: addr: {error}") from None
 
 
 def _text(server: Mapping[str, Any], key: str) -> str:
@@ -102,7 +108,7 @@
     if value is None:
         return ""
     if not isinstance(value, str):
-        raise EndpointListError(f"servers: {key}: a text is needed, not {value!r:.60}")
+        raise EndpointListError(f"servers: {key}: must be a string, got {value!r:.60}")
     return value
 
 
@@ -111,5 +117,5 @@
     if value is None:
         return default
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < _MAX_NUMBER:
-        raise EndpointListError(f"servers: {key}: a number is needed, not {value!r:.60}")
+        raise EndpointListError(f"servers: {key}: must be a number from 0 to below 2**53, got {value!r:.60}")
     return value
--- a/sidecar/discovery/endpoint_list_tracker.py
+++ b/sidecar/discovery/endpoint_list_tracker.py
@@ -1,6 +1,6 @@
-"""Decides which endpoint lists are news, whatever order overlapping polls are answered in; without I/O.
+"""Decides which endpoint lists are newer, even if overlapping polls are answered out of order; without I/O.
 
-The connection pool and the balancer get the lists that `EndpointListTracker.accept` returns, and no others.
+The connection pool and the balancer only receive lists that `EndpointListTracker.accept` returned.
 """
 
 from __future__ import annotations
@@ -11,62 +11,71 @@
 from sidecar.discovery.endpoint_list import EndpointList, ListedEndpoint
 from sidecar.errors import SidecarError
 
-_MAX_GONE_SERVERS = 1_024  # that are remembered, so that a delayed list can't bring them back
+_MAX_GONE_SERVERS = 1_024  # remembered, so that a delayed list can't make them available again
 
 
 class InconsistentChangesError(SidecarError):
-    """Changes can't be applied to the list that is held: a complete list is needed."""
+    """Changes can't be applied to the current list, so a complete list must be requested."""
 
 
 class EndpointListTracker:
-    """The endpoint list that this process holds: its version, and the last entry of each server.
+    """Tracks the current endpoint list: its version, and the latest entry of each server.
 
-    Polls may overlap, so a response is ordered by when its poll began: `begin_poll` returns that position.
+    Polls may overlap, so responses are ordered by when their polls began.  `begin_poll` returns a position in
+    that order.
     """
 
     def __init__(self, known: EndpointList) -> None:
         self.version = known.version
-        self._position = 0  # of the last poll or accepted list
-        self._accepted_position = 0  # of the list that is held
-        self._is_continuous = False  # no poll has failed since that list was accepted
+        self._position = 0  # last position assigned to a poll or an accepted list
+        self._accepted_position = 0  # position of the current list
+        self._is_continuous = False  # whether no poll has failed since the current list was accepted
         self._needs_complete_list = False
         self._entries = {endpoint.entry.server: endpoint.entry for endpoint in known.endpoints}
-        # When servers that are gone had started, in microseconds; the latest last.
+        # Start times of servers that are gone, in microseconds; the server that was removed last comes last.
         self._gone_servers: dict[str, int] = {}
 
     @property
     def after_version(self) -> int | None:
-        """The version after which changes are wanted; None: a complete list is needed."""
+        """The version after which to request changes; None if a complete list is needed."""
         return None if self._needs_complete_list else self.version
 
     def begin_poll(self) -> int:
-        """Return the position of a poll that begins now among polls and lists."""
+        """Return the position of a poll that begins now, which follows all earlier polls and lists."""
         self._position += 1
         return self._position
 
     def poll_failed(self) -> None:
-        """Note that a poll failed or discovery moved: its next response may start over with its versions."""
+        """Record that a poll failed or discovery's address changed, after which versions may start over."""
         self._is_continuous = False
 
     def accept(
         self, endpoint_list: EndpointList, position: int, after_version: int | None
     ) -> EndpointList | None:
-        """Take over the response to a poll for changes after that version; return None if it is no news.
+        """Apply the response to a poll; return the applied list, or None if the response is outdated.
 
-        A lower version is outdated while polls succeed without interruption.  After one failed, it may be
-        that of a discovery service that was restarted: a complete list is then accepted, but it makes no
-        server available that was draining or gone, unless that server has started since.  So nothing is lost
-        if the list was only delayed.  Raises InconsistentChangesError for changes with a lower version.
+        While no poll fails, a response with a lower version than the current one is outdated.  After a failed
+        poll, the lower version may come from a discovery service that was restarted, so a complete list is
+        accepted.  It may also come from a delayed response, however, so it makes no server available that was
+        draining or gone, unless that server has been restarted since.
+
+        Args:
+            endpoint_list: the response.
+            position: what `begin_poll` returned for the poll.
+            after_version: the version after which the poll requested changes; None for a complete list.
+
+        Raises:
+            InconsistentChangesError: the response holds changes with a lower version.
         """
         if not endpoint_list.is_complete and after_version is not None and after_version > self.version:
-            return None  # changes to a list that is no longer held
+            return None  # these are changes to a list that has been replaced
         if endpoint_list.version < self.version:
             if self._is_continuous or position <= self._accepted_position:
                 return None
             if not endpoint_list.is_complete:
                 self._needs_complete_list = True
                 raise InconsistentChangesError(
-                    f"changes up to {endpoint_list.version} for a list of {self.version}"
+                    f"changes have version {endpoint_list.version}, the current list has {self.version}"
                 )
             endpoints = tuple(self._keep_unavailable(endpoint) for endpoint in endpoint_list.endpoints)
             endpoint_list = replace(endpoint_list, endpoints=endpoints)
@@ -74,7 +83,7 @@
         return endpoint_list
 
     def _keep_unavailable(self, endpoint: ListedEndpoint) -> ListedEndpoint:
-        """Return what an older list says of a server, except where a newer list said it was unavailable."""
+        """Return an entry of an older list, but keep a server draining or gone if a newer list said so."""
         entry = endpoint.entry
         started_at = entry.started_at or 0
         previous = self._entries.get(entry.server)
--- a/sidecar/discovery/hedged_poll.py
+++ b/sidecar/discovery/hedged_poll.py
@@ -1,16 +1,17 @@
-"""One poll of discovery that survives silent connections: overdue, it is repeated on a further connection.
+"""A poll of discovery that is hedged: if it is overdue, it is repeated on another connection.
 
-A connection may fall silent, and its poll is never answered.  What such a watch misses counts as notified
-2 s after the wait that it asked for, and the drain grace later nothing may be sent to a server that is
-draining.  So an overdue poll is repeated beside the first, and whichever is answered first counts:
+A poll on a stalled connection is never answered.  The platform regards a change as notified 2 s after the
+wait of the watch that should have reported it, even if that response was lost.  When the drain grace period
+after that has passed, nothing may be sent to a draining server any more.  So an overdue poll is repeated on
+a second and a third connection, and the first response is used:
 
-    wait + 0.5 s  the watch is overdue: a second connection polls for all changes, without a wait
-    wait + 1.5 s  that one is silent as well: a third
+    wait + 0.5 s  the watch is overdue: a second connection polls for all changes without a wait
+    wait + 1.5 s  the second connection has not answered either: a third is used
     wait + 2 s    changes count as notified
-    wait + 5 s    no connection was answered: the poll has failed
+    wait + 5 s    no connection has answered: the poll has failed
 
-A poll without a wait is overdue after 3.5 s: its response may be queued in discovery for 3 s, and what a
-silent one misses counts as notified 6 s after it began.
+A poll without a wait is overdue after 3.5 s.  Its response may be queued in discovery for 3 s, and changes
+that it should have reported count as notified 6 s after the poll began.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 from sidecar.discovery.connection import DiscoveryConnection, PollFailedError
 from sidecar.discovery.endpoint_list import EndpointList
 
-POLL_OVERDUE_S = 3.5  # of a poll without a wait
-WATCH_OVERDUE_S = 0.5  # of a watch, after its wait
-HEDGE_OVERDUE_S = 1.0  # of a poll that was sent beside an overdue one
-MAX_CONNECTIONS = 3  # for one poll
-POLL_TIMEOUT_S = 5.0  # after its wait
+POLL_OVERDUE_S = 3.5  # after the start of a poll without a wait
+WATCH_OVERDUE_S = 0.5  # after the end of a watch's wait
+HEDGE_OVERDUE_S = 1.0  # after the start of a hedged poll
+MAX_CONNECTIONS = 3  # per poll: the first and two hedges
+POLL_TIMEOUT_S = 5.0  # after the end of the wait
 
 
 class HedgedPoll:
-    """One poll, over as many connections as it takes; the connection that is answered first is kept."""
+    """A poll on up to `MAX_CONNECTIONS` connections; the one that answers first is kept."""
 
     def __init__(
         self,
@@ -38,7 +39,7 @@
         wait_ms: int,
         connection: DiscoveryConnection | None = None,
     ) -> None:
-        """`connection` answered an earlier poll, and is used first."""
+        """The `connection` of an earlier poll is used first, if given."""
         self._address = address
         self._after_version = after_version
         self._wait_ms = wait_ms
@@ -46,15 +47,17 @@
         self._polls: dict[asyncio.Task[EndpointList], DiscoveryConnection] = {}
 
     async def result(self) -> EndpointList:
-        """Return the first response; raise PollFailedError if there is none."""
+        """Return the first response; raises PollFailedError if there is none."""
         try:
             async with asyncio.timeout(self._wait_ms / 1_000 + POLL_TIMEOUT_S):
                 return await self._first_response()
         except TimeoutError:
-            raise PollFailedError(f"no response within {POLL_TIMEOUT_S} s after the wait") from None
+            raise PollFailedError(
+                f"no response within {POLL_TIMEOUT_S} s after a wait of {self._wait_ms} ms"
+            ) from None
 
     def close(self) -> DiscoveryConnection | None:
-        """Cancel polls that are still waiting; return the connection that was answered."""
+        """Cancel pending polls and close their connections; return the connection that answered, if any."""
         polls, self._polls = self._polls, {}
         for task, connection in polls.items():
             task.cancel()
@@ -83,7 +86,8 @@
                 connection.close()
                 failed += 1
             if not self._polls or failed == MAX_CONNECTIONS - 1:
-                raise PollFailedError(f"{failed} of {started} polls failed")  # the first is as good as silent
+                # If both hedges have failed, the first connection, which is overdue, is assumed to be stalled.
+                raise PollFailedError(f"{failed} of {started} connections failed")
             if may_hedge:
                 self._start(DiscoveryConnection(self._address), 0)
                 started, overdue_s = started + 1, HEDGE_OVERDUE_S
@@ -96,6 +100,6 @@
 
 
 def _retrieve_exception(task: asyncio.Task[EndpointList]) -> None:
-    """Keep the event loop from reporting a failure: of polls beside each other some fail in vain."""
+    """Retrieve a task's exception, so that the event loop does not log it: other connections may succeed."""
     if not task.cancelled():
         task.exception()
--- a/sidecar/discovery/watcher.py
+++ b/sidecar/discovery/watcher.py
@@ -1,4 +1,4 @@
-"""Watches the endpoint list: polls that discovery answers when there are changes, one after another."""
+"""Watches the endpoint list by consecutive long polls, which discovery answers when there are changes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from sidecar.discovery.hedged_poll import HedgedPoll
 
 _MAX_WAIT_MS = 20_000
-# Part of the wait by which it may be shorter, at random: where all watches of a cluster break at once, they
-# must not all come back at once.
+# Maximum fraction by which a wait is shortened at random.  When all watches of a cluster are interrupted at
+# once, the jitter keeps them from returning at once each time.
 _WAIT_JITTER = 0.25
 
 
 class Watcher:
-    """One watch of discovery at one address."""
+    """A watch of the endpoint list at one address of discovery."""
 
     def __init__(
         self,
@@ -33,12 +33,12 @@
         self._random = random
         self._on_list = on_list
         self._on_first_response = on_first_response
-        self.has_response = False  # whether a poll has been answered
+        self.has_response = False  # whether any poll has been answered
 
     async def run(self) -> None:
-        """Watch until a poll fails, then raise PollFailedError.
+        """Watch until a poll fails, which raises PollFailedError.
 
-        The first poll does not wait, so that it is answered soon.
+        The first poll has no wait, so that it is answered immediately.
         """
         connection: DiscoveryConnection | None = None
         wait_ms = 0
@@ -59,7 +59,7 @@
     def _response_received(
         self, endpoint_list: EndpointList, position: int, after_version: int | None
     ) -> None:
-        """Report a list that is newer; the first response is reported whatever it says."""
+        """Report newer lists; the first response is always reported, if need be as a list without changes."""
         try:
             newer_list = self._tracker.accept(endpoint_list, position, after_version)
         except InconsistentChangesError as error:
--- a/sidecar/errors.py
+++ b/sidecar/errors.py
@@ -1,7 +1,7 @@
-"""The base of all errors that the sidecar raises itself."""
+"""The base class of the sidecar's own exceptions."""
 
 from __future__ import annotations
 
 
 class SidecarError(Exception):
-    """Something that the sidecar was given can't be used; the message names the thing and the value."""
+    """An input of the sidecar is invalid; the message names the input and its value."""
--- a/sidecar/event_dispatcher.py
+++ b/sidecar/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Brings events to the balancer, one at a time, and has the actions that it returns executed.
+"""Passes events to the balancer one at a time, and executes the actions that it returns.
 
 This is the only caller of `Balancer.handle`.
 """
@@ -17,7 +17,7 @@
 
 
 class EventDispatcher:
-    """The queue of events in front of the balancer."""
+    """Queues events for the balancer and executes the resulting actions."""
 
     def __init__(self, balancer: Balancer, clock: Clock, requests: OpenRequests, log: EventLog) -> None:
         self._balancer = balancer
@@ -29,7 +29,7 @@
         self.execute: Callable[[Action], None] = lambda _action: None
 
     def dispatch(self, event: Event) -> None:
-        """Handle an event at once; from within the handling of another, right after it and in order."""
+        """Handle an event now or, if called while another event is handled, after that one, in order."""
         self._events.append(event)
         if self._is_handling:
             return
@@ -42,7 +42,7 @@
 
     def _handle(self, event: Event) -> None:
         if isinstance(event, AttemptEnded):
-            # Looked up only now: an event before this one may have answered the request.
+            # Determined only here, because an event that was queued earlier may have answered the request.
             event.is_request_answered = self._requests.is_answered(event.request)
         try:
             for action in self._balancer.handle(self._clock.now(), event):
@@ -53,7 +53,7 @@
             self._requests.remove_if_finished(event.request)
 
     def _handle_internal_error(self, event: Event, error: Exception) -> None:
-        """Keep running after a defect in the balancer, and leave no client without a response."""
+        """Log an exception that an event caused, and answer its request with status 500."""
         self._log(InternalError(type(event).__name__, error))
         if isinstance(event, (RequestArrived, AttemptEnded)):
             self._requests.respond(event.request, 500)
--- a/sidecar/graceful_shutdown.py
+++ b/sidecar/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Ends a process without losing a request: what was received is answered, then all connections are closed."""
+"""Shuts a process down without losing requests: answers all that were received, then closes connections."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from sidecar.open_requests import OpenRequests
 from sidecar.shutdown_state import ShutdownState
 
-_ACCEPT_FOR_S = 0.4  # how long after SIGTERM new connections may keep coming
-_QUIET_S = 0.05  # without a new connection, before the listener closes
-_KILL_DELAY_S = 0.7  # SIGKILL comes no sooner after SIGTERM than this and the longest deadline
-_MAX_DEADLINE_S = 3.0  # as far as longer deadlines count for that
-_MAX_STREAMING_S = 600.0  # how long a response that is passed through may delay the end
-_RESERVE_S = 0.1  # of the time until SIGKILL, kept for the last responses
-_CLOSE_WAIT_S = 0.08  # of that reserve, for clients to read them and close
+_ACCEPT_PERIOD_S = 0.4  # from SIGTERM; new connections may still arrive for as long as this
+_ACCEPT_QUIET_PERIOD_S = 0.05  # without a new connection, after which the listener is closed
+_KILL_DELAY_S = 0.7  # SIGKILL follows SIGTERM after at least the longest deadline plus this time
+_MAX_DEADLINE_S = 3.0  # longer deadlines do not delay SIGKILL any further
+_MAX_STREAMING_S = 600.0  # for which a response that is being streamed may delay the exit
+_RESPONSE_RESERVE_S = 0.1  # before SIGKILL, reserved for sending the last responses
+_CLOSE_TIMEOUT_S = 0.08  # within that reserve, for clients to read the last responses and close
 _POLL_INTERVAL_S = 0.01
 _CLOSE_POLL_INTERVAL_S = 0.005
 
 
 class GracefulShutdown:
-    """The shutdown of one process, step by step."""
+    """The steps of a graceful shutdown of one process."""
 
     def __init__(
         self,
@@ -34,27 +34,29 @@
         *,
         owns_listener: bool,
     ) -> None:
-        """Not `owns_listener`: the platform holds the listening socket, and a successor accepts from it."""
-        longest_s = max(service_class.deadline_us for service_class in settings.classes) / 1e6
+        """Without `owns_listener`, the platform holds the listening socket, and a new process uses it."""
+        longest_deadline_s = max(service_class.deadline_us for service_class in settings.classes) / 1e6
         self._clock = clock
         self._downstream = downstream
         self._requests = requests
         self._state = state
         self._owns_listener = owns_listener
-        self._time_s = min(longest_s, _MAX_DEADLINE_S) + _KILL_DELAY_S - _RESERVE_S
-        self._began_at_s = 0.0  # by the event loop's clock
+        self._response_period_s = (
+            min(longest_deadline_s, _MAX_DEADLINE_S) + _KILL_DELAY_S - _RESPONSE_RESERVE_S
+        )
+        self._started_at_s = 0.0  # on the event loop's clock
 
     def begin(self) -> None:
-        """Ask clients to go elsewhere, and limit the time of their requests."""
-        self._began_at_s = asyncio.get_running_loop().time()
-        self._state.begin(respond_by=self._clock.now() + int(self._time_s * 1e6))
+        """Start draining clients, and set the time by which all requests must be answered."""
+        self._started_at_s = asyncio.get_running_loop().time()
+        self._state.begin(respond_by=self._clock.now() + int(self._response_period_s * 1e6))
         self._downstream.drain()
 
     async def complete_requests(self) -> None:
-        """Answer all requests, also those that still come, and wait for clients to close."""
+        """Answer all requests, including those that still arrive, and wait for clients to close."""
         if self._owns_listener:
             await self._accept_late_connections()
-        # In a socket that the platform holds, connections stay queued and the successor accepts them.
+        # Connections that are queued in a socket held by the platform are accepted by the new process.
         self._downstream.stop_listening(accept_the_rest=self._owns_listener)
         await self._wait_for_responses()
         self._answer_overdue_requests()
@@ -62,16 +64,16 @@
         await self._wait_for_clients_to_close()
 
     async def _accept_late_connections(self) -> None:
-        """Keep accepting while new connections keep coming."""
+        """Keep accepting until no new connection has arrived for the quiet period."""
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(_ACCEPT_FOR_S)
-        latest_end_s = self._began_at_s + _KILL_DELAY_S
-        while loop.time() < min(self._downstream.last_opened + _QUIET_S, latest_end_s):
-            await asyncio.sleep(_QUIET_S / 2)
+        await asyncio.sleep(_ACCEPT_PERIOD_S)
+        ends_at_s = self._started_at_s + _KILL_DELAY_S
+        while loop.time() < min(self._downstream.last_opened + _ACCEPT_QUIET_PERIOD_S, ends_at_s):
+            await asyncio.sleep(_ACCEPT_QUIET_PERIOD_S / 2)
 
     async def _wait_for_responses(self) -> None:
         loop = asyncio.get_running_loop()
-        ends_at_s = self._began_at_s + self._time_s
+        ends_at_s = self._started_at_s + self._response_period_s
         while (self._requests.unanswered or not self._downstream.is_empty) and loop.time() < ends_at_s:
             self._downstream.close_idle()
             await asyncio.sleep(_POLL_INTERVAL_S)
@@ -83,15 +85,15 @@
                 self._requests.respond(number, 504)
 
     async def _wait_for_streaming(self) -> None:
-        """Let responses that are passed through continue: whoever cuts one off loses it."""
+        """Wait until responses that are being streamed are complete, as they would be truncated otherwise."""
         loop = asyncio.get_running_loop()
-        ends_at_s = self._began_at_s + _MAX_STREAMING_S
+        ends_at_s = self._started_at_s + _MAX_STREAMING_S
         while self._downstream.is_streaming_response and loop.time() < ends_at_s:
             await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def _wait_for_clients_to_close(self) -> None:
-        """Let clients read the last responses: the end of the process resets what is open."""
+        """Let clients read the last responses: connections still open when the process exits are reset."""
         loop = asyncio.get_running_loop()
-        ends_at_s = loop.time() + _CLOSE_WAIT_S
+        ends_at_s = loop.time() + _CLOSE_TIMEOUT_S
         while not self._downstream.is_empty and loop.time() < ends_at_s:
             await asyncio.sleep(_CLOSE_POLL_INTERVAL_S)
--- a/sidecar/hot_restart.py
+++ b/sidecar/hot_restart.py
@@ -1,4 +1,4 @@
-"""Shares the connection limits between two processes of one sidecar while a hot restart has both running."""
+"""Divides the connection limits between the two processes of a sidecar that run during a hot restart."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from sidecar.process_lock import ProcessLock
 
-_RESERVED_SOCKETS = 48  # for everything but clients, servers and the admin interface
-_MAX_DOWNSTREAM_SHARE = 1 / 3  # of all sockets, as the platform's terms allow
-_DOWNSTREAM_SHARE = 1 / 2  # of the sockets that are not reserved, where that is less
+_RESERVED_SOCKETS = 48  # for uses other than clients, servers and the admin interface
+_MAX_DOWNSTREAM_SHARE = 1 / 3  # of all sockets; the most that the platform allows for clients
+_DOWNSTREAM_SHARE = 1 / 2  # of the sockets that are not reserved, if that is less
 _POLL_INTERVAL_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """How many connections one process may have."""
+    """The maximum numbers of connections of one process."""
 
     downstream: int
     upstream: int
@@ -25,10 +25,10 @@
 def connection_limits(
     max_sockets: int, max_admin_connections: int, *, is_only_process: bool
 ) -> ConnectionLimits:
-    """Divide the sockets of a sidecar.
+    """Divide the sockets of a sidecar between clients, servers and, in a hot restart, two processes.
 
-    Two processes get half of the upstream connections each.  Clients get their share of all sockets whichever
-    process they are connected to: in a hot restart they move from one to the other within a moment.
+    Each of two processes gets half of the upstream connections.  The downstream limit is not halved, because
+    during a hot restart all clients move from one process to the other almost at once.
     """
     available = max_sockets - _RESERVED_SOCKETS - max_admin_connections
     downstream = int(min(max_sockets * _MAX_DOWNSTREAM_SHARE, available * _DOWNSTREAM_SHARE))
@@ -36,17 +36,17 @@
 
 
 class HotRestart:
-    """Watches for another process of this sidecar."""
+    """Detects whether another process of this sidecar is running."""
 
     def __init__(self, process_lock: ProcessLock | None) -> None:
-        """Without a lock, this process is the only one."""
+        """Without a process lock, this process is assumed to be the only one."""
         self._process_lock = process_lock
         self._timer: asyncio.TimerHandle | None = None
         self._on_change: Callable[[], None] = lambda: None
-        self.is_only_process = not self.has_other_process()  # when last polled
+        self.is_only_process = not self.has_other_process()  # as of the last poll
 
     def has_other_process(self) -> bool:
-        """Check now whether another process of this sidecar is alive."""
+        """Check now whether another process of this sidecar is running."""
         return self._process_lock is not None and not self._process_lock.is_only_process()
 
     def watch(self, on_change: Callable[[], None]) -> None:
--- a/sidecar/interfaces.py
+++ b/sidecar/interfaces.py
@@ -1,6 +1,7 @@
-"""Interfaces between the sides of the proxy, so that neither side imports the other for them.
+"""Interfaces between the downstream and the upstream side, so that neither has to import the other.
 
-Not compiled, so that no types are checked at each call: event loops have transport classes of their own.
+This module is not compiled: mypyc would check the types at each call, and event loops such as uvloop have
+transport classes that don't derive from asyncio's.
 """
 
 from __future__ import annotations
@@ -9,67 +10,67 @@
 
 
 class Transport(Protocol):
-    """The part of asyncio.Transport that is used here."""
+    """The methods of asyncio.Transport that the sidecar uses."""
 
     def write(self, data: bytes) -> None:
-        """Write or buffer these bytes."""
+        """Send the data, or buffer what can't be sent now."""
 
     def close(self) -> None:
-        """Close after the buffered bytes are sent."""
+        """Close the connection after buffered data is sent."""
 
     def abort(self) -> None:
-        """Close at once; buffered bytes are discarded."""
+        """Close the connection at once and discard buffered data."""
 
     def is_closing(self) -> bool:
-        """Whether it is closed or about to be."""
+        """Return whether the transport is closed or closing."""
 
     def is_reading(self) -> bool:
-        """Whether received data is delivered at present."""
+        """Return whether received data is delivered to the protocol."""
 
     def pause_reading(self) -> None:
-        """Deliver no received data until `resume_reading`."""
+        """Stop delivering received data until `resume_reading` is called."""
 
     def resume_reading(self) -> None:
-        """Deliver received data again."""
+        """Resume delivering received data."""
 
     def can_write_eof(self) -> bool:
-        """Whether `write_eof` is supported."""
+        """Return whether `write_eof` is supported."""
 
     def write_eof(self) -> None:
-        """Close the sending side after the buffered bytes are sent."""
+        """Half-close the connection after buffered data is sent."""
 
     def get_write_buffer_size(self) -> int:
-        """Return the number of bytes that are buffered for sending."""
+        """Return the number of bytes in the write buffer."""
 
     def set_write_buffer_limits(self, high: int) -> None:
-        """Call `pause_writing` of the protocol above `high` buffered bytes."""
+        """Call the protocol's `pause_writing` when more than `high` bytes are buffered."""
 
     def get_extra_info(self, name: str) -> Any:
-        """Return a property of the connection by its name, or None."""
+        """Return information about the connection, such as its `socket`; None if it is not available."""
 
 
 class ResponseSource(Protocol):
-    """Where a response that is passed through comes from."""
+    """The origin of a streamed response: a connection to a server."""
 
     def pause(self) -> None:
-        """Stop reading until `resume`."""
+        """Stop reading the response until `resume` is called."""
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading the response."""
 
 
 class ResponseSink(Protocol):
-    """Where a response that is passed through goes to."""
+    """The destination of a streamed response: a connection to a client."""
 
     def write(self, data: bytes) -> bool:
-        """Write some of it; return whether more may follow now, else the source is resumed later."""
+        """Write a part of the body; return whether to continue, else the source is resumed later."""
 
 
 class RequestBodySink(Protocol):
-    """Where a request's body goes to: an exchange with a server."""
+    """The destination of a streamed request body: an exchange with a server."""
 
     def send_body(self, data: bytes) -> bool:
-        """Write some of it; return whether more may follow now."""
+        """Write a part of the body; return whether the next part may be written now."""
 
     def end_body(self) -> None:
-        """The body is complete."""
+        """Mark the body as complete."""
--- a/sidecar/log_events.py
+++ b/sidecar/log_events.py
@@ -1,7 +1,7 @@
-"""Every line that the sidecar writes to its log, as a typed event with a stable name.
+"""The log events of the sidecar: each line that it logs is a typed event with a stable name.
 
-An event is written as `NAME: TEXT` on one line.  Names are stable: operators search for them, and
-`docs/on-call.md` lists each with its meaning.  Writing lines at a limited rate is up to `sidecar.log_writer`.
+An event is written as `NAME: TEXT` on one line.  Operators search for the names, so these must not change;
+`docs/on-call.md` describes each event.  `sidecar.log_writer` writes the lines and limits their rate.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 class LogEvent:
-    """The base of all events; each is a dataclass whose fields appear in its text."""
+    """The base class of log events, which are dataclasses whose fields are inserted into their text."""
 
     __slots__ = ()
 
     name: ClassVar[str]
-    template: ClassVar[str]  # of the text: a format string over the fields
+    template: ClassVar[str]  # format string of the text; its placeholders are the fields
 
     def __str__(self) -> str:
         values = {field.name: _display(getattr(self, field.name)) for field in self._fields()}
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listening(LogEvent):
-    """Clients are accepted and the last known endpoint list is in use."""
+    """The sidecar accepts clients, and has applied the last known endpoint list."""
 
     name = "listening"
     template = "{sidecar} serves on {address}:{port}"
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted(LogEvent):
-    """SIGTERM or SIGINT came: requests in flight are completed, connections are closed."""
+    """SIGTERM or SIGINT was received: the sidecar completes open requests and closes connections."""
 
     name = "shutdown_started"
     template = "draining"
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InternalError(LogEvent):
-    """A defect; the request at hand got status 500, the sidecar keeps running."""
+    """An unexpected exception; the request concerned gets status 500, and the sidecar keeps running."""
 
     name = "internal_error"
     template = "{context}: {error!r}"
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinesDropped(LogEvent):
-    """Lines that the rate limit of the log suppressed before this one."""
+    """The log's rate limit suppressed this number of lines before this one."""
 
     name = "log_lines_dropped"
     template = "{count}"
@@ -101,7 +101,7 @@
     count: int
 
 
-# Starts that failed: written before there is a log, in a form that the platform knows
+# Failed starts: written before the log exists, in a form that the platform recognizes
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationReloaded(LogEvent):
-    """The configuration file was read again, and what may change at run time is in force."""
+    """The configuration file was reloaded; settings that can change at run time are in force."""
 
     name = "configuration_reloaded"
     template = "discovery is at {address}:{port}, version {version}"
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRejected(LogEvent):
-    """The configuration file is invalid or older than what is in force; nothing has changed."""
+    """The configuration file is invalid, or its version is older than the one in force; nothing changed."""
 
     name = "configuration_rejected"
     template = "{reason}"
@@ -151,7 +151,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartRequired(LogEvent):
-    """These keys of the new configuration only take effect at a restart."""
+    """The listed keys of the new configuration have changed, but only take effect at a restart."""
 
     name = "restart_required"
     template = "{keys}"
@@ -164,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientsDrained(LogEvent):
-    """Operators asked for clients to be sent away."""
+    """An operator requested that clients be drained."""
 
     name = "clients_drained"
     template = "clients are sent away"
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientsResumed(LogEvent):
-    """Operators asked for clients to be accepted again."""
+    """An operator requested that clients be accepted again."""
 
     name = "clients_resumed"
     template = "clients are accepted again"
@@ -180,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExclusionsFileIgnored(LogEvent):
-    """The file of excluded servers is invalid or can't be read."""
+    """The file of persisted exclusions is invalid or can't be read."""
 
     name = "exclusions_file_ignored"
     template = "{reason}"
@@ -190,7 +190,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExclusionsFileNotWritten(LogEvent):
-    """The file of excluded servers could not be written."""
+    """The file of persisted exclusions can't be written."""
 
     name = "exclusions_file_not_written"
     template = "{reason}"
@@ -200,7 +200,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessLockFailed(LogEvent):
-    """The lock file that marks this process as alive could not be created."""
+    """The lock file that marks this process as running can't be created."""
 
     name = "process_lock_failed"
     template = "{reason}"
@@ -213,7 +213,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerListenFailed(LogEvent):
-    """Datagrams of other sidecars can't be received; the sidecar serves without membership."""
+    """The address for datagrams of other sidecars can't be bound; the sidecar runs without membership."""
 
     name = "peer_listen_failed"
     template = "{reason}"
@@ -223,7 +223,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageNotSent(LogEvent):
-    """A message to other sidecars is too long, or its receiver does not exist."""
+    """A message to another sidecar is too long, or its receiver does not exist."""
 
     name = "peer_message_not_sent"
     template = "no such peer, or over {max_bytes} bytes"
@@ -233,7 +233,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChanged(LogEvent):
-    """The view of the cluster changed; at most one line a second."""
+    """The states of members changed; logged at most once a second."""
 
     name = "membership_changed"
     template = "{counts}: {changes}"
@@ -244,7 +244,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberNumberConflict(LogEvent):
-    """Another process uses this sidecar's number in `peers` for longer than a hot restart takes."""
+    """Another process has used this sidecar's member number for longer than a hot restart takes."""
 
     name = "member_number_conflict"
     template = "another process claims this sidecar's number {number}"
@@ -254,7 +254,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessStalled(LogEvent):
-    """The process did not run for a while; until it has caught up it declares no member dead."""
+    """The process was not scheduled for a while; it declares no member dead until it has caught up."""
 
     name = "process_stalled"
     template = "stood still for {stalled_s:.1f} s"
@@ -267,7 +267,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationInForceEverywhere(LogEvent):
-    """All present sidecars report that they have this version in force."""
+    """All present members have this version in force."""
 
     name = "configuration_in_force_everywhere"
     template = "version {version} after {after_s:.1f} s ({in_force} of {present})"
@@ -280,7 +280,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationNotEverywhere(LogEvent):
-    """Some sidecars report an older version, or none."""
+    """Some members have an older version in force, or have reported none."""
 
     name = "configuration_not_everywhere"
     template = (
@@ -292,13 +292,13 @@
     after_s: float
     in_force: int
     present: int
-    behind: str  # numbers of members
-    unheard: str  # likewise
+    behind: str  # numbers of the members with an older version
+    unheard: str  # numbers of the members that have reported no version
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationConflict(LogEvent):
-    """Two files with different contents were published under one version."""
+    """Two configuration files with different contents have the same version."""
 
     name = "configuration_conflict"
     template = "two contents go by version {version}: digests {low_digest:08x} and {high_digest:08x}"
@@ -310,7 +310,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationMissing(LogEvent):
-    """Another sidecar has a newer version, but this one's file does not; from now on it is checked rarely."""
+    """Another member has a newer version than this sidecar's file, which is now checked less often."""
 
     name = "configuration_missing"
     template = "version {version}, first reported by {member}, is not in the file after {after_s:.0f} s"
@@ -322,7 +322,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationWithdrawn(LogEvent):
-    """No sidecar has this version in force any more; the version before counts again."""
+    """No member has this version in force any more, so the previous version is the newest again."""
 
     name = "configuration_withdrawn"
     template = "version {version}, first reported by {member}, is in force nowhere any more"
@@ -331,12 +331,12 @@
     member: int
 
 
-# Lines that the balancer words itself, and begins with a name
+# Lines of the balancer, which it formats itself
 
 
 @dataclass(frozen=True, slots=True)
 class BalancerLine(LogEvent):
-    """A line that the balancer asks for, written as it is."""
+    """A line that the balancer requested with a Log action; it begins with a name of its own."""
 
     text: str
 
--- a/sidecar/log_writer.py
+++ b/sidecar/log_writer.py
@@ -1,4 +1,4 @@
-"""Writes log events to standard error, at a limited rate: a log must not fill a disk."""
+"""Writes log events to standard error at a limited rate, so that the log can't fill a disk."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class LogWriter:
-    """A log whose rate is limited by a token bucket; the first line after a gap counts those dropped."""
+    """A log with a token-bucket rate limit; after dropped lines, the next line states their number."""
 
     def __init__(self) -> None:
         self._tokens = _BURST_LINES
--- a/sidecar/metrics.py
+++ b/sidecar/metrics.py
@@ -1,6 +1,6 @@
-"""Counters and gauges for operators, counted from 0 at the start of the process.
+"""Counters and gauges for operators; the counters start at 0 with the process.
 
-The names of the metrics are fixed: operators and their tools read them.
+Operators' tools depend on the names of the metrics, so these must not change.
 """
 
 from __future__ import annotations
@@ -8,12 +8,12 @@
 from collections.abc import Iterable
 from enum import Enum, unique
 
-_REJECTION_STATUSES = (429, 503)  # clients take both for a rejection, whoever sent it
+_REJECTION_STATUSES = (429, 503)  # clients treat both as rejections, also if a server sent them
 
 
 @unique
 class RequestResult(Enum):
-    """How a request ended; the value is the metric's name."""
+    """The result of a request; the value is the name of its counter."""
 
     COMPLETED = "completed"
     REJECTED = "rejected"
@@ -21,14 +21,14 @@
 
     @classmethod
     def of_status(cls, status: int) -> RequestResult:
-        """Return the result that the status of a final response stands for."""
+        """Return the result that corresponds to the status of a final response."""
         if status == 200:
             return cls.COMPLETED
         return cls.REJECTED if status in _REJECTION_STATUSES else cls.FAILED
 
 
 class Metrics:
-    """Counts final responses by service class, and attempts."""
+    """Counts final responses by service class and result, and attempts."""
 
     def __init__(self, service_classes: Iterable[str]) -> None:
         self._responses = {name: dict.fromkeys(RequestResult, 0) for name in service_classes}
@@ -39,14 +39,16 @@
         self._responses[service_class][RequestResult.of_status(status)] += 1
 
     def attempt_sent(self) -> None:
-        """Count an attempt whose last byte was written to a server."""
+        """Count an attempt after its last byte was written to a server."""
         self._attempts += 1
 
     def snapshot(self, pending: int, members: int, unavailable: int) -> dict[str, object]:
-        """Return all metrics under their names.
+        """Return all metrics by name.
 
-        `pending` requests have no final response yet; `members` is the length of the endpoint list, of which
-        `unavailable` get no requests.
+        Args:
+            pending: number of requests that have arrived completely and have no final response yet.
+            members: number of servers in the endpoint list.
+            unavailable: number of those servers that get no requests.
         """
         return {
             "downstream_requests": {
--- a/sidecar/open_requests.py
+++ b/sidecar/open_requests.py
@@ -1,6 +1,6 @@
-"""The requests that are open: from their arrival until they are answered and all their attempts have ended.
+"""Tracks open requests: from their arrival until they are answered and all their attempts have ended.
 
-A client gets its final response from here and nowhere else.
+Final responses are sent to clients only from this module.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 
 class OpenRequest:
-    """A request, its client while a response is owed to it, and its attempts by number."""
+    """A request, its attempts by number and, until it is answered, the connection of its client."""
 
     __slots__ = ("attempts", "attempts_in_flight", "client", "incoming", "last_outcome", "streaming_attempt")
 
     def __init__(self, client: DownstreamConnection, incoming: IncomingRequest) -> None:
-        self.client: DownstreamConnection | None = client  # None: it has its response, or disconnected
+        self.client: DownstreamConnection | None = client  # None after the response or a disconnect
         self.incoming = incoming
         self.attempts: list[Attempt] = []
         self.attempts_in_flight = 0
-        self.streaming_attempt: int | None = None  # whose response is passed through to the client
+        self.streaming_attempt: int | None = None  # the attempt whose response is streamed
         self.last_outcome: Outcome | None = None
 
     @property
@@ -38,12 +38,12 @@
     """The table of open requests by number."""
 
     def __init__(self, metrics: Metrics, withdraw: Callable[[Attempt], None]) -> None:
-        """`withdraw` stops an attempt from being started, when its request is settled before that."""
+        """`withdraw` is called for each attempt of an answered request, so that none is sent after that."""
         self._metrics = metrics
         self._withdraw = withdraw
         self._requests: dict[int, OpenRequest] = {}
         self._next_number = 1
-        self.unanswered = 0  # requests that are owed a final response
+        self.unanswered = 0  # number of requests without a final response
 
     def __len__(self) -> int:
         return len(self._requests)
@@ -52,7 +52,7 @@
         return self._requests[number]
 
     def get(self, number: int) -> OpenRequest | None:
-        """Return a request; None if it is over."""
+        """Return a request; None if it is no longer open."""
         return self._requests.get(number)
 
     def numbers(self) -> list[int]:
@@ -61,12 +61,12 @@
 
     @property
     def pending(self) -> int:
-        """How many requests have arrived completely and are unanswered."""
+        """The number of unanswered requests that have arrived completely."""
         unanswered = (request for request in self._requests.values() if request.client is not None)
         return self.unanswered - sum(not request.is_body_complete for request in unanswered)
 
     def add(self, client: DownstreamConnection, incoming: IncomingRequest) -> int:
-        """Add a request that has just arrived; return its number."""
+        """Add a request; return its number."""
         number = self._next_number
         self._next_number += 1
         self._requests[number] = OpenRequest(client, incoming)
@@ -74,12 +74,12 @@
         return number
 
     def is_answered(self, number: int) -> bool:
-        """Return whether nothing is owed to the client any more."""
+        """Return whether the request has its final response, or its client has disconnected."""
         request = self._requests.get(number)
         return request is None or request.client is None
 
     def respond(self, number: int, status: int, headers: Headers | None = None, body: bytes = b"") -> None:
-        """Send the final response, unless the request has been answered."""
+        """Send the final response, unless the request is answered already."""
         client = self.release_client(number)
         if client is not None:
             self._metrics.response_sent(self._requests[number].incoming.service_class, status)
@@ -87,7 +87,7 @@
         self.remove_if_finished(number)
 
     def finish_streaming(self, number: int, *, is_complete: bool) -> None:
-        """End a response that was passed through; a client sees by an abort that it is not complete."""
+        """End a streamed response; if it is incomplete, abort the connection so that the client notices."""
         client = self.release_client(number)
         if client is None:
             return
@@ -99,7 +99,7 @@
             client.abort()
 
     def release_client(self, number: int) -> DownstreamConnection | None:
-        """Owe nothing from here on; return the client if something was owed to it."""
+        """Mark a request as answered; return its client, or None if it was answered before."""
         request = self._requests.get(number)
         if request is None or request.client is None:
             return None
@@ -110,7 +110,7 @@
         return client
 
     def remove_if_finished(self, number: int) -> None:
-        """Forget a request that is answered and has no attempt in flight."""
+        """Remove a request if it is answered and has no attempt in flight."""
         request = self._requests.get(number)
         if request is not None and request.client is None and request.attempts_in_flight == 0:
             del self._requests[number]
--- a/sidecar/persisted_exclusions.py
+++ b/sidecar/persisted_exclusions.py
@@ -1,9 +1,9 @@
-"""Stores the servers that operators excluded in a small file that outlives the process.
+"""Stores the servers that operators excluded in a small file that persists across restarts.
 
-During a hot restart two processes serve as one sidecar for some seconds, and the file is how they agree: the
-one that receives an admin request changes it under a lock, and both poll it.  It is replaced atomically, so
-a reader sees either the old or the new content, even if the writer is killed.  Applying an exclusion to
-connections and to the balancer is up to the caller.
+During a hot restart two processes of a sidecar run for some seconds, and share their exclusions by this file:
+the process that receives an admin request updates the file under a lock, and both poll it.  The file is
+replaced atomically, so readers see either the old or the new content even if the writer is killed.  The
+caller applies exclusions to connections and to the balancer.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 _FILE_NAME = "excluded.json"
 _MAX_FILE_BYTES = 1 << 20
 _POLL_INTERVAL_S = 0.1
-_FILE_MODE = 0o666  # less the umask
+_FILE_MODE = 0o666  # before the umask is applied
 
 
 class ExclusionsFileError(SidecarError):
-    """The file of excluded servers is not of the expected form."""
+    """The content of the file of excluded servers is invalid."""
 
 
 class PersistedExclusions:
-    """The file of excluded servers, as seen by one of the processes that share it."""
+    """The file of excluded servers, which the processes of a sidecar share."""
 
     def __init__(self, directory: Path, log: EventLog) -> None:
-        """`directory` is shared by all processes of this sidecar."""
+        """The `directory` is shared by all processes of this sidecar."""
         self._path = directory / _FILE_NAME
         self._log = log
-        self._last_read: tuple[int, int] | None = None  # identity of the file that was read or written last
+        self._last_read: tuple[int, int] | None = None  # identity of the last file read or written
         self._poll_timer: asyncio.TimerHandle | None = None
         self._on_change: Callable[[frozenset[str]], None] | None = None
 
     def read(self) -> frozenset[str] | None:
-        """Return the excluded servers; None if there is no file, or if it is invalid, which is logged."""
+        """Return the excluded servers; None if there is no file, or if it is invalid (which is logged)."""
         try:
             with open(self._path, "rb", opener=_open_without_blocking) as file:
                 self._last_read = _file_identity(os.fstat(file.fileno()))
@@ -53,9 +53,10 @@
             return None
 
     def record(self, server: str, known_exclusions: frozenset[str], *, is_excluded: bool) -> None:
-        """Store that a server is excluded or included again; a failure to write is logged.
+        """Add a server to the file or remove it; a failure to write is logged.
 
-        `known_exclusions`, as far as this process knows, stand in for a file that is missing or invalid.
+        `known_exclusions` are the excluded servers that this process knows of.  They replace the content of a
+        file that is missing or invalid.
         """
         try:
             lock_path = self._path.with_suffix(".lock")
@@ -68,12 +69,12 @@
             self._log(ExclusionsFileNotWritten(str(error)))
 
     def watch(self, on_change: Callable[[frozenset[str]], None]) -> None:
-        """Start polling for changes by another process; `on_change` is called with all excluded servers."""
+        """Poll for changes by another process, and call `on_change` with all excluded servers after each."""
         self._on_change = on_change
         self._poll()
 
     def check(self) -> None:
-        """Report a change by another process at once, if `watch` was called."""
+        """Check now for a change by another process; does nothing unless `watch` was called."""
         if self._on_change is not None and self._has_changed():
             excluded = self.read()
             if excluded is not None:
@@ -102,7 +103,7 @@
 
 
 def _open_without_blocking(path: str, flags: int) -> int:
-    """Open a file without waiting: if a named pipe is in its place, nobody may ever open the other end."""
+    """Open a file in non-blocking mode: opening a named pipe in its place could block forever otherwise."""
     return os.open(path, flags | os.O_NONBLOCK, _FILE_MODE)
 
 
@@ -113,5 +114,5 @@
 def _decode_servers(content: object) -> list[str]:
     servers = content.get("excluded") if isinstance(content, dict) else None
     if not isinstance(servers, list) or not all(isinstance(server, str) and server for server in servers):
-        raise ExclusionsFileError('an object with a list of ids, "excluded", is needed')
+        raise ExclusionsFileError('the file must hold an object whose key "excluded" is a list of server ids')
     return servers
--- a/sidecar/process_lock.py
+++ b/sidecar/process_lock.py
@@ -1,7 +1,7 @@
-"""Tells whether another process of this sidecar is alive: during a hot restart there are two.
+"""Detects whether another process of this sidecar is running, as during a hot restart.
 
-Each process holds a lock on a file of its own in the directory that they share.  The system releases the lock
-when the process ends, however it ends.
+Each process holds a lock on its own file in a shared directory.  The operating system releases the lock when
+the process ends, even if it is killed.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ProcessLock:
-    """The lock file of this process, and a check of those of others."""
+    """The lock file of this process, and a check for locked files of other processes."""
 
     def __init__(self, directory: Path, log: EventLog, name: str | None = None) -> None:
         """Take the lock; a failure is logged.  `name` identifies this process, by default its process id."""
@@ -25,7 +25,8 @@
         self._path = directory / f"{_LOCK_PREFIX}{name or os.getpid()}"
         self._descriptor = _NO_DESCRIPTOR
         try:
-            # Locked before it gets its name, so that nobody mistakes it for that of a process that ended.
+            # Locked under a temporary name: an unlocked file under the final name would be mistaken for that
+            # of an ended process, and removed.
             new_path = self._path.with_name(f"new-{self._path.name}")
             self._descriptor = os.open(new_path, os.O_CREAT | os.O_RDWR, 0o600)
             fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -34,7 +35,7 @@
             log(ProcessLockFailed(str(error)))
 
     def is_only_process(self) -> bool:
-        """Return whether no other process is alive; assumed where that can't be determined."""
+        """Return whether no other process is running; also True if that can't be determined."""
         try:
             others = [path for path in self._directory.glob(f"{_LOCK_PREFIX}*") if path != self._path]
             return not any(_is_locked(path) for path in others)
@@ -50,11 +51,11 @@
 
 
 def _is_locked(path: Path) -> bool:
-    """Return whether the process of a lock file is alive; remove the file of one that ended."""
+    """Return whether the process of a lock file is running; remove the file if it has ended."""
     try:
         descriptor = os.open(path, os.O_RDWR)
     except OSError:
-        return False  # it has just been removed
+        return False  # the file has just been removed
     try:
         fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
         path.unlink(missing_ok=True)
--- a/sidecar/protocol_runner.py
+++ b/sidecar/protocol_runner.py
@@ -1,4 +1,4 @@
-"""Runs a protocol that does no I/O of its own: gives it time, sends its datagrams and keeps its timer."""
+"""Runs a protocol that does no I/O itself: passes it events and the time, and executes its actions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from sidecar.log_events import EventLog, InternalError
 from sidecar.peers import Peers
 
-_RETRY_US = 1_000_000  # after an internal error, the next tick
+_RETRY_US = 1_000_000  # from an internal error to the next tick, if no tick is scheduled
 
 
 ProtocolT = TypeVar("ProtocolT")
@@ -19,25 +19,28 @@
 
 
 class ProtocolRunner(ABC, Generic[ProtocolT, ActionT]):
-    """Brings events to a protocol while there is one, and carries out its actions."""
+    """Passes events to a protocol while it is switched on, and executes its actions."""
 
-    _label: ClassVar[str]  # of the protocol, in log lines
+    _label: ClassVar[str]  # name of the protocol in log lines
 
     def __init__(self, clock: Clock, peers: Peers, log: EventLog) -> None:
-        self.protocol: ProtocolT | None = None  # None: switched off
+        self.protocol: ProtocolT | None = None  # None while it is switched off
         self._clock, self._peers, self._log = clock, peers, log
         self._timer = Timer(clock, self._tick)
 
     @abstractmethod
     def _handle(self, action: ActionT) -> None:
-        """Carry out an action that is neither a datagram nor a tick."""
+        """Execute an action other than SendDatagram and ScheduleTick."""
 
     @abstractmethod
     def _tick(self) -> None:
-        """Deliver the protocol's tick."""
+        """Pass a tick to the protocol."""
 
     def _deliver(self, event: Callable[[ProtocolT, int], Sequence[ActionT]]) -> None:
-        """Bring an event to the protocol; go on after an internal error in it."""
+        """Call `event` with the protocol and the time, and execute the returned actions.
+
+        An exception is logged, and the protocol keeps running.
+        """
         protocol, now = self.protocol, self._clock.now()
         if protocol is None:
             return
--- a/sidecar/request_intake.py
+++ b/sidecar/request_intake.py
@@ -1,4 +1,4 @@
-"""Turns what clients do into events for the balancer: requests, completed bodies and disconnects."""
+"""Reports clients' requests, completed bodies and disconnects to the balancer as events."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RequestIntake:
-    """Receives requests from the downstream side."""
+    """Receives requests from the downstream side, and dispatches them to the balancer."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         dispatch: Callable[[Event], None],
         on_request: Callable[[], None],
     ) -> None:
-        """`on_request` is called for each request, before it is dispatched."""
+        """Before each request is dispatched, `on_request` is called."""
         self._max_open_requests = settings.limits.max_open_requests
         self._clock = clock
         self._requests = requests
@@ -37,7 +37,7 @@
         self._on_request = on_request
 
     def request_received(self, client: DownstreamConnection, incoming: IncomingRequest) -> int | None:
-        """Take a request; return its number, or None if it has been answered already."""
+        """Dispatch a request; return its number, or None if it is answered already."""
         incoming.remaining_us = self._shutdown.limit_remaining_time(incoming.remaining_us, self._clock.now())
         number = self._requests.add(client, incoming)
         self._on_request()
@@ -59,20 +59,25 @@
         )
         return None if self._requests.is_answered(number) else number
 
-    def body_completed(self, number: int, waited_us: int) -> None:
-        """Start the time of a request whose streamed body has arrived; `waited_us` were spent in waiting."""
+    def body_completed(self, number: int, unread_us: int) -> None:
+        """Start the deadline of a request whose streamed body has arrived completely.
+
+        The deadline includes `unread_us`, the time that the last part spent unread in the socket buffer.
+        """
         request, now = self._requests[number], self._clock.now()
-        remaining_us = max(request.incoming.remaining_us - waited_us, 1)
+        remaining_us = max(request.incoming.remaining_us - unread_us, 1)
         remaining_us = self._shutdown.limit_remaining_time(remaining_us, now)
         for attempt in request.attempts:
             self._upstream.shorten_deadline(attempt, now + remaining_us)
         self._dispatch(RequestBodyCompleted(number, remaining_us))
 
     def client_disconnected(self, number: int) -> None:
-        """Stop what was done for a client that is gone."""
+        """Stop work for a client that has disconnected."""
         request = self._requests.get(number)
         if request is not None and request.streaming_attempt is not None:
-            self._upstream.cancel(request.attempts[request.streaming_attempt])  # nobody reads the rest
+            self._upstream.cancel(
+                request.attempts[request.streaming_attempt]
+            )  # its response can't be delivered
         self._requests.release_client(number)
         self._dispatch(ClientDisconnected(number))
         self._requests.remove_if_finished(number)
--- a/sidecar/shutdown_state.py
+++ b/sidecar/shutdown_state.py
@@ -1,10 +1,10 @@
-"""Whether the process is shutting down, and by when all requests must then be answered."""
+"""Whether the process is shutting down, and the time by which all requests must be answered then."""
 
 from __future__ import annotations
 
 
 class ShutdownState:
-    """Shared by all who behave differently during the graceful shutdown."""
+    """State shared by the components that behave differently during a graceful shutdown."""
 
     def __init__(self) -> None:
         self._respond_by: int | None = None  # clock time in microseconds
@@ -19,7 +19,7 @@
         self._respond_by = respond_by
 
     def limit_remaining_time(self, remaining_us: int, now: int) -> int:
-        """Return the time that a request has left, which ends with the shutdown; at least 1 us then."""
+        """Return the remaining time of a request, limited to the end of the shutdown but at least 1 us."""
         if self._respond_by is None:
             return remaining_us
         return max(min(remaining_us, self._respond_by - now), 1)
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar process: creates its components, connects them, starts and stops them."""
+"""A sidecar process: creates and connects its components, and starts and stops them."""
 
 from __future__ import annotations
 
@@ -31,22 +31,22 @@
 from sidecar.shutdown_state import ShutdownState
 from sidecar.upstream.upstream import Upstream
 
-_FIRST_LIST_TIMEOUT_S = 2.0  # how long a start waits for the list of an agent that pushes it
+_FIRST_LIST_TIMEOUT_S = 2.0  # maximum delay of a start for the first list of an agent that pushes lists
 
 
 class Sidecar:
-    """One sidecar process, from its start to its end."""
+    """The components of a sidecar process."""
 
     def __init__(
         self, configuration: Configuration, log: EventLog, listener: socket.socket | None = None
     ) -> None:
-        """`listener` is the clients' listening socket, where the platform holds it for all processes."""
+        """The `listener` for clients is given if the platform holds it, so that processes can share it."""
         self._configuration = configuration
         self._listener = listener
         self._log = log
         self._clock = Clock()
         self._shutdown_state = ShutdownState()
-        # Called when another sidecar has a newer version: the file has to be reloaded.
+        # Called when another sidecar reports a newer configuration version, so that the file is reloaded.
         self.on_newer_version: Callable[[], None] = lambda: None
         self._hot_restart = HotRestart(self._create_process_lock())
         self._persisted_exclusions = self._create_persisted_exclusions()
@@ -84,30 +84,33 @@
         self.downstream.listen(self._listener or bind_listener(configuration.listen_address))
 
     def reconfigure(self, configuration: Configuration) -> list[str]:
-        """Apply what may change at run time: addresses of discovery and of peers, membership and versions.
+        """Apply what can change at run time: addresses of discovery and peers, membership and version.
 
-        Returns the keys that differ but only take effect at a restart.  Raises ConfigurationError, and
-        changes nothing, if the version is older than that in force.
+        Returns:
+            The keys that differ but only take effect at a restart.
+
+        Raises:
+            ConfigurationError: the version is older than the one in force; nothing was changed.
         """
         self._cluster.check_version(configuration)
-        unchanged_keys = self._configuration.keys_requiring_restart(configuration)
+        keys_requiring_restart = self._configuration.keys_requiring_restart(configuration)
         self._discovery.change_address(configuration.discovery_address)
-        self._cluster.reconfigure(configuration, is_complete=not unchanged_keys)
-        return unchanged_keys
+        self._cluster.reconfigure(configuration, is_complete=not keys_requiring_restart)
+        return keys_requiring_restart
 
     @property
     def version(self) -> int | None:
-        """The version of the configuration that is in force; None where versions are not compared."""
+        """The version of the configuration in force; None if versions are not compared."""
         return self._cluster.version
 
     @property
     def open_requests(self) -> int:
-        """How many requests are unanswered, or have an attempt in flight."""
+        """The number of requests that are unanswered or have an attempt in flight."""
         return len(self._requests)
 
     @property
     def unanswered_requests(self) -> int:
-        """How many requests are owed a final response."""
+        """The number of requests without a final response."""
         return self._requests.unanswered
 
     @property
@@ -116,7 +119,7 @@
         return self._shutdown_state.is_shutting_down
 
     async def shut_down(self) -> None:
-        """Answer all requests that were received or still come, then close everything."""
+        """Shut down gracefully: answer all requests, including those that still arrive, then close."""
         shutdown = GracefulShutdown(
             self._configuration.settings,
             self._clock,
@@ -176,7 +179,7 @@
     def _create_upstream(self) -> Upstream:
         before_writing = None
         if self._persisted_exclusions is not None and self._listener is not None:
-            # The other process of a hot restart may have accepted an exclusion since the last poll.
+            # During a hot restart, the other process may have recorded an exclusion since the last poll.
             before_writing = self._persisted_exclusions.check
         return Upstream(
             self._clock,
@@ -229,7 +232,7 @@
             self._dispatcher.dispatch,
             self._cluster.request_received,
         )
-        # Two processes of a hot restart share the memory of one sidecar.
+        # During a hot restart, two processes share the memory limit of one sidecar.
         process_count = 1 if self._listener is None else 2
         return Downstream(
             self._configuration.settings,
--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -150,7 +150,7 @@
 
 def test_graceful_shutdown_completes_long_response(monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against losing what its server is still giving: whatever else has to be over, it goes on.
-    for name in ("_KILL_DELAY_S", "_MAX_DEADLINE_S", "_ACCEPT_FOR_S", "_RESERVE_S"):
+    for name in ("_KILL_DELAY_S", "_MAX_DEADLINE_S", "_ACCEPT_PERIOD_S", "_RESPONSE_RESERVE_S"):
         monkeypatch.setattr(graceful_shutdown, name, 0.0)
 
     async def work() -> None:
