--- a/deploy/native.py
+++ b/deploy/native.py
@@ -1,8 +1,9 @@
-"""Compiles the decisions and the codec to C, into `build/native`, where `run` and `sim` look first.
+"""Compiles the balancer and the HTTP codec with mypyc into `build/native`; `run` and `sim` import from there.
 
-Both are pure: no I/O, no transports of foreign classes, all types known.  The rest of the sidecar is copied
-as it is.  What was compiled from the same sources by the same tools is kept, so a further build takes a
-moment.  Where the compiler fails, the copies stay as they are: the same program, at the interpreter's pace.
+The compiled modules do no I/O, use no foreign transport classes and are fully typed.  The other modules of
+the sidecar are copied unchanged.  Compiled files are cached, and reused while the sources, the interpreter
+and the build tools are the same.  If compilation fails, the copied sources are used: the program is then the
+same, but is interpreted and slower.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-NATIVE = ROOT / "build" / "native"
-CACHE = ROOT / "build" / "compiled"
-TOOLS = ROOT / "requirements-build.txt"
+BUILD_DIRECTORY = ROOT / "build" / "native"
+CACHE_DIRECTORY = ROOT / "build" / "compiled"
+REQUIREMENTS = ROOT / "requirements-build.txt"
 PACKAGES = ("balancer", "sidecar")
-COMPILED = (
+COMPILED_MODULES = (
     "balancer/actions.py",
     "balancer/admission_control.py",
     "balancer/attempt_timeouts.py",
@@ -53,67 +54,71 @@
 )
 
 
-def digest(files: list[Path]) -> str:
-    """One name for these files' contents, this interpreter and the tools."""
-    hasher = hashlib.sha256(sys.version.encode() + TOOLS.read_bytes())
+def content_digest(files: list[Path]) -> str:
+    """Return a digest of the files, the interpreter's version and the versions of the build tools."""
+    hasher = hashlib.sha256(sys.version.encode() + REQUIREMENTS.read_bytes())
     for path in sorted(files):
         hasher.update(str(path.relative_to(ROOT)).encode() + b"\0" + path.read_bytes())
     return hasher.hexdigest()[:16]
 
 
-def copy_packages(into: Path) -> None:
+def copy_packages(destination: Path) -> None:
     for name in PACKAGES:
-        skipped = shutil.ignore_patterns("__pycache__", "*.so")
-        shutil.copytree(ROOT / name, into / name, ignore=skipped)
+        ignored = shutil.ignore_patterns("__pycache__", "*.so")
+        shutil.copytree(ROOT / name, destination / name, ignore=ignored)
 
 
-def compile_into(cached: Path) -> None:
-    """Compile copies of the sources, and keep the libraries that come of it."""
-    wanted = [sys.executable, "-m", "pip", "install", "-q", "--disable-pip-version-check"]
-    subprocess.run([*wanted, "-r", str(TOOLS)], check=True)
-    with tempfile.TemporaryDirectory(dir=CACHE.parent) as folder:
-        work = Path(folder)
+def compile_into(cache_entry: Path) -> None:
+    """Compile a copy of the sources, and store the shared libraries in the cache."""
+    install_command = [sys.executable, "-m", "pip", "install", "-q", "--disable-pip-version-check"]
+    subprocess.run([*install_command, "-r", str(REQUIREMENTS)], check=True)
+    with tempfile.TemporaryDirectory(dir=CACHE_DIRECTORY.parent) as directory:
+        work = Path(directory)
         copy_packages(work)
         subprocess.run(
-            [sys.executable, "-m", "mypyc", *COMPILED],
+            [sys.executable, "-m", "mypyc", *COMPILED_MODULES],
             cwd=work,
             check=True,
             stdout=subprocess.DEVNULL,
             stderr=subprocess.DEVNULL,
         )
         libraries = [path for path in work.rglob("*.so") if "build" not in path.relative_to(work).parts]
-        if len(libraries) != len(COMPILED) + 1:
-            raise FileNotFoundError(f"{len(libraries)} libraries came of {len(COMPILED)} files")
-        compiled = work / "found"
+        # One library per module, and one that they share.
+        if len(libraries) != len(COMPILED_MODULES) + 1:
+            raise FileNotFoundError(
+                f"compiling {len(COMPILED_MODULES)} modules produced {len(libraries)} libraries, "
+                f"expected {len(COMPILED_MODULES) + 1}"
+            )
+        staging = work / "found"
         for path in libraries:
-            target = compiled / path.relative_to(work)
+            target = staging / path.relative_to(work)
             target.parent.mkdir(parents=True, exist_ok=True)
             shutil.copy2(path, target)
-        shutil.rmtree(CACHE, ignore_errors=True)
-        CACHE.mkdir(parents=True)
-        shutil.move(compiled, cached)
+        shutil.rmtree(CACHE_DIRECTORY, ignore_errors=True)
+        CACHE_DIRECTORY.mkdir(parents=True)
+        shutil.move(staging, cache_entry)
 
 
 def main() -> int:
-    NATIVE.parent.mkdir(exist_ok=True)
+    BUILD_DIRECTORY.parent.mkdir(exist_ok=True)
     sources = [
         path for name in PACKAGES for path in (ROOT / name).rglob("*") if path.suffix in (".py", ".typed")
     ]
-    is_new = digest(sources)
-    stamp = NATIVE / "stamp"
-    if stamp.exists() and stamp.read_text() == is_new:
+    source_digest = content_digest(sources)
+    stamp = BUILD_DIRECTORY / "stamp"
+    if stamp.exists() and stamp.read_text() == source_digest:
         return 0
-    cached = CACHE / digest([ROOT / path for path in COMPILED])
+    cache_entry = CACHE_DIRECTORY / content_digest([ROOT / path for path in COMPILED_MODULES])
     try:
-        if not cached.exists():
-            compile_into(cached)
-    except (OSError, subprocess.CalledProcessError) as fault:
-        print(f"not compiled, the sources serve as they are: {fault}", file=sys.stderr)
-    shutil.rmtree(NATIVE, ignore_errors=True)
-    copy_packages(NATIVE)
-    if cached.exists():
-        shutil.copytree(cached, NATIVE, dirs_exist_ok=True)
-        stamp.write_text(is_new)
+        if not cache_entry.exists():
+            compile_into(cache_entry)
+    except (OSError, subprocess.CalledProcessError) as error:
+        print(f"not compiled, the sources are used instead: {error}", file=sys.stderr)
+    shutil.rmtree(BUILD_DIRECTORY, ignore_errors=True)
+    copy_packages(BUILD_DIRECTORY)
+    if cache_entry.exists():
+        shutil.copytree(cache_entry, BUILD_DIRECTORY, dirs_exist_ok=True)
+        stamp.write_text(source_digest)
     return 0
 
 
--- a/sidecar/discovery/hedged_poll.py
+++ b/sidecar/discovery/hedged_poll.py
@@ -57,7 +57,7 @@
             ) from None
 
     def close(self) -> DiscoveryConnection | None:
-        """Cancel pending polls and close their connections; return the connection that answered, if any."""
+        """Cancel pending polls and close their connections; return the one that answered, if any."""
         polls, self._polls = self._polls, {}
         for task, connection in polls.items():
             task.cancel()
@@ -86,7 +86,7 @@
                 connection.close()
                 failed += 1
             if not self._polls or failed == MAX_CONNECTIONS - 1:
-                # If both hedges have failed, the first connection, which is overdue, is assumed to be stalled.
+                # If both hedges have failed, the overdue first connection is assumed to be stalled.
                 raise PollFailedError(f"{failed} of {started} connections failed")
             if may_hedge:
                 self._start(DiscoveryConnection(self._address), 0)
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -1,4 +1,4 @@
-"""What `build` leaves for `run`: the sources as they are, and compiled files only where they fit them."""
+"""The build script copies all sources, and adds compiled libraries only if they match the sources."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def load_script() -> ModuleType:
-    """Import the build's script, which is in no package."""
+    """Import the build script, which belongs to no package."""
     spec = importlib.util.spec_from_file_location("native", ROOT / "deploy" / "native.py")
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def native(tmp_path: Path) -> ModuleType:
-    """The build's script, on a small tree of its own."""
+    """The build script, applied to a small source tree in a temporary directory."""
     module = load_script()
     for name in ("balancer", "sidecar"):
         (tmp_path / name).mkdir()
@@ -32,63 +32,63 @@
     (tmp_path / "tools.txt").write_text("")
     module.__dict__.update(
         ROOT=tmp_path,
-        NATIVE=tmp_path / "build" / "native",
-        CACHE=tmp_path / "build" / "compiled",
-        TOOLS=tmp_path / "tools.txt",
-        COMPILED=("balancer/one.py",),
+        BUILD_DIRECTORY=tmp_path / "build" / "native",
+        CACHE_DIRECTORY=tmp_path / "build" / "compiled",
+        REQUIREMENTS=tmp_path / "tools.txt",
+        COMPILED_MODULES=("balancer/one.py",),
     )
     return module
 
 
-def test_every_module_of_the_balancer_is_compiled_and_named_as_policy() -> None:
+def test_deploy_file_and_compiled_modules_list_every_policy_module() -> None:
     module = load_script()
-    not_policy = {"balancer/__init__.py", "balancer/simulator_adapter.py"}
-    modules = {f"balancer/{file.name}" for file in (ROOT / "balancer").glob("*.py")} - not_policy
+    excluded = {"balancer/__init__.py", "balancer/simulator_adapter.py"}
+    modules = {f"balancer/{file.name}" for file in (ROOT / "balancer").glob("*.py")} - excluded
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
-    assert {name for name in module.COMPILED if name.startswith("balancer/")} == modules
+    assert {name for name in module.COMPILED_MODULES if name.startswith("balancer/")} == modules
     assert set(deploy["policy"]) == modules
 
 
-def compiled(native: ModuleType, monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Stand in for the compiler; give the contents of what it was called for."""
+def fake_compiler(native: ModuleType, monkeypatch: pytest.MonkeyPatch) -> list[str]:
+    """Replace the compiler; return the list to which each call appends the source that it compiles."""
     calls: list[str] = []
 
-    def compile_into(kept: Path) -> None:
+    def compile_into(cache_entry: Path) -> None:
         calls.append((native.ROOT / "balancer" / "one.py").read_text())
-        (kept / "balancer").mkdir(parents=True)
-        (kept / "balancer" / "one.so").write_text(calls[-1])
+        (cache_entry / "balancer").mkdir(parents=True)
+        (cache_entry / "balancer" / "one.so").write_text(calls[-1])
 
     monkeypatch.setattr(native, "compile_into", compile_into)
     return calls
 
 
-def test_what_was_compiled_is_kept_until_its_source_changes(
+def test_compiled_library_is_reused_until_its_source_changes(
     native: ModuleType, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a library that is older than the source it stands before.
-    calls = compiled(native, monkeypatch)
+    # Guards against importing a stale library in place of a newer source file.
+    calls = fake_compiler(native, monkeypatch)
     assert native.main() == native.main() == 0
     (native.ROOT / "sidecar" / "one.py").write_text("VALUE = 2\n")
     assert native.main() == 0
-    assert len(calls) == 1 and (native.NATIVE / "sidecar" / "one.py").read_text() == "VALUE = 2\n"
+    assert len(calls) == 1 and (native.BUILD_DIRECTORY / "sidecar" / "one.py").read_text() == "VALUE = 2\n"
     (native.ROOT / "balancer" / "one.py").write_text("VALUE = 3\n")
     assert native.main() == 0
     assert calls[1:] == ["VALUE = 3\n"]
-    assert (native.NATIVE / "balancer" / "one.so").read_text() == "VALUE = 3\n"
+    assert (native.BUILD_DIRECTORY / "balancer" / "one.so").read_text() == "VALUE = 3\n"
 
 
-def test_where_the_compiler_fails_the_sources_serve(
+def test_sources_are_used_if_compilation_fails(
     native: ModuleType, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    calls = compiled(native, monkeypatch)
+    calls = fake_compiler(native, monkeypatch)
     assert native.main() == 0 and calls
 
-    def broken(kept: Path) -> None:
+    def fail(cache_entry: Path) -> None:
         raise subprocess.CalledProcessError(1, "mypyc")
 
-    monkeypatch.setattr(native, "compile_into", broken)
+    monkeypatch.setattr(native, "compile_into", fail)
     (native.ROOT / "balancer" / "one.py").write_text("VALUE = 4\n")
     assert native.main() == 0
-    assert (native.NATIVE / "balancer" / "one.py").read_text() == "VALUE = 4\n"
-    assert not (native.NATIVE / "balancer" / "one.so").exists()
+    assert (native.BUILD_DIRECTORY / "balancer" / "one.py").read_text() == "VALUE = 4\n"
+    assert not (native.BUILD_DIRECTORY / "balancer" / "one.so").exists()
     assert "not compiled" in capsys.readouterr().err
