--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""How the sockets of a sidecar are divided, alone and during a hot restart."""
+"""Division of a sidecar's sockets between clients, servers and the processes of a hot restart."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def test_clients_keep_their_limit_when_a_second_process_starts() -> None:
-    alone = connection_limits(2_048, 16, is_only_process=True)
-    shared = connection_limits(2_048, 16, is_only_process=False)
-    assert shared.downstream == alone.downstream
-    assert 2 * shared.upstream <= alone.upstream
+    limits_of_only_process = connection_limits(2_048, 16, is_only_process=True)
+    limits_of_two = connection_limits(2_048, 16, is_only_process=False)
+    assert limits_of_two.downstream == limits_of_only_process.downstream
+    assert 2 * limits_of_two.upstream <= limits_of_only_process.upstream
--- a/tests/test_connection_socket.py
+++ b/tests/test_connection_socket.py
@@ -1,4 +1,4 @@
-"""What is asked of a transport's socket, and that it is left alone once that is another's."""
+"""Queries of a transport's socket, and their effect after the socket was released."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 from sidecar.interfaces import Transport
 
 
-class Lent:
-    """A transport, as far as its socket goes."""
+class SocketTransport:
+    """A transport that only provides its socket."""
 
-    def __init__(self, own: socket.socket) -> None:
-        self.own = own
+    def __init__(self, sock: socket.socket) -> None:
+        self.sock = sock
 
     def get_extra_info(self, name: str) -> Any:
-        return self.own
+        return self.sock
 
 
 @pytest.fixture
-def ends() -> Iterator[tuple[socket.socket, socket.socket]]:
-    with socket.create_server(("127.0.0.1", 0)) as listening:
-        near = socket.create_connection(listening.getsockname())
-        far, _ = listening.accept()
+def socket_pair() -> Iterator[tuple[socket.socket, socket.socket]]:
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        near = socket.create_connection(listener.getsockname())
+        far, _ = listener.accept()
     with near, far:
         yield near, far
 
 
-def connection_socket(own: socket.socket) -> ConnectionSocket:
-    return ConnectionSocket(cast(Transport, Lent(own)))
+def connection_socket(sock: socket.socket) -> ConnectionSocket:
+    return ConnectionSocket(cast(Transport, SocketTransport(sock)))
 
 
-def test_unread_data_and_a_closed_peer_are_reported(ends: tuple[socket.socket, socket.socket]) -> None:
-    near, far = ends
+def test_unread_data_and_a_closed_peer_are_reported(socket_pair: tuple[socket.socket, socket.socket]) -> None:
+    near, far = socket_pair
     connection = connection_socket(near)
     assert connection.is_idle() and not connection.is_peer_closed()
     far.sendall(b"x")
@@ -45,10 +45,10 @@
     assert connection.is_peer_closed()
 
 
-def test_shutdown_is_seen_at_once_and_the_socket_stays_open(
-    ends: tuple[socket.socket, socket.socket],
+def test_shutdown_takes_effect_at_once_and_leaves_the_socket_open(
+    socket_pair: tuple[socket.socket, socket.socket],
 ) -> None:
-    near, far = ends
+    near, far = socket_pair
     connection = connection_socket(near)
     connection.shut_down()
     assert far.recv(1) == b""
@@ -58,9 +58,11 @@
     assert near.recv(1) == b"y"
 
 
-def test_released_socket_affects_no_other_connection(ends: tuple[socket.socket, socket.socket]) -> None:
-    # Guards against ending or polling whatever has the descriptor next.
-    near, far = ends
+def test_released_socket_affects_no_other_connection(
+    socket_pair: tuple[socket.socket, socket.socket],
+) -> None:
+    # Guards against shutting down or polling another connection that reuses the file descriptor.
+    near, far = socket_pair
     connection = connection_socket(near)
     connection.release()
     far.sendall(b"x")
--- a/tests/test_endpoint_list_tracker.py
+++ b/tests/test_endpoint_list_tracker.py
@@ -1,12 +1,11 @@
-"""Whether a listing is news: one owner, whatever calls have crossed."""
+"""Which endpoint lists are accepted as newer, whatever the order of responses to overlapping polls."""
 
 from __future__ import annotations
 
 from typing import Any
 
 import pytest
-from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import given, settings
 from hypothesis import strategies as st
 from loopback import endpoint_entry
 
@@ -18,106 +17,121 @@
 STARTED_MS = 1_700_000_000_000
 
 
-def listing(version: int, *servers: dict[str, Any], full: bool = True) -> EndpointList:
-    return parse_endpoint_list({"version": version, "full": full, "servers": list(servers)})
+def endpoint_list(version: int, *servers: dict[str, Any], is_complete: bool = True) -> EndpointList:
+    return parse_endpoint_list({"version": version, "full": is_complete, "servers": list(servers)})
 
 
-def states(heard: EndpointList | None) -> dict[str, EndpointState]:
-    assert heard is not None
-    return {each.entry.server: each.entry.state for each in heard.endpoints}
+def states(accepted: EndpointList | None) -> dict[str, EndpointState]:
+    assert accepted is not None
+    return {endpoint.entry.server: endpoint.entry.state for endpoint in accepted.endpoints}
 
 
-def told_leaving() -> EndpointListTracker:
-    """A list in which `s` was told to be leaving, by a call that is over."""
-    tracker = EndpointListTracker(listing(5, endpoint_entry("s", ADDRESS, started_ms=STARTED_MS)))
+def tracker_with_draining_server() -> EndpointListTracker:
+    """Return a tracker that accepted a list of version 9, in which server `s` is draining."""
+    tracker = EndpointListTracker(endpoint_list(5, endpoint_entry("s", ADDRESS, started_ms=STARTED_MS)))
     leaving = endpoint_entry("s", ADDRESS, state="leaving", started_ms=STARTED_MS)
-    assert tracker.accept(listing(9, leaving, full=False), tracker.begin_poll(), 5) is not None
+    assert tracker.accept(endpoint_list(9, leaving, is_complete=False), tracker.begin_poll(), 5) is not None
     return tracker
 
 
 def test_older_list_from_an_earlier_poll_is_not_accepted() -> None:
-    tracker = EndpointListTracker(listing(5, endpoint_entry("s", ADDRESS)))
-    fetch, watch = tracker.begin_poll(), tracker.begin_poll()
+    tracker = EndpointListTracker(endpoint_list(5, endpoint_entry("s", ADDRESS)))
+    poll, watch_poll = tracker.begin_poll(), tracker.begin_poll()
     assert (
-        tracker.accept(listing(9, endpoint_entry("s", ADDRESS, state="leaving"), full=False), watch, 5)
+        tracker.accept(
+            endpoint_list(9, endpoint_entry("s", ADDRESS, state="leaving"), is_complete=False), watch_poll, 5
+        )
         is not None
     )
-    assert tracker.accept(listing(7, endpoint_entry("s", ADDRESS)), fetch, None) is None
+    assert tracker.accept(endpoint_list(7, endpoint_entry("s", ADDRESS)), poll, None) is None
     assert tracker.version == 9
 
 
 def test_older_list_is_not_accepted_while_polls_succeed() -> None:
-    tracker = told_leaving()
-    assert tracker.accept(listing(7, endpoint_entry("s", ADDRESS)), tracker.begin_poll(), 9) is None
+    tracker = tracker_with_draining_server()
+    assert tracker.accept(endpoint_list(7, endpoint_entry("s", ADDRESS)), tracker.begin_poll(), 9) is None
     assert (
-        tracker.accept(listing(7, endpoint_entry("s", ADDRESS), full=False), tracker.begin_poll(), 9) is None
+        tracker.accept(
+            endpoint_list(7, endpoint_entry("s", ADDRESS), is_complete=False), tracker.begin_poll(), 9
+        )
+        is None
     )
     assert tracker.version == 9
 
 
-def test_older_complete_list_after_a_failure_revives_no_draining_server() -> None:
-    tracker = told_leaving()
+def test_older_complete_list_after_a_failure_keeps_a_draining_server_draining() -> None:
+    tracker = tracker_with_draining_server()
     tracker.poll_failed()
-    old = endpoint_entry("s", ADDRESS, started_ms=STARTED_MS)
-    heard = tracker.accept(listing(2, old, endpoint_entry("t", ADDRESS)), tracker.begin_poll(), 9)
-    assert states(heard) == {"s": EndpointState.DRAINING, "t": EndpointState.READY}
+    old_entry = endpoint_entry("s", ADDRESS, started_ms=STARTED_MS)
+    accepted = tracker.accept(
+        endpoint_list(2, old_entry, endpoint_entry("t", ADDRESS)), tracker.begin_poll(), 9
+    )
+    assert states(accepted) == {"s": EndpointState.DRAINING, "t": EndpointState.READY}
     assert tracker.version == 2
-    # And a further list of that numbering is heard as it is.
-    assert states(tracker.accept(listing(3, old, full=False), tracker.begin_poll(), 2)) == {
-        "s": EndpointState.READY
-    }
+    # Later lists of the restarted discovery service are accepted unchanged.
+    assert states(
+        tracker.accept(endpoint_list(3, old_entry, is_complete=False), tracker.begin_poll(), 2)
+    ) == {"s": EndpointState.READY}
 
 
 def test_gone_server_stays_gone_after_a_failure_unless_restarted() -> None:
-    for again_ms, state in ((STARTED_MS, EndpointState.GONE), (STARTED_MS + 1, EndpointState.READY)):
-        tracker = told_leaving()
-        assert tracker.accept(listing(10), tracker.begin_poll(), 9) is not None
+    for started_ms, expected_state in (
+        (STARTED_MS, EndpointState.GONE),
+        (STARTED_MS + 1, EndpointState.READY),
+    ):
+        tracker = tracker_with_draining_server()
+        assert tracker.accept(endpoint_list(10), tracker.begin_poll(), 9) is not None
         tracker.poll_failed()
-        heard = tracker.accept(
-            listing(2, endpoint_entry("s", ADDRESS, started_ms=again_ms)), tracker.begin_poll(), 10
+        accepted = tracker.accept(
+            endpoint_list(2, endpoint_entry("s", ADDRESS, started_ms=started_ms)), tracker.begin_poll(), 10
         )
-        assert states(heard) == {"s": state}
+        assert states(accepted) == {"s": expected_state}
 
 
 def test_older_list_does_not_restore_an_older_start_time() -> None:
-    tracker = EndpointListTracker(listing(5, endpoint_entry("s", ADDRESS, started_ms=STARTED_MS)))
-    heard = tracker.accept(
-        listing(2, endpoint_entry("s", ADDRESS, started_ms=STARTED_MS - 7)), tracker.begin_poll(), 5
+    tracker = EndpointListTracker(endpoint_list(5, endpoint_entry("s", ADDRESS, started_ms=STARTED_MS)))
+    accepted = tracker.accept(
+        endpoint_list(2, endpoint_entry("s", ADDRESS, started_ms=STARTED_MS - 7)), tracker.begin_poll(), 5
     )
-    assert heard is not None
-    assert heard.endpoints[0].entry.started_at == STARTED_MS * 1_000
+    assert accepted is not None
+    assert accepted.endpoints[0].entry.started_at == STARTED_MS * 1_000
 
 
 def test_inconsistent_changes_require_a_complete_list() -> None:
-    tracker = told_leaving()
+    tracker = tracker_with_draining_server()
     assert tracker.after_version == 9
     tracker.poll_failed()
     with pytest.raises(InconsistentChangesError):
-        tracker.accept(listing(2, endpoint_entry("s", ADDRESS), full=False), tracker.begin_poll(), 9)
+        tracker.accept(
+            endpoint_list(2, endpoint_entry("s", ADDRESS), is_complete=False), tracker.begin_poll(), 9
+        )
     assert tracker.after_version is None and tracker.version == 9
-    assert tracker.accept(listing(2), tracker.begin_poll(), None) is not None
+    assert tracker.accept(endpoint_list(2), tracker.begin_poll(), None) is not None
     assert tracker.after_version == 2
 
 
-def test_changes_to_a_list_no_longer_held_are_not_accepted() -> None:
-    tracker = told_leaving()
-    watch = tracker.begin_poll()
+def test_changes_to_a_replaced_list_are_not_accepted() -> None:
+    tracker = tracker_with_draining_server()
+    watch_poll = tracker.begin_poll()
     tracker.poll_failed()
-    assert tracker.accept(listing(2), tracker.begin_poll(), None) is not None
-    assert tracker.accept(listing(11, endpoint_entry("s", ADDRESS), full=False), watch, 9) is None
+    assert tracker.accept(endpoint_list(2), tracker.begin_poll(), None) is not None
+    assert (
+        tracker.accept(endpoint_list(11, endpoint_entry("s", ADDRESS), is_complete=False), watch_poll, 9)
+        is None
+    )
     assert tracker.version == 2
 
 
-def test_remembered_gone_servers_are_bounded() -> None:
-    tracker = EndpointListTracker(listing(1))
+def test_number_of_remembered_gone_servers_is_limited() -> None:
+    tracker = EndpointListTracker(endpoint_list(1))
     for number in range(3_000):
         tracker.accept(
-            listing(2 * number + 2, endpoint_entry(f"s-{number}", ADDRESS)), tracker.begin_poll(), None
+            endpoint_list(2 * number + 2, endpoint_entry(f"s-{number}", ADDRESS)), tracker.begin_poll(), None
         )
     assert len(tracker._gone_servers) == 1_024 and len(tracker._entries) == 1
 
 
-@how(max_examples=500, deadline=None, derandomize=True, database=None)
+@settings(max_examples=500, deadline=None, derandomize=True, database=None)
 @given(
     st.lists(
         st.tuples(
@@ -125,36 +139,37 @@
             st.booleans(),
             st.sampled_from(["active", "leaving", "left"]),
             st.sampled_from([0, 1, 2]),
-            st.sampled_from(["in turn", "crossed", "broken"]),
+            st.sampled_from(["in order", "overlapping", "after a failure"]),
         ),
         max_size=30,
     )
 )
-def test_draining_server_returns_only_by_a_newer_list_or_a_restart(
-    answers: list[tuple[int, bool, str, int, str]],
+def test_draining_server_becomes_ready_only_by_a_newer_list_or_a_restart(
+    responses: list[tuple[int, bool, str, int, str]],
 ) -> None:
-    tracker = EndpointListTracker(listing(0))
-    leaving_since: tuple[int, int] | None = None  # version and start of a server told to be leaving or gone
-    before = tracker.begin_poll()
-    for version, full, state, started_ms, course in answers:
-        if course == "broken":
+    tracker = EndpointListTracker(endpoint_list(0))
+    # Version of the list and start time of the server when it became draining or gone.
+    unavailable_since: tuple[int, int] | None = None
+    previous_position = tracker.begin_poll()
+    for version, is_complete, state, started_ms, poll_order in responses:
+        if poll_order == "after a failure":
             tracker.poll_failed()
-        began = before if course == "crossed" else tracker.begin_poll()
-        before, held = tracker.begin_poll(), tracker.version
-        given_list = listing(
-            version, endpoint_entry("s", ADDRESS, state=state, started_ms=started_ms), full=full
+        position = previous_position if poll_order == "overlapping" else tracker.begin_poll()
+        previous_position, current_version = tracker.begin_poll(), tracker.version
+        response = endpoint_list(
+            version, endpoint_entry("s", ADDRESS, state=state, started_ms=started_ms), is_complete=is_complete
         )
         try:
-            heard = tracker.accept(given_list, began, held)
+            accepted = tracker.accept(response, position, current_version)
         except InconsistentChangesError:
-            heard = None
-        if heard is None:
-            assert tracker.version == held
+            accepted = None
+        if accepted is None:
+            assert tracker.version == current_version
             continue
-        (endpoint,) = heard.endpoints
+        (endpoint,) = accepted.endpoints
         if endpoint.entry.state is not EndpointState.READY:
-            leaving_since = (version, started_ms) if state != "active" else leaving_since
-        elif leaving_since is not None and version < held:
-            assert started_ms > leaving_since[1]
+            unavailable_since = (version, started_ms) if state != "active" else unavailable_since
+        elif unavailable_since is not None and version < current_version:
+            assert started_ms > unavailable_since[1]
         if endpoint.entry.state is EndpointState.READY:
-            leaving_since = None
+            unavailable_since = None
--- a/tests/test_endpoint_lists_end_to_end.py
+++ b/tests/test_endpoint_lists_end_to_end.py
@@ -1,4 +1,4 @@
-"""Lists that cross requests, in a whole sidecar over loopback sockets."""
+"""Effects of endpoint lists on requests, in a whole sidecar over loopback sockets."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 Script = bytes | None
 
 
-def pushed_sidecar(agent: str, server: str, log: list[str]) -> Sidecar:
-    """One whose agent pushes lists; it knows the server as active from before."""
+def pushed_sidecar(agent_address: str, server_address: str, log: list[str]) -> Sidecar:
+    """Create a sidecar whose agent pushes lists, and whose last known list has the server as active."""
     return Sidecar(
         parse(
             {
                 "name": "n0",
                 "listen": f"{HOST}:0",
-                "discovery": agent,
+                "discovery": agent_address,
                 "seed": "8c1f",
-                "known": {"version": 1, "full": True, "servers": [endpoint_entry("s-0", server)]},
+                "known": {"version": 1, "full": True, "servers": [endpoint_entry("s-0", server_address)]},
                 "settings": {"lanes": SERVICE_CLASSES, "zone": "a", "discovery": "pushed"},
             }
         ),
@@ -45,24 +45,27 @@
 
 
 def test_pushed_list_is_awaited_before_clients_are_accepted() -> None:
-    # Guards rule 3: what the agent has counts as told from the first moment of a new process.
-    async def work() -> None:
+    # Guards against a request to a draining server after a start: changes that the agent has received count
+    # as notified from the start of the process.
+    async def main() -> None:
         release = asyncio.Event()
 
-        async def agent_says(heard: ReceivedRequest) -> bytes | None:
-            if not heard.target.endswith("=0"):
+        async def respond_as_agent(request: ReceivedRequest) -> bytes | None:
+            if not request.target.endswith("=0"):
                 return None
             await release.wait()
-            leaving = endpoint_entry("s-0", server.address, state="leaving")
-            return http_response(json.dumps({"version": 2, "full": True, "servers": [leaving]}).encode())
+            draining_entry = endpoint_entry("s-0", server.address, state="leaving")
+            return http_response(
+                json.dumps({"version": 2, "full": True, "servers": [draining_entry]}).encode()
+            )
 
-        server, agent = await ScriptedServer(OK).start(), await ScriptedServer(agent_says).start()
+        server, agent = await ScriptedServer(OK).start(), await ScriptedServer(respond_as_agent).start()
         sidecar = pushed_sidecar(agent.address, server.address, [])
-        starting = asyncio.get_running_loop().create_task(sidecar.start())
+        start = asyncio.get_running_loop().create_task(sidecar.start())
         await wait_until(lambda: len(agent.requests) == 1)
-        assert not sidecar.administration.is_ready() and not starting.done()
+        assert not sidecar.administration.is_ready() and not start.done()
         release.set()
-        await within_timeout(starting)
+        await within_timeout(start)
         reader, writer = await asyncio.open_connection(HOST, sidecar.downstream.port)
         writer.write(request_bytes("lodge"))
         assert (await within_timeout(reader.readline())).startswith(b"HTTP/1.1 503")
@@ -72,22 +75,24 @@
         server.stop()
         agent.stop()
 
-    run_async(work)
+    run_async(main)
 
 
-@pytest.mark.parametrize("agent_is", ["away", "silent", "busy"])
+@pytest.mark.parametrize("agent_state", ["unreachable", "silent", "failing"])
 def test_unavailable_agent_delays_a_start_by_a_bounded_time(
-    agent_is: str, monkeypatch: pytest.MonkeyPatch
+    agent_state: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def work() -> None:
-        if agent_is == "silent":
+    async def main() -> None:
+        if agent_state == "silent":
             monkeypatch.setattr("sidecar.sidecar._FIRST_LIST_TIMEOUT_S", 0.05)
         else:
-            monkeypatch.setattr("sidecar.sidecar._FIRST_LIST_TIMEOUT_S", 3_600.0)  # a "no" is not waited out
-        script: Script = http_response(b"", "503 Busy") if agent_is == "busy" else None
+            monkeypatch.setattr(
+                "sidecar.sidecar._FIRST_LIST_TIMEOUT_S", 3_600.0
+            )  # not used up: the first poll fails at once
+        script: Script = http_response(b"", "503 Busy") if agent_state == "failing" else None
         server, agent = await ScriptedServer(OK).start(), await ScriptedServer(script).start()
         address = agent.address
-        if agent_is == "away":
+        if agent_state == "unreachable":
             agent.stop()
         sidecar = pushed_sidecar(address, server.address, [])
         await within_timeout(sidecar.start())
@@ -97,26 +102,28 @@
         writer.close()
         sidecar.close()
         server.stop()
-        if agent_is != "away":
+        if agent_state != "unreachable":
             agent.stop()
 
-    run_async(work)
+    run_async(main)
 
 
-def test_late_list_returns_a_draining_server_to_nobody() -> None:
-    # Guards rule 3 over everything between discovery and the socket.
-    async def work() -> None:
+def test_delayed_list_does_not_make_a_draining_server_available() -> None:
+    # Guards the path from discovery to the server's socket against requests to a draining server.
+    async def main() -> None:
         async with running_sidecar(OK, OK) as harness:
-            first, second = (each.address for each in harness.servers)
+            first_address, second_address = (server.address for server in harness.servers)
             await wait_until(lambda: len(harness.discovery.requests) >= 2)
             harness.discovery.version = 5
-            harness.discovery.send_changes(endpoint_entry("s-0", first, state="leaving"))
+            harness.discovery.send_changes(endpoint_entry("s-0", first_address, state="leaving"))
             await wait_until(lambda: len(harness.discovery.requests) >= 3)
             harness.discovery.version = 2
-            harness.discovery.send_changes(endpoint_entry("s-0", first), endpoint_entry("s-1", second))
+            harness.discovery.send_changes(
+                endpoint_entry("s-0", first_address), endpoint_entry("s-1", second_address)
+            )
             await wait_until(lambda: len(harness.discovery.requests) >= 4)
             for _ in range(12):
                 assert (await harness.request()).status == 200
             assert harness.servers[0].requests == []
 
-    run_async(work)
+    run_async(main)
--- a/tests/test_event_dispatcher.py
+++ b/tests/test_event_dispatcher.py
@@ -1,4 +1,4 @@
-"""The order of events at the balancer, and what a defect in it leads to."""
+"""The order in which events reach the balancer, and the handling of its exceptions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ScriptedBalancer:
-    """A balancer that answers by a function."""
+    """A balancer whose actions are returned by a function."""
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
@@ -30,12 +30,12 @@
         return self._handler(event)
 
 
-def dispatcher(handler: Handler, log: list[LogEvent]) -> EventDispatcher:
-    requests = OpenRequests(Metrics([]), lambda call: None)
+def create_dispatcher(handler: Handler, log: list[LogEvent]) -> EventDispatcher:
+    requests = OpenRequests(Metrics([]), lambda attempt: None)
     return EventDispatcher(cast(Balancer, ScriptedBalancer(handler)), Clock(), requests, log.append)
 
 
-def test_event_from_within_an_action_is_handled_after_all_actions() -> None:
+def test_event_dispatched_by_an_action_is_handled_after_all_actions() -> None:
     steps: list[str] = []
 
     def handle(event: Event) -> list[Action]:
@@ -45,15 +45,15 @@
     def execute(action: Action) -> None:
         steps.append(f"execute {cast(Log, action).text}")
         if action == Log("one"):
-            events.dispatch(TimerFired("second"))
+            dispatcher.dispatch(TimerFired("second"))
 
-    events = dispatcher(handle, [])
-    events.execute = execute
-    events.dispatch(TimerFired("first"))
+    dispatcher = create_dispatcher(handle, [])
+    dispatcher.execute = execute
+    dispatcher.dispatch(TimerFired("first"))
     assert steps == ["handle first", "execute one", "execute two", "handle second"]
 
 
-def test_defect_is_logged_and_the_next_event_is_handled() -> None:
+def test_exception_is_logged_and_the_next_event_is_handled() -> None:
     handled: list[Event] = []
     log: list[LogEvent] = []
 
@@ -63,9 +63,9 @@
             raise ZeroDivisionError
         return []
 
-    events = dispatcher(handle, log)
-    events.dispatch(TimerFired("x"))
-    events.dispatch(ClientDisconnected(1))
+    dispatcher = create_dispatcher(handle, log)
+    dispatcher.dispatch(TimerFired("x"))
+    dispatcher.dispatch(ClientDisconnected(1))
     assert handled == [TimerFired("x"), ClientDisconnected(1)]
     assert [type(event) for event in log] == [InternalError]
     assert str(log[0]) == "internal_error: TimerFired: ZeroDivisionError()"
@@ -75,7 +75,9 @@
     ("remaining_us", "now", "limited_us"),
     [(500, 0, 500), (5_000, 0, 1_000), (5_000, 400, 600), (5_000, 1_000, 1), (5_000, 9_999, 1)],
 )
-def test_requests_end_with_the_shutdown(remaining_us: int, now: int, limited_us: int) -> None:
+def test_remaining_time_is_limited_to_the_end_of_the_shutdown(
+    remaining_us: int, now: int, limited_us: int
+) -> None:
     state = ShutdownState()
     assert state.limit_remaining_time(remaining_us, now) == remaining_us and not state.is_shutting_down
     state.begin(respond_by=1_000)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -106,10 +106,10 @@
 
 
 def test_old_process_completes_its_requests_and_new_one_accepts(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def main() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: ReceivedRequest) -> bytes:
+        async def hold(request: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
@@ -133,11 +133,11 @@
             assert await within_timeout(old.process.wait()) == 0
             assert (await (await scene.client()).request()).status == 200  # the socket was not shut down
 
-    run_async(work)
+    run_async(main)
 
 
 def test_exclusions_are_shared_by_both_processes(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def main() -> None:
         async with platform(tmp_path, OK, OK) as scene:
             old = await scene.start()
             assert await old.call("/api/exclude", "s-0") == 200
@@ -158,11 +158,11 @@
             assert {each.status for each in answers} == {200}
             assert len(scene.servers[0].requests) == 5
 
-    run_async(work)
+    run_async(main)
 
 
 def test_descriptor_without_a_listening_socket_exits_with_2(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def main() -> None:
         (tmp_path / "config.json").write_text(json.dumps(VALID_CONFIGURATION))
         idle = socket.socket()
         datagram = socket.socket(type=socket.SOCK_DGRAM)
@@ -175,7 +175,7 @@
                 assert process.returncode == 2
                 assert told.startswith(b"sidecar: config: BALANCER_SOCKET_FD: ") and told.count(b"\n") == 1
 
-    run_async(work)
+    run_async(main)
 
 
 def test_inherited_socket_is_used_as_it_is() -> None:
@@ -190,7 +190,7 @@
 
 
 def test_two_processes_divide_the_sockets_and_one_has_them_all(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def main() -> None:
         given = {**VALID_CONFIGURATION, "limits": {"sockets": 160, "memory_mb": 64}}
         with socket.socket() as held:
             held.bind((HOST, 0))
@@ -209,4 +209,4 @@
             other.close()
             sidecar.close()
 
-    run_async(work)
+    run_async(main)
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -12,7 +12,7 @@
 
 
 class FixedClockLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time only moves by hand."""
+    """An event loop whose clock only advances when the test sets `now_s`."""
 
     now_s = 1_000.0
 
--- a/tests/test_persisted_exclusions.py
+++ b/tests/test_persisted_exclusions.py
@@ -1,4 +1,4 @@
-"""The file of excluded servers: its form, invalid content, and several writers."""
+"""The file of excluded servers: its format, invalid content and concurrent writers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from sidecar.persisted_exclusions import PersistedExclusions
 
 
-def test_file_has_the_form_that_other_versions_read(tmp_path: Path) -> None:
+def test_file_has_the_format_that_other_versions_read(tmp_path: Path) -> None:
     PersistedExclusions(tmp_path, print).record("s-2", frozenset({"s-1"}), is_excluded=True)
     assert (tmp_path / "excluded.json").read_bytes() == b'{"excluded": ["s-1", "s-2"]}'
 
@@ -23,7 +23,7 @@
 def test_invalid_file_is_logged_ignored_and_replaced(content: bytes, tmp_path: Path) -> None:
     log: list[LogEvent] = []
     exclusions = PersistedExclusions(tmp_path, log.append)
-    assert exclusions.read() is None and log == []  # there is none yet
+    assert exclusions.read() is None and log == []  # a missing file is not logged
     (tmp_path / "excluded.json").write_bytes(content)
     assert exclusions.read() is None
     assert len(log) == 1 and isinstance(log[0], ExclusionsFileIgnored)
--- a/tests/test_process_lock.py
+++ b/tests/test_process_lock.py
@@ -1,4 +1,4 @@
-"""Lock files by which two processes of one sidecar know of each other."""
+"""Lock files by which the processes of a sidecar detect each other."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     assert first.is_only_process()
     second = ProcessLock(tmp_path, print, "second")
     assert not first.is_only_process() and not second.is_only_process()
-    os.close(second._descriptor)  # as when it is killed
+    os.close(second._descriptor)  # as if the process was killed
     assert first.is_only_process()
     first.close()
     assert list(tmp_path.iterdir()) == []
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -145,10 +145,10 @@
 
 def test_sigterm_answers_open_and_late_requests_then_exits_with_0(tmp_path: Path) -> None:
     # Guards against requests lost at a restart: taken before SIGTERM, on kept connections, and on new ones.
-    async def work() -> None:
+    async def main() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: ReceivedRequest) -> bytes:
+        async def hold(request: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
@@ -170,13 +170,13 @@
                 assert await within_timeout(client.reader.read()) == b""
             assert await within_timeout(running.process.wait()) == 0
 
-    run_async(work)
+    run_async(main)
 
 
 def test_sigterm_with_a_silent_server_answers_in_time(tmp_path: Path) -> None:
     # Guards against SIGKILL finding a request unanswered that had more time left than the process has.
-    async def work() -> None:
-        async def silent(heard: ReceivedRequest) -> None:
+    async def main() -> None:
+        async def silent(request: ReceivedRequest) -> None:
             return None
 
         async with running_program(silent, tmp_path) as running:
@@ -188,11 +188,11 @@
             assert (answer.status, answer.headers["connection"]) == (504, "close")
             assert await within_timeout(running.process.wait()) == 0
 
-    run_async(work)
+    run_async(main)
 
 
 def test_sighup_moves_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def main() -> None:
         path = tmp_path / "config.json"
         async with running_program(OK, tmp_path) as running:
             stderr = running.process.stderr
@@ -216,11 +216,11 @@
             assert await within_timeout(running.process.wait()) == 0
             other.stop()
 
-    run_async(work)
+    run_async(main)
 
 
 def test_address_in_use_exits_with_1(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def main() -> None:
         async with running_program(OK, tmp_path) as running:
             path = tmp_path / "second.json"
             path.write_text(json.dumps({**VALID_CONFIGURATION, "listen": f"{HOST}:{running.port}"}))
@@ -229,4 +229,4 @@
             assert second.returncode == 1
             assert told.startswith(b"sidecar: can't listen: ") and told.count(b"\n") == 1
 
-    run_async(work)
+    run_async(main)
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -94,7 +94,7 @@
         number = event.request
         return [Reject(number, 250_000)] if event.service_class == "check" else [Fail(number)]
 
-    async def work() -> None:
+    async def main() -> None:
         scripted(decide)
         async with running_sidecar(OK) as harness:
             refused = await harness.request("check", timeout="9000")
@@ -103,7 +103,7 @@
             assert failed.status in (502, 504) and "retry-after" not in failed.headers
             assert harness.requests == [] and harness.sidecar.open_requests == 0
 
-    run_async(work)
+    run_async(main)
 
 
 def test_cancelled_attempt_ends_once_and_its_connection_is_closed(scripted: Use) -> None:
@@ -114,7 +114,7 @@
             return [CancelAttempt(1, 0), CancelAttempt(1, 0), CancelAttempt(9, 0), CancelAttempt(1, 7)]
         return [Fail(event.request)] if isinstance(event, AttemptEnded) else []
 
-    async def work() -> None:
+    async def main() -> None:
         balancer = scripted(decide)
         async with running_sidecar(None) as harness:
             assert (await harness.request("lodge")).status == 502
@@ -128,14 +128,14 @@
             assert balancer.heard(TimerFired)[0].token == "later"
             assert balancer.times == sorted(balancer.times)
 
-    run_async(work)
+    run_async(main)
 
 
 def test_attempt_time_excludes_time_in_the_socket_buffer(
     scripted: Use, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against windows that shut, and servers held for slow, because this process is busy.
-    async def work() -> None:
+    async def main() -> None:
         balancer = scripted(on_arrival(lambda number: SendAttempt(number, "s-0", FAR)))
         monkeypatch.setattr(
             "sidecar.connection_socket.ConnectionSocket.unread_us", lambda wire: 3_600_000_000
@@ -145,11 +145,11 @@
             (ended,) = balancer.heard(AttemptEnded)
             assert (ended.outcome, ended.elapsed_us) == (Outcome.DELIVERED, 0)
 
-    run_async(work)
+    run_async(main)
 
 
 def test_first_delivery_is_the_response_and_every_attempt_ends(scripted: Use) -> None:
-    async def work() -> None:
+    async def main() -> None:
         balancer = scripted(
             on_arrival(
                 lambda number: SendAttempt(number, "s-0", FAR),
@@ -171,15 +171,15 @@
             assert all(each.is_request_answered for each in (ended[0], ended[1]))
             assert harness.sidecar.open_requests == 0
 
-    run_async(work)
+    run_async(main)
 
 
 def test_client_disconnect_is_dispatched_to_the_balancer(scripted: Use) -> None:
-    async def work() -> None:
+    async def main() -> None:
         balancer = scripted(on_arrival(lambda number: SendAttempt(number, "s-0", FAR)))
         release = asyncio.Event()
 
-        async def hold(heard: ReceivedRequest) -> bytes:
+        async def hold(request: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
@@ -193,18 +193,18 @@
             await wait_until(lambda: len(balancer.heard(AttemptEnded)) == 1)
             assert balancer.heard(AttemptEnded)[0].is_request_answered
 
-    run_async(work)
+    run_async(main)
 
 
 @pytest.mark.parametrize("how", ["header", "body"])
 def test_health_check_returns_its_load_report(scripted: Use, how: str) -> None:
-    async def report(heard: ReceivedRequest) -> bytes:
+    async def report(request: ReceivedRequest) -> bytes:
         text = b"TEXT qps=7, util=0.5"
         if how == "header":
             return b"HTTP/1.1 200 OK\r\nServer-Load: %s\r\nContent-Length: 0\r\n\r\n" % text
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text)
 
-    async def work() -> None:
+    async def main() -> None:
         balancer = scripted(lambda event: [HealthCheck("s-0")] if isinstance(event, RequestArrived) else [])
         async with running_sidecar(report, bounds={"probing": True}) as harness:
             (await harness.client()).send(request_bytes())
@@ -214,7 +214,7 @@
             assert ended.load_report == {"qps": 7.0, "util": 0.5}
             assert harness.requests[0].target == "/_load" and "request-id" not in harness.requests[0].headers
 
-    run_async(work)
+    run_async(main)
 
 
 def test_actions_close_idle_connections_poll_endpoints_and_log(scripted: Use) -> None:
@@ -230,7 +230,7 @@
             ]
         return []
 
-    async def work() -> None:
+    async def main() -> None:
         balancer = scripted(decide)
         async with running_sidecar(OK) as harness:
             assert (await harness.request()).status == 200
@@ -243,11 +243,11 @@
             assert harness.discovery.requests[0].target == "/catalog/members"
             assert harness.log == ["a line"]
 
-    run_async(work)
+    run_async(main)
 
 
 def test_peer_message_reaches_the_other_sidecar(scripted: Use) -> None:
-    async def work() -> None:
+    async def main() -> None:
         balancer = scripted(
             lambda event: (
                 [SendPeerMessage(1, b"hi"), SendPeerMessage(1, b"x" * 257)]
@@ -282,7 +282,7 @@
             await wait_until(lambda: balancer.heard(PeerMessageReceived) == [PeerMessageReceived(1, b"back")])
         transport.close()
 
-    run_async(work)
+    run_async(main)
 
 
 def test_balancer_defect_fails_its_request_and_no_other(scripted: Use) -> None:
@@ -294,14 +294,14 @@
             return [SendAttempt(event.request, "s-0", FAR)]
         return []
 
-    async def work() -> None:
+    async def main() -> None:
         scripted(decide)
         async with running_sidecar(OK) as harness:
             assert (await harness.request("lodge")).status == 500
             assert (await harness.request("check")).status == 200
             assert harness.log == ["internal_error: RequestArrived: ZeroDivisionError()"]
 
-    run_async(work)
+    run_async(main)
 
 
 def test_sidecar_survives_any_bytes_from_clients_and_servers() -> None:
@@ -314,10 +314,10 @@
             data[at : at + chance.randint(0, 4)] = chance.randbytes(chance.randint(0, 4))
         return bytes(data)
 
-    async def odd(heard: ReceivedRequest) -> bytes:
+    async def odd(request: ReceivedRequest) -> bytes:
         return mangled(OK + OK) if chance.random() < 0.7 else OK
 
-    async def work() -> None:
+    async def main() -> None:
         faults: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
         async with running_sidecar(odd, odd, odd) as harness:
@@ -339,4 +339,4 @@
             assert (await client.read_response()).status == 200
         assert [each for each in faults if "sidecar" in repr(each) or "protocol." in each["message"]] == []
 
-    run_async(work)
+    run_async(main)
--- a/tests/test_socket_limits.py
+++ b/tests/test_socket_limits.py
@@ -27,7 +27,7 @@
     ids=["at rest", "asked for health", "silent", "half a line", "half a body"],
 )
 def test_idle_clients_at_the_socket_limit_block_nobody(sent: bytes) -> None:
-    async def work() -> None:
+    async def main() -> None:
         async with running_sidecar(OK, OK, configuration={"limits": {"sockets": 72}}) as harness:
             downstream = harness.sidecar.downstream
             await wait_until(lambda: len(harness.discovery.requests) == 2)  # the list, and a watch behind it
@@ -50,7 +50,7 @@
             for each in idle:
                 each.close()
 
-    run_async(work)
+    run_async(main)
 
 
 class Crowded(socket.socket):
@@ -79,7 +79,7 @@
 
     monkeypatch.setattr(sidecar.sidecar, "bind_listener", crowd)
 
-    async def work() -> None:
+    async def main() -> None:
         async with running_sidecar(OK) as harness:
             crowded[0].sidecar = harness.sidecar
             for _ in range(3 * Crowded.room):
@@ -87,4 +87,4 @@
             assert crowded[0].refused > 0
             assert harness.sidecar.downstream.open_connections <= Crowded.room
 
-    run_async(work)
+    run_async(main)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -100,7 +100,7 @@
 
 
 def test_peer_port_in_use_delays_no_start() -> None:
-    async def work() -> None:
+    async def main() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
             taken.bind((HOST, 0))
             port = taken.getsockname()[1]
@@ -114,12 +114,12 @@
             )
             assert any(line.startswith("peer_listen_failed: ") for line in log)
 
-    run_async(work)
+    run_async(main)
 
 
 @pytest.mark.parametrize("discovery", ["on_request", "pushed"])
 def test_unreachable_peers_and_discovery_delay_no_start(discovery: str) -> None:
-    async def work() -> None:
+    async def main() -> None:
         own, other = free_udp_addresses(2)
         peers = [f"{HOST}:{own[1]}", f"{HOST}:{other[1]}"]
         await ready(
@@ -127,4 +127,4 @@
             {**TIER, "discovery": discovery},
         )
 
-    run_async(work)
+    run_async(main)
