--- a/tests/test_admin_interface.py
+++ b/tests/test_admin_interface.py
@@ -119,9 +119,8 @@
         async with running_sidecar(OK, has_admin_interface=True) as harness:
             idle_clients = [await harness.admin_client() for _ in range(admin_interface.MAX_CONNECTIONS)]
             assert (await harness.admin_request("GET", "/api/ready"))[0] == 200
-            assert (
-                await within_timeout(idle_clients[0].reader.read()) == b""
-            )  # the oldest connection was closed
+            # The oldest connection was closed.
+            assert await within_timeout(idle_clients[0].reader.read()) == b""
             monkeypatch.setattr(admin_interface, "_CONNECTION_TIMEOUT_S", 0.0)
             silent_client = await harness.admin_client()
             assert await within_timeout(silent_client.reader.read()) == b""
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -268,9 +268,8 @@
             "after=1&wait_ms=0"
         )
         assert watch_request.connection != hedge_request.connection
-        await wait_until(
-            lambda: watch_request.connection in server.closed_connections
-        )  # the stalled connection was closed
+        # The stalled connection was closed.
+        await wait_until(lambda: watch_request.connection in server.closed_connections)
         client.discovery.close()
         server.stop()
 
--- a/tests/test_endpoint_lists_end_to_end.py
+++ b/tests/test_endpoint_lists_end_to_end.py
@@ -86,9 +86,8 @@
         if agent_state == "silent":
             monkeypatch.setattr("sidecar.sidecar._FIRST_LIST_TIMEOUT_S", 0.05)
         else:
-            monkeypatch.setattr(
-                "sidecar.sidecar._FIRST_LIST_TIMEOUT_S", 3_600.0
-            )  # not used up: the first poll fails at once
+            # Not used up: the first poll fails at once.
+            monkeypatch.setattr("sidecar.sidecar._FIRST_LIST_TIMEOUT_S", 3_600.0)
         script: Script = http_response(b"", "503 Busy") if agent_state == "failing" else None
         server, agent = await ScriptedServer(OK).start(), await ScriptedServer(script).start()
         address = agent.address
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""A new version under load: two processes, one listening socket, and what outlives the first."""
+"""Hot restarts: two processes that share a listening socket, exclusions and the limit of sockets."""
 
 from __future__ import annotations
 
@@ -36,71 +36,76 @@
 
 
 @dataclass
-class Running:
-    """One process of the sidecar."""
+class SidecarProcess:
+    """A process of the sidecar, and the port of its admin interface."""
 
-    process: asyncio.subprocess.Process
-    console: int
-    log: list[str] = field(default_factory=list)
+    system_process: asyncio.subprocess.Process
+    admin_port: int
 
     async def read_log_line(self) -> str:
-        assert self.process.stderr is not None
-        return (await within_timeout(self.process.stderr.readline())).decode()
+        assert self.system_process.stderr is not None
+        return (await within_timeout(self.system_process.stderr.readline())).decode()
 
-    async def call(self, path: str, member: str) -> int:
-        caller = Client(*await asyncio.open_connection(HOST, self.console))
+    async def admin_request(self, path: str, member: str) -> int:
+        client = Client(*await asyncio.open_connection(HOST, self.admin_port))
         body = json.dumps({"member": member})
-        caller.send(f"POST {path} HTTP/1.1\r\nHost: c\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
-        answer = await caller.read_response()
-        caller.close()
-        return answer.status
+        client.send(f"POST {path} HTTP/1.1\r\nHost: c\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
+        response = await client.read_response()
+        client.close()
+        return response.status
 
 
 @dataclass
 class Platform:
-    """Holds the listening socket, and starts processes that share it, a folder and the configuration."""
+    """Holds a listening socket, and starts processes that share it and a state directory."""
 
-    folder: Path
-    held: socket.socket
+    directory: Path
+    listener: socket.socket
     servers: list[ScriptedServer]
-    running: list[Running] = field(default_factory=list)
+    processes: list[SidecarProcess] = field(default_factory=list)
 
-    async def start(self) -> Running:
-        environ = {
-            "TMPDIR": str(self.folder),
-            "BALANCER_SOCKET_FD": str(self.held.fileno()),
+    async def start(self) -> SidecarProcess:
+        environment = {
+            "TMPDIR": str(self.directory),
+            "BALANCER_SOCKET_FD": str(self.listener.fileno()),
             "BALANCER_CONSOLE": f"{HOST}:0",
         }
-        process = await start_program(self.folder / "config.json", environ, (self.held.fileno(),))
-        one = Running(process, 0)
-        self.running.append(one)
-        while "serves on" not in (told := await one.read_log_line()):
-            door = re.search(r"admin_interface_listening: .*:(\d+)", told)
-            one.console = int(door[1]) if door else one.console
-        return one
+        system_process = await start_program(
+            self.directory / "config.json", environment, (self.listener.fileno(),)
+        )
+        process = SidecarProcess(system_process, 0)
+        self.processes.append(process)
+        while "serves on" not in (log_line := await process.read_log_line()):
+            match = re.search(r"admin_interface_listening: .*:(\d+)", log_line)
+            process.admin_port = int(match[1]) if match else process.admin_port
+        return process
 
     async def client(self) -> Client:
-        return Client(*await asyncio.open_connection(*self.held.getsockname()))
+        return Client(*await asyncio.open_connection(*self.listener.getsockname()))
 
 
 @asynccontextmanager
-async def platform(folder: Path, *scripts: object) -> AsyncIterator[Platform]:
+async def running_platform(directory: Path, *scripts: object) -> AsyncIterator[Platform]:
     servers = [await ScriptedServer(script).start() for script in scripts]  # type: ignore[arg-type]
     discovery = ScriptedDiscovery()
-    discovery.servers = [endpoint_entry(f"s-{index}", each.address) for index, each in enumerate(servers)]
+    discovery.servers = [endpoint_entry(f"s-{index}", server.address) for index, server in enumerate(servers)]
     await discovery.start()
     known = {"version": 1, "full": True, "servers": discovery.servers}
-    with socket.socket() as held:
-        held.bind((HOST, 0))
-        held.listen(64)
-        own = {"listen": f"{HOST}:{held.getsockname()[1]}", "discovery": discovery.address, "known": known}
-        (folder / "config.json").write_text(json.dumps({**VALID_CONFIGURATION, **own}))
-        scene = Platform(folder, held, servers)
+    with socket.socket() as listener:
+        listener.bind((HOST, 0))
+        listener.listen(64)
+        changes = {
+            "listen": f"{HOST}:{listener.getsockname()[1]}",
+            "discovery": discovery.address,
+            "known": known,
+        }
+        (directory / "config.json").write_text(json.dumps({**VALID_CONFIGURATION, **changes}))
+        platform = Platform(directory, listener, servers)
         try:
-            yield scene
+            yield platform
         finally:
-            for each in scene.running:
-                await kill_program(each.process)
+            for process in platform.processes:
+                await kill_program(process.system_process)
             for server in (*servers, discovery):
                 server.stop()
 
@@ -109,104 +114,110 @@
     async def main() -> None:
         release = asyncio.Event()
 
-        async def hold(request: ReceivedRequest) -> bytes:
+        async def respond_on_release(request: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        async with platform(tmp_path, hold) as scene:
-            old = await scene.start()
-            taken = await scene.client()
-            taken.send(request_bytes("lodge"))
-            await wait_until(lambda: len(scene.servers[0].requests) == 1)
-            await scene.start()
-            old.process.send_signal(signal.SIGTERM)
-            assert await old.read_log_line() == "shutdown_started: draining\n"
-            new = [await scene.client() for _ in range(4)]
-            for client in new:
+        async with running_platform(tmp_path, respond_on_release) as platform:
+            old_process = await platform.start()
+            old_client = await platform.client()
+            old_client.send(request_bytes("lodge"))
+            await wait_until(lambda: len(platform.servers[0].requests) == 1)
+            await platform.start()
+            old_process.system_process.send_signal(signal.SIGTERM)
+            assert await old_process.read_log_line() == "shutdown_started: draining\n"
+            new_clients = [await platform.client() for _ in range(4)]
+            for client in new_clients:
                 client.send(request_bytes("lodge"))
-            await wait_until(lambda: len(scene.servers[0].requests) == 5)
+            await wait_until(lambda: len(platform.servers[0].requests) == 5)
             release.set()
-            assert (await taken.read_response()).headers["connection"] == "close"
-            for client in new:
-                answer = await client.read_response()
-                assert answer.status == 200 and "connection" not in answer.headers
-            assert await within_timeout(old.process.wait()) == 0
-            assert (await (await scene.client()).request()).status == 200  # the socket was not shut down
+            assert (await old_client.read_response()).headers["connection"] == "close"
+            for client in new_clients:
+                response = await client.read_response()
+                assert response.status == 200 and "connection" not in response.headers
+            assert await within_timeout(old_process.system_process.wait()) == 0
+            # The shared listening socket was not shut down.
+            assert (await (await platform.client()).request()).status == 200
 
     run_async(main)
 
 
 def test_exclusions_are_shared_by_both_processes(tmp_path: Path) -> None:
     async def main() -> None:
-        async with platform(tmp_path, OK, OK) as scene:
-            old = await scene.start()
-            assert await old.call("/api/exclude", "s-0") == 200
-            assert "excluded s-0" in await old.read_log_line()
-            new = await scene.start()
+        async with running_platform(tmp_path, OK, OK) as platform:
+            old_process = await platform.start()
+            assert await old_process.admin_request("/api/exclude", "s-0") == 200
+            assert "excluded s-0" in await old_process.read_log_line()
+            new_process = await platform.start()
             for _ in range(10):
-                assert (await (await scene.client()).request()).status == 200
-            assert scene.servers[0].requests == []
-            assert await old.call("/api/exclude", "s-1") == 200  # after the new one's start
-            while "excluded s-1" not in await new.read_log_line():
+                assert (await (await platform.client()).request()).status == 200
+            assert platform.servers[0].requests == []
+            # After the new process has started:
+            assert await old_process.admin_request("/api/exclude", "s-1") == 200
+            while "excluded s-1" not in await new_process.read_log_line():
                 pass
-            assert await new.call("/api/include", "s-0") == 200
-            while "included s-0" not in await old.read_log_line():
+            assert await new_process.admin_request("/api/include", "s-0") == 200
+            while "included s-0" not in await old_process.read_log_line():
                 pass
-            old.process.kill()
-            await within_timeout(old.process.wait())
-            answers = [await (await scene.client()).request("lodge") for _ in range(5)]
-            assert {each.status for each in answers} == {200}
-            assert len(scene.servers[0].requests) == 5
+            old_process.system_process.kill()
+            await within_timeout(old_process.system_process.wait())
+            responses = [await (await platform.client()).request("lodge") for _ in range(5)]
+            assert {response.status for response in responses} == {200}
+            assert len(platform.servers[0].requests) == 5
 
     run_async(main)
 
 
-def test_descriptor_without_a_listening_socket_exits_with_2(tmp_path: Path) -> None:
+def test_descriptor_that_is_no_listening_socket_exits_with_2(tmp_path: Path) -> None:
     async def main() -> None:
         (tmp_path / "config.json").write_text(json.dumps(VALID_CONFIGURATION))
-        idle = socket.socket()
-        datagram = socket.socket(type=socket.SOCK_DGRAM)
-        with idle, datagram, (tmp_path / "file").open("wb") as file:
-            for number in (idle.fileno(), datagram.fileno(), file.fileno(), 987, "five"):
-                environ = {"BALANCER_SOCKET_FD": str(number)}
-                passed = (number,) if isinstance(number, int) and number != 987 else ()
-                process = await start_program(tmp_path / "config.json", environ, passed)
-                _, told = await within_timeout(process.communicate())
+        unbound_socket = socket.socket()
+        udp_socket = socket.socket(type=socket.SOCK_DGRAM)
+        with unbound_socket, udp_socket, (tmp_path / "file").open("wb") as file:
+            for descriptor in (unbound_socket.fileno(), udp_socket.fileno(), file.fileno(), 987, "five"):
+                environment = {"BALANCER_SOCKET_FD": str(descriptor)}
+                passed_descriptors = (
+                    (descriptor,) if isinstance(descriptor, int) and descriptor != 987 else ()
+                )
+                process = await start_program(tmp_path / "config.json", environment, passed_descriptors)
+                _, stderr = await within_timeout(process.communicate())
                 assert process.returncode == 2
-                assert told.startswith(b"sidecar: config: BALANCER_SOCKET_FD: ") and told.count(b"\n") == 1
+                assert (
+                    stderr.startswith(b"sidecar: config: BALANCER_SOCKET_FD: ") and stderr.count(b"\n") == 1
+                )
 
     run_async(main)
 
 
-def test_inherited_socket_is_used_as_it_is() -> None:
-    with socket.socket() as held:
-        held.bind((HOST, 0))
-        held.listen(1)
-        taken = listener_from_descriptor(os.dup(held.fileno()))
-        assert taken.getsockname() == held.getsockname()
-        taken.close()
+def test_inherited_listening_socket_is_used_unchanged() -> None:
+    with socket.socket() as listener:
+        listener.bind((HOST, 0))
+        listener.listen(1)
+        inherited = listener_from_descriptor(os.dup(listener.fileno()))
+        assert inherited.getsockname() == listener.getsockname()
+        inherited.close()
         with pytest.raises(ValueError, match="descriptor"):
             listener_from_descriptor(10**9)
 
 
-def test_two_processes_divide_the_sockets_and_one_has_them_all(tmp_path: Path) -> None:
+def test_two_processes_divide_the_upstream_connections_and_one_has_all(tmp_path: Path) -> None:
     async def main() -> None:
-        given = {**VALID_CONFIGURATION, "limits": {"sockets": 160, "memory_mb": 64}}
-        with socket.socket() as held:
-            held.bind((HOST, 0))
-            held.listen(64)
-            other = ProcessLock(tmp_path, print, "other")
-            config = parse(given, {"TMPDIR": str(tmp_path)})
-            sidecar = Sidecar(config, print, listener_from_descriptor(os.dup(held.fileno())))
+        document = {**VALID_CONFIGURATION, "limits": {"sockets": 160, "memory_mb": 64}}
+        with socket.socket() as listener:
+            listener.bind((HOST, 0))
+            listener.listen(64)
+            other_lock = ProcessLock(tmp_path, print, "other")
+            configuration = parse(document, {"TMPDIR": str(tmp_path)})
+            sidecar = Sidecar(configuration, print, listener_from_descriptor(os.dup(listener.fileno())))
             await sidecar.start()
             assert (sidecar.downstream._max_connections, sidecar._upstream._pool._max_connections) == (53, 29)
-            other.close()
+            other_lock.close()
             await wait_until(lambda: sidecar._hot_restart.is_only_process)
             assert (sidecar.downstream._max_connections, sidecar._upstream._pool._max_connections) == (53, 59)
-            other = ProcessLock(tmp_path, print, "other")
+            other_lock = ProcessLock(tmp_path, print, "other")
             await wait_until(lambda: not sidecar._hot_restart.is_only_process)
             assert (sidecar.downstream._max_connections, sidecar._upstream._pool._max_connections) == (53, 29)
-            other.close()
+            other_lock.close()
             sidecar.close()
 
     run_async(main)
--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -10,29 +10,31 @@
 from sidecar.log_events import LogEvent
 
 ROOT = Path(__file__).parent.parent
-MODULE = "".join(file.read_text(encoding="utf-8") for file in sorted((ROOT / "balancer").glob("*.py")))
+BALANCER_SOURCE = "".join(
+    file.read_text(encoding="utf-8") for file in sorted((ROOT / "balancer").glob("*.py"))
+)
 
 
-def test_every_log_line_stands_on_the_on_call_page() -> None:
+def test_every_log_line_of_the_balancer_is_documented_on_the_on_call_page() -> None:
     page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
-    written = re.findall(r'Log\(f?"(\w+) ', MODULE)
-    assert sorted(set(written)) == ["ejected", "excluded", "included", "readmitted"]
-    assert len(re.findall(r"Log\([^)]", MODULE)) == len(written)
-    for word in written:
-        assert f"`{word} SERVER" in page
+    names = re.findall(r'Log\(f?"(\w+) ', BALANCER_SOURCE)
+    assert sorted(set(names)) == ["ejected", "excluded", "included", "readmitted"]
+    assert len(re.findall(r"Log\([^)]", BALANCER_SOURCE)) == len(names)
+    for name in names:
+        assert f"`{name} SERVER" in page
     assert {reason.value for reason in EjectionReason} == {"silent", *(outcome.value for outcome in FAILURES)}
     for reason in EjectionReason:
         assert f"`ejected S: {reason.value}`" in page
 
 
 def documented_lines() -> list[str]:
-    """The lines in the first column of the page's tables."""
+    """Return the log lines in the first column of the tables on the on-call page."""
     page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
     return re.findall(r"^\| `([^`]*)` \|", page, flags=re.MULTILINE)
 
 
 def documented_form(event: type[LogEvent]) -> str:
-    """An event's line as the page shows it: fields as words in capitals."""
+    """Return the form in which the page shows an event's line: with its fields in capitals."""
     text = re.sub(r"\{(\w+)[^}]*\}", lambda field: field[1].upper(), event.template)
     return f"{event.name}: {text}"
 
@@ -65,7 +67,7 @@
         )
 
 
-def test_nothing_is_logged_or_printed_but_events() -> None:
+def test_only_log_events_are_logged_or_printed() -> None:
     modules = [path for path in (ROOT / "sidecar").rglob("*.py") if path.name != "log_events.py"]
     source = "".join(path.read_text(encoding="utf-8") for path in modules)
     assert re.findall(r"\b_?(?:log|print)\(\s*f?[\"']", source) == []
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is deployed: its configuration, its end and its exit codes."""
+"""The deployed program: configuration, graceful shutdown and exit codes."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
 }
 
 
-def _without(key: str) -> dict[str, Any]:
+def _configuration_without(key: str) -> dict[str, Any]:
     return {name: value for name, value in VALID_CONFIGURATION.items() if name != key}
 
 
 @pytest.mark.parametrize(
-    ("given", "key"),
+    ("content", "key"),
     [
         ("", "BALANCER_CONFIG"),
         ("[1]", "BALANCER_CONFIG"),
-        (_without("name"), "name"),
+        (_configuration_without("name"), "name"),
         ({**VALID_CONFIGURATION, "listen": "localhost:80"}, "listen"),
         ({**VALID_CONFIGURATION, "discovery": 5}, "discovery"),
         ({**VALID_CONFIGURATION, "seed": "xyz"}, "seed"),
@@ -60,7 +60,7 @@
         ({**VALID_CONFIGURATION, "peers": ["nowhere"]}, "peers[0]"),
         ({**VALID_CONFIGURATION, "peer_listen": "x"}, "peer_listen"),
         ({**VALID_CONFIGURATION, "console": "nowhere"}, "console"),
-        (_without("settings"), "settings"),
+        (_configuration_without("settings"), "settings"),
         ({**VALID_CONFIGURATION, "settings": {"lanes": []}}, "settings.lanes"),
         (
             {**VALID_CONFIGURATION, "settings": {"lanes": SERVICE_CLASSES, "bounds": {"sendCap": "x"}}},
@@ -69,12 +69,12 @@
     ],
     ids=str,
 )
-def test_invalid_configuration_is_one_line_that_names_the_key(
-    given: object, key: str, tmp_path: Path
+def test_invalid_configuration_is_reported_on_one_line_with_its_key(
+    content: object, key: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_text(given if isinstance(given, str) else json.dumps(given))
-    done = subprocess.run(
+    path.write_text(content if isinstance(content, str) else json.dumps(content))
+    result = subprocess.run(
         [sys.executable, "-m", "sidecar"],
         cwd=ROOT,
         env={**os.environ, "BALANCER_CONFIG": str(path)},
@@ -83,13 +83,13 @@
         timeout=60,
         check=False,
     )
-    assert done.returncode == 2
-    assert done.stdout == "" and done.stderr.count("\n") == 1
-    assert done.stderr.startswith(f"sidecar: config: {key}")
+    assert result.returncode == 2
+    assert result.stdout == "" and result.stderr.count("\n") == 1
+    assert result.stderr.startswith(f"sidecar: config: {key}")
 
 
 class RunningProgram:
-    """The running program, with one server behind it."""
+    """A running sidecar program with one server."""
 
     def __init__(self, process: asyncio.subprocess.Process, port: int, server: ScriptedServer) -> None:
         self.process, self.port, self.server = process, port, server
@@ -99,21 +99,21 @@
 
 
 async def start_program(
-    config: Path, environ: dict[str, str] | None = None, descriptors: tuple[int, ...] = ()
+    configuration_path: Path, environment: dict[str, str] | None = None, descriptors: tuple[int, ...] = ()
 ) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "sidecar",
         cwd=ROOT,
-        env={**os.environ, "BALANCER_CONFIG": str(config), **(environ or {})},
+        env={**os.environ, "BALANCER_CONFIG": str(configuration_path), **(environment or {})},
         stderr=asyncio.subprocess.PIPE,
         pass_fds=descriptors,
     )
 
 
 async def kill_program(process: asyncio.subprocess.Process) -> None:
-    """See to it that a process is over, if it is not yet."""
+    """Kill a process unless it has ended."""
     if process.returncode is None:
         process.kill()
         await process.wait()
@@ -121,22 +121,22 @@
 
 @asynccontextmanager
 async def running_program(
-    script: Callable[[ReceivedRequest], Any] | bytes, folder: Path
+    script: Callable[[ReceivedRequest], Any] | bytes, directory: Path
 ) -> AsyncIterator[RunningProgram]:
     server = await ScriptedServer(script).start()
     discovery = ScriptedDiscovery()
     discovery.servers = [endpoint_entry("s-1", server.address)]
     await discovery.start()
     known = {"version": 1, "full": True, "servers": discovery.servers}
-    path = folder / "config.json"
+    path = directory / "config.json"
     path.write_text(json.dumps({**VALID_CONFIGURATION, "discovery": discovery.address, "known": known}))
     process = await start_program(path)
     try:
         assert process.stderr is not None
-        ready = (await within_timeout(process.stderr.readline())).decode()
-        told = re.search(r"serves on .*:(\d+)", ready)
-        assert told is not None, ready
-        yield RunningProgram(process, int(told[1]), server)
+        listening_line = (await within_timeout(process.stderr.readline())).decode()
+        match = re.search(r"serves on .*:(\d+)", listening_line)
+        assert match is not None, listening_line
+        yield RunningProgram(process, int(match[1]), server)
     finally:
         await kill_program(process)
         server.stop()
@@ -144,89 +144,92 @@
 
 
 def test_sigterm_answers_open_and_late_requests_then_exits_with_0(tmp_path: Path) -> None:
-    # Guards against requests lost at a restart: taken before SIGTERM, on kept connections, and on new ones.
+    # Guards against losing requests at a restart: those received before SIGTERM, and later ones on
+    # connections that are already open or on new ones.
     async def main() -> None:
         release = asyncio.Event()
 
-        async def hold(request: ReceivedRequest) -> bytes:
+        async def respond_on_release(request: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        async with running_program(hold, tmp_path) as running:
-            taken, resting = await running.client(), await running.client()
-            resting.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert (await resting.read_response()).status == 200
-            taken.send(request_bytes("lodge"))
-            await wait_until(lambda: len(running.server.requests) == 1)
-            running.process.send_signal(signal.SIGTERM)
-            assert await within_timeout(resting.reader.read()) == b""  # a connection at rest is let go
-            late = await running.client()
-            late.send(request_bytes("lodge"))
-            await wait_until(lambda: len(running.server.requests) == 2)
+        async with running_program(respond_on_release, tmp_path) as program:
+            active_client, idle_client = await program.client(), await program.client()
+            idle_client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+            assert (await idle_client.read_response()).status == 200
+            active_client.send(request_bytes("lodge"))
+            await wait_until(lambda: len(program.server.requests) == 1)
+            program.process.send_signal(signal.SIGTERM)
+            assert await within_timeout(idle_client.reader.read()) == b""  # the idle connection was closed
+            late_client = await program.client()
+            late_client.send(request_bytes("lodge"))
+            await wait_until(lambda: len(program.server.requests) == 2)
             release.set()
-            for client in (taken, late):
-                answer = await client.read_response()
-                assert (answer.status, answer.headers["connection"]) == (200, "close")
+            for client in (active_client, late_client):
+                response = await client.read_response()
+                assert (response.status, response.headers["connection"]) == (200, "close")
                 assert await within_timeout(client.reader.read()) == b""
-            assert await within_timeout(running.process.wait()) == 0
+            assert await within_timeout(program.process.wait()) == 0
 
     run_async(main)
 
 
 def test_sigterm_with_a_silent_server_answers_in_time(tmp_path: Path) -> None:
-    # Guards against SIGKILL finding a request unanswered that had more time left than the process has.
+    # Guards against a request that is unanswered at SIGKILL because its deadline is later.
     async def main() -> None:
-        async def silent(request: ReceivedRequest) -> None:
+        async def send_no_response(request: ReceivedRequest) -> None:
             return None
 
-        async with running_program(silent, tmp_path) as running:
-            taken = await running.client()
-            taken.send(request_bytes("lodge", timeout="30"))
-            await wait_until(lambda: len(running.server.requests) == 1)
-            running.process.send_signal(signal.SIGTERM)
-            answer = await taken.read_response()
-            assert (answer.status, answer.headers["connection"]) == (504, "close")
-            assert await within_timeout(running.process.wait()) == 0
+        async with running_program(send_no_response, tmp_path) as program:
+            client = await program.client()
+            client.send(request_bytes("lodge", timeout="30"))
+            await wait_until(lambda: len(program.server.requests) == 1)
+            program.process.send_signal(signal.SIGTERM)
+            response = await client.read_response()
+            assert (response.status, response.headers["connection"]) == (504, "close")
+            assert await within_timeout(program.process.wait()) == 0
 
     run_async(main)
 
 
-def test_sighup_moves_discovery_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_changes_the_discovery_address_and_rejects_an_invalid_file(tmp_path: Path) -> None:
     async def main() -> None:
         path = tmp_path / "config.json"
-        async with running_program(OK, tmp_path) as running:
-            stderr = running.process.stderr
+        async with running_program(OK, tmp_path) as program:
+            stderr = program.process.stderr
             assert stderr is not None
-            other = ScriptedDiscovery()
-            await other.start()
-            good = json.loads(path.read_text())
-            other.servers = good["known"]["servers"]
+            new_discovery = ScriptedDiscovery()
+            await new_discovery.start()
+            document = json.loads(path.read_text())
+            new_discovery.servers = document["known"]["servers"]
             path.write_text("{")
-            running.process.send_signal(signal.SIGHUP)
+            program.process.send_signal(signal.SIGHUP)
             assert (await within_timeout(stderr.readline())).startswith(
                 b"configuration_rejected: BALANCER_CONFIG: "
             )
-            path.write_text(json.dumps({**good, "discovery": other.address}))
-            running.process.send_signal(signal.SIGHUP)
-            told = (await within_timeout(stderr.readline())).decode()
-            assert told == f"configuration_reloaded: discovery is at {other.address}, version none\n"
-            await wait_until(lambda: len(other.requests) >= 2)
-            assert (await (await running.client()).request()).status == 200
-            running.process.send_signal(signal.SIGTERM)
-            assert await within_timeout(running.process.wait()) == 0
-            other.stop()
+            path.write_text(json.dumps({**document, "discovery": new_discovery.address}))
+            program.process.send_signal(signal.SIGHUP)
+            log_line = (await within_timeout(stderr.readline())).decode()
+            assert (
+                log_line == f"configuration_reloaded: discovery is at {new_discovery.address}, version none\n"
+            )
+            await wait_until(lambda: len(new_discovery.requests) >= 2)
+            assert (await (await program.client()).request()).status == 200
+            program.process.send_signal(signal.SIGTERM)
+            assert await within_timeout(program.process.wait()) == 0
+            new_discovery.stop()
 
     run_async(main)
 
 
 def test_address_in_use_exits_with_1(tmp_path: Path) -> None:
     async def main() -> None:
-        async with running_program(OK, tmp_path) as running:
+        async with running_program(OK, tmp_path) as program:
             path = tmp_path / "second.json"
-            path.write_text(json.dumps({**VALID_CONFIGURATION, "listen": f"{HOST}:{running.port}"}))
-            second = await start_program(path)
-            _, told = await within_timeout(second.communicate())
-            assert second.returncode == 1
-            assert told.startswith(b"sidecar: can't listen: ") and told.count(b"\n") == 1
+            path.write_text(json.dumps({**VALID_CONFIGURATION, "listen": f"{HOST}:{program.port}"}))
+            second_process = await start_program(path)
+            _, stderr = await within_timeout(second_process.communicate())
+            assert second_process.returncode == 1
+            assert stderr.startswith(b"sidecar: can't listen: ") and stderr.count(b"\n") == 1
 
     run_async(main)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""From start to ready whatever is out of order around a process, over loopback sockets."""
+"""Starts with a damaged state directory, a port in use or unreachable peers, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -24,44 +24,46 @@
 from sidecar.configuration import parse
 from sidecar.sidecar import Sidecar
 
-WITHIN_S = 10.0  # nine in ten restarted processes have to be ready by then
+START_TIMEOUT_S = 10.0  # within which nine in ten restarted processes must be ready
 
 
-def _absent(folder: Path) -> None:
-    folder.rmdir()
+def _remove_directory(directory: Path) -> None:
+    directory.rmdir()
 
 
-def _no_folder(folder: Path) -> None:
-    folder.rmdir()
-    folder.write_bytes(b"")
+def _replace_by_file(directory: Path) -> None:
+    directory.rmdir()
+    directory.write_bytes(b"")
 
 
-def _directory(folder: Path) -> None:
-    (folder / "excluded.json").mkdir()
-    (folder / "excluded.lock").mkdir()
+def _create_directories(directory: Path) -> None:
+    (directory / "excluded.json").mkdir()
+    (directory / "excluded.lock").mkdir()
 
 
-def _half_written(folder: Path) -> None:
-    (folder / "excluded.json").write_bytes(b'{"excluded": ["s-')
+def _write_truncated_file(directory: Path) -> None:
+    (directory / "excluded.json").write_bytes(b'{"excluded": ["s-')
 
 
-def _nonsense(folder: Path) -> None:
-    (folder / "excluded.json").write_bytes(b"[" * 100_000 + b"\xff\x00")
+def _write_invalid_file(directory: Path) -> None:
+    (directory / "excluded.json").write_bytes(b"[" * 100_000 + b"\xff\x00")
 
 
-def _loop(folder: Path) -> None:
-    (folder / "excluded.json").symlink_to("excluded.json")
+def _create_symlink_loop(directory: Path) -> None:
+    (directory / "excluded.json").symlink_to("excluded.json")
 
 
-def _pipe(folder: Path) -> None:
-    os.mkfifo(folder / "excluded.json")
+def _create_named_pipe(directory: Path) -> None:
+    os.mkfifo(directory / "excluded.json")
 
 
-async def ready(changes: dict[str, Any], settings: dict[str, Any], folder: Path | None = None) -> list[str]:
-    """Start a sidecar, have it serve a request, end it; give its log."""
+async def start_and_serve(
+    changes: dict[str, Any], settings: dict[str, Any], directory: Path | None = None
+) -> list[str]:
+    """Start a sidecar, let it serve a request and exclude a server, and close it; return its log."""
     server = await ScriptedServer(OK).start()
     log: list[str] = []
-    config = {
+    document = {
         "name": "n0",
         "listen": f"{HOST}:0",
         "discovery": f"{HOST}:1",
@@ -71,10 +73,10 @@
         "console": f"{HOST}:0",
         **changes,
     }
-    environment = {"TMPDIR": str(folder)} if folder else {}
-    sidecar = Sidecar(parse(config, environment), lambda event: log.append(str(event)))
+    environment = {"TMPDIR": str(directory)} if directory else {}
+    sidecar = Sidecar(parse(document, environment), lambda event: log.append(str(event)))
     try:
-        async with asyncio.timeout(WITHIN_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             await sidecar.start()
             reader, writer = await asyncio.open_connection(HOST, sidecar.downstream.port)
             writer.write(request_bytes("lodge"))
@@ -88,31 +90,42 @@
     return log
 
 
-@pytest.mark.parametrize("damage", [_absent, _no_folder, _directory, _half_written, _nonsense, _loop, _pipe])
+@pytest.mark.parametrize(
+    "damage",
+    [
+        _remove_directory,
+        _replace_by_file,
+        _create_directories,
+        _write_truncated_file,
+        _write_invalid_file,
+        _create_symlink_loop,
+        _create_named_pipe,
+    ],
+)
 def test_damaged_state_directory_delays_no_start(damage: Callable[[Path], None], tmp_path: Path) -> None:
-    folder = tmp_path / "own"
-    folder.mkdir()
-    damage(folder)
-    run_async(lambda: ready({}, {}, folder))
+    directory = tmp_path / "state"
+    directory.mkdir()
+    damage(directory)
+    run_async(lambda: start_and_serve({}, {}, directory))
 
 
-TIER = {"bounds": {"mayTell": True}, "groupSize": 2, "me": 0}
+CLUSTER_SETTINGS = {"bounds": {"mayTell": True}, "groupSize": 2, "me": 0}
 
 
 def test_peer_port_in_use_delays_no_start() -> None:
     async def main() -> None:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
-            taken.bind((HOST, 0))
-            port = taken.getsockname()[1]
-            log = await ready(
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
+            udp_socket.bind((HOST, 0))
+            port = udp_socket.getsockname()[1]
+            log = await start_and_serve(
                 {
                     "peer_listen": f"{HOST}:{port}",
                     "peers": [f"{HOST}:{port}", f"{HOST}:9"],
                     "membership": {"on": True},
                 },
-                TIER,
+                CLUSTER_SETTINGS,
             )
-            assert any(line.startswith("peer_listen_failed: ") for line in log)
+            assert any(log_line.startswith("peer_listen_failed: ") for log_line in log)
 
     run_async(main)
 
@@ -120,11 +133,11 @@
 @pytest.mark.parametrize("discovery", ["on_request", "pushed"])
 def test_unreachable_peers_and_discovery_delay_no_start(discovery: str) -> None:
     async def main() -> None:
-        own, other = free_udp_addresses(2)
-        peers = [f"{HOST}:{own[1]}", f"{HOST}:{other[1]}"]
-        await ready(
+        own_address, peer_address = free_udp_addresses(2)
+        peers = [f"{HOST}:{own_address[1]}", f"{HOST}:{peer_address[1]}"]
+        await start_and_serve(
             {"peer_listen": peers[0], "peers": peers, "membership": {"on": True}},
-            {**TIER, "discovery": discovery},
+            {**CLUSTER_SETTINGS, "discovery": discovery},
         )
 
     run_async(main)
