--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -95,7 +95,7 @@
         self._cluster.check_version(configuration)
         keys_requiring_restart = self._configuration.keys_requiring_restart(configuration)
         self._discovery.change_address(configuration.discovery_address)
-        self._cluster.reconfigure(configuration, is_complete=not keys_requiring_restart)
+        self._cluster.reconfigure(configuration, is_fully_applied=not keys_requiring_restart)
         return keys_requiring_restart
 
     @property
--- a/tests/test_configuration_reload.py
+++ b/tests/test_configuration_reload.py
@@ -77,14 +77,14 @@
         }
         sidecar = Sidecar(parse(document), print)
         await sidecar.start()
-        assert sidecar._cluster.members is None
+        assert sidecar._cluster.membership is None
         changed_settings = {**document["settings"], "tier": 4, "me": 0}
         unchanged_keys = sidecar.reconfigure(
             parse({**document, "membership": {"on": True}, "settings": changed_settings})
         )
         assert unchanged_keys == ["settings", "tier"]
-        assert sidecar._cluster.members is not None
-        assert (sidecar._cluster.members._cluster, sidecar._cluster.members._number) == ("3", 1)
+        assert sidecar._cluster.membership is not None
+        assert (sidecar._cluster.membership._cluster, sidecar._cluster.membership._number) == ("3", 1)
         sidecar.close()
 
     run_async(main)
