--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -1,4 +1,4 @@
-"""Load-balancing decisions of a sidecar: events in, actions out, no I/O."""
+"""Load-balancing decisions of a sidecar: takes events and returns actions, without any I/O."""
 
 from balancer.balancer import Balancer
 from balancer.settings import Settings
--- a/balancer/actions.py
+++ b/balancer/actions.py
@@ -1,6 +1,6 @@
-"""Actions: everything that the program around the balancer is to do.
+"""Actions that the balancer returns and the surrounding program carries out.
 
-Times are integers in microseconds.  Actions are plain slotted dataclasses; treat them as values.
+Times are integers in microseconds.  Actions are slotted dataclasses; do not modify them once created.
 """
 
 from __future__ import annotations
@@ -10,32 +10,32 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Send a request to an endpoint; its attempts are numbered from 0 in the order they are sent."""
+    """Send an attempt of a request to an endpoint; a request's attempts are numbered from 0 as sent."""
 
     request: int
     server: str
     deadline: int  # clock time at which the attempt is abandoned
-    send_by: int | None = None  # clock time by which its first byte has to be sent; None: `deadline`
+    send_by: int | None = None  # clock time by which its first byte must be sent; None: `deadline`
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final response: rejected; a retry by the client is safe."""
+    """Send a rejection as the final response; the client can safely retry."""
 
     request: int
-    retry_after_us: int = 0  # 0: nothing is said
+    retry_after_us: int = 0  # 0: send no Retry-After
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final response: failed; the request may have been executed."""
+    """Send a failure as the final response; a server may have executed the request."""
 
     request: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Abandon an attempt."""
+    """Cancel a pending attempt."""
 
     request: int
     attempt: int
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Deliver a `TimerFired` with this token after the delay."""
+    """Deliver a `TimerFired` event with this token after the delay."""
 
     delay_us: int
     token: str
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True)
 class SendPeerMessage:
-    """Send a message to one balancer of the cluster, or to all (None)."""
+    """Send a message to one balancer of the cluster, or to all of them (receiver None)."""
 
     receiver: int | None
     payload: bytes
--- a/balancer/admission_control.py
+++ b/balancer/admission_control.py
@@ -1,8 +1,8 @@
-"""Admission control: which requests are rejected on arrival while the fleet is overloaded, and for how long.
+"""Admission control: rejects requests on arrival while the fleet is overloaded.
 
-Guards against collapse: a fleet that answers all requests too late serves nobody, and clients repeat what
-fails late.  As the concurrency window fills, requests are admitted with a probability that falls
-exponentially, sooner for those that matter less.
+Guards against congestion collapse: a fleet that answers every request too late serves nobody, and clients
+retry requests that failed late.  As the concurrency window fills up, the probability of admission falls
+exponentially, and faster for requests of lower priority.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from balancer.moving_average import DecayingRate
 from balancer.settings import ServiceClass
 
-# Exponent at a full window: of the requests of middle rank one in fifty is admitted.
+# Negative exponent of the admission probability at middle rank just below full pressure: one in fifty passes.
 PRESSURE_EXPONENT = 4.0
-# The lowest rank meets this many times the pressure, the highest almost none.
-RANK_EXPONENT = 2.0
-# Demand by class and tenant is averaged over this many of the longest latency objective.
-DEMAND_OBJECTIVES = 4.0
-# Retry-After is about this part of the latency objective.
+# Factor on that exponent for the lowest rank; it falls linearly to 0 for the highest rank.
+LOWEST_RANK_FACTOR = 2.0
+# Averaging time of the demand of a class and tenant, in multiples of the longest latency objective.
+DEMAND_AVERAGING_OBJECTIVES = 4.0
+# Mean Retry-After, in multiples of the latency objective of the request's class.
 RETRY_AFTER_OBJECTIVES = 0.6
 
 
@@ -36,7 +36,7 @@
 
 
 class AdmissionController:
-    """Admits or rejects requests by the pressure on the window and their rank among the current demand."""
+    """Admits or rejects requests by admission pressure and by their priority rank in the current demand."""
 
     def __init__(self, context: DecisionContext, window: ConcurrencyWindow) -> None:
         self._context = context
@@ -47,27 +47,27 @@
         self._demands: dict[tuple[str, str | None], Demand] = {}
 
     def admits(self, service_class: ServiceClass, tenant: str | None) -> bool:
-        """Whether a new request may go to a server; counts its demand either way."""
+        """Return whether a new request is admitted; counts it as demand in either case."""
         demand = self._demands.get((service_class.name, tenant))
         if demand is None:
-            window_us = DEMAND_OBJECTIVES * self._context.longest_objective_us
+            window_us = DEMAND_AVERAGING_OBJECTIVES * self._context.longest_objective_us
             demand = Demand(service_class, tenant, window_us)
             self._demands[(service_class.name, tenant)] = demand
         demand.rate.add(self._context.now, 1.0)
         pressure = self._window.pressure()
         if pressure <= 0.0:
             return True
-        if pressure < 1.0:  # at a full window nobody is admitted, whatever the rank
-            exponent = RANK_EXPONENT * (PRESSURE_EXPONENT * pressure) * (1.0 - self._rank(demand))
+        if pressure < 1.0:  # a full window admits no request of any rank
+            exponent = LOWEST_RANK_FACTOR * (PRESSURE_EXPONENT * pressure) * (1.0 - self._rank(demand))
             if self._context.random_stream.random() < math.exp(-exponent):
                 return True
         self._window.record_rejection()
         return False
 
     def retry_after_us(self, service_class: ServiceClass) -> int:
-        """How long a rejected client should wait before it retries; 0: nothing to say.
+        """Return how long a rejected client should wait before it retries; 0: send no Retry-After.
 
-        Jittered, so that clients rejected together do not come back together.
+        The jitter keeps clients that were rejected together from retrying together.
         """
         limits = self._context.settings.limits
         if not limits.retry_after:
@@ -76,9 +76,10 @@
         return min(int(objectives * service_class.latency_objective_us), limits.max_retry_after_us)
 
     def _rank(self, demand: Demand) -> float:
-        """The fraction of the demand with less weight than this one, counting half of what weighs the same.
+        """Return the fraction of total demand with a lower weight, plus half of the demand of equal weight.
 
-        Sidecars see different parts of the traffic, so only the tenants' proportions are compared.
+        Each sidecar sees a different part of the traffic, so quotas are compared with the tenants' shares of
+        the demand and not with absolute rates.
         """
         now = self._context.now
         demands = list(self._demands.values())
@@ -89,12 +90,12 @@
             tenant_rates[other.tenant] = tenant_rates.get(other.tenant, 0.0) + rate
         weights = [self._weight(other, tenant_rates[other.tenant], total_rate) for other in demands]
         weight = weights[demands.index(demand)]
-        below = sum(rate for rate, other in zip(rates, weights, strict=True) if other < weight)
-        equal = sum(rate for rate, other in zip(rates, weights, strict=True) if other == weight)
-        return (below + 0.5 * equal) / total_rate if total_rate > 0.0 else 0.5
+        lower_rate = sum(rate for rate, other in zip(rates, weights, strict=True) if other < weight)
+        equal_rate = sum(rate for rate, other in zip(rates, weights, strict=True) if other == weight)
+        return (lower_rate + 0.5 * equal_rate) / total_rate if total_rate > 0.0 else 0.5
 
     def _weight(self, demand: Demand, tenant_rate: float, total_rate: float) -> float:
-        """The priority weight of the class, reduced for what the tenant demands beyond its quota."""
+        """Return the class's priority weight, reduced by the part of the tenant's demand beyond its quota."""
         weight = demand.service_class.priority_weight
         tenant = self._tenants.get(demand.tenant or "")
         if tenant is None or tenant_rate <= 0.0:
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -1,9 +1,9 @@
 """The load balancer of one sidecar: events in, actions out.
 
-`Balancer` dispatches events to the mechanisms, owns the requests and keeps two gates: every attempt is sent
-by `_send`, and every final response that is not a server's own is produced by `_finish`.  The two enforce
-the rules, whatever the mechanisms decide.  No I/O, no clock and no other source of chance than the seed.  The
-reasons for the design: docs/design.md.
+`Balancer` dispatches events to its components and owns the requests.  Two methods enforce the rules, whatever
+the components decide: `_send` sends every attempt, and `_finish` produces every final response that does not
+come from a server.  The balancer does no I/O and reads no clock, and its only source of randomness is the
+seed.  The reasons for the design are in docs/design.md.
 """
 
 from __future__ import annotations
@@ -42,21 +42,25 @@
 from balancer.settings import ServiceClass, Settings
 from balancer.slow_start import SlowStart
 
-# A final response is sent this many clock ticks before the client's time is up.
+# A final response is due this many clock ticks before the client's deadline.
 RESPONSE_MARGIN_TICKS = 2
-# A streamed request body has arrived by then; whoever reads it sees to that.
+# Provisional deadline of a request while its streamed body arrives; the sidecar limits the time of the body
+# to less.
 MAX_BODY_ARRIVAL_US = 3_600_000_000
 
 
 class Balancer:
-    """The decisions of one instance.  Feed it events in order; carry out the actions it returns in order."""
+    """The decisions of one sidecar.
+
+    Events have to be passed, and the returned actions executed, in order.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         context = self._context = DecisionContext(settings, seed)
         self._limits = settings.limits
         self._classes = {service_class.name: service_class for service_class in settings.classes}
         self._requests: dict[int, Request] = {}
-        self._has_begun = False
+        self._has_started = False
         scheduler = self._scheduler = Scheduler()
         self._discovery = DiscoveryPoller(context, scheduler)
         endpoints = self._endpoints = EndpointTable(context)
@@ -73,11 +77,11 @@
         self._selector = EndpointSelector(context, endpoints, in_flight, window, slow_start, retries)
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event at clock time `now` (us); return what to do, in order."""
+        """Handle one event at clock time `now` (us); return the actions to execute, in order."""
         self._context.begin_event(now)
         self._in_flight.update_mean(self._window.size)
-        if not self._has_begun:
-            self._has_begun = True
+        if not self._has_started:
+            self._has_started = True
             self._discovery.poll()
         match event:
             case AttemptEnded():
@@ -101,16 +105,16 @@
             case ClusterSizeChanged():
                 self._context.set_cluster_size(event.configured, event.present)
             case _:
-                pass  # health checks and peer messages: none are sent, so none are awaited
+                pass  # health checks and peer messages: the balancer sends none
         self._set_timer()
         return self._context.actions
 
     def endpoint_counts(self) -> EndpointCounts:
-        """How many endpoints are listed, and how many of these get no ordinary request now."""
+        """Return how many endpoints are listed, and how many of them get no regular requests now."""
         return self._endpoints.counts()
 
     def knows_endpoint(self, name: str) -> bool:
-        """Whether an endpoint was ever listed, or excluded."""
+        """Whether an endpoint was ever listed or excluded."""
         return name in self._endpoints.by_name
 
     def _endpoint_list_received(self, event: EndpointListReceived) -> None:
@@ -126,7 +130,7 @@
     def _request_arrived(self, event: RequestArrived) -> None:
         service_class = self._classes.get(event.service_class)
         if service_class is None:
-            # A class that the settings do not name: the least is assumed of it.
+            # A class that is not in the settings gets the defaults, and its deadline as latency objective.
             remaining_us = max(event.remaining_us, 1)
             service_class = ServiceClass(event.service_class, remaining_us, remaining_us)
         self._slow_start.record_arrival()
@@ -141,7 +145,7 @@
         if not event.is_body_streaming:
             self._start_deadline(request, event.remaining_us)
         if self._admission.admits(service_class, event.tenant):
-            self._attempt(request)
+            self._send_or_finish(request)
         else:
             self._finish(request)
 
@@ -151,7 +155,7 @@
         self._scheduler.schedule_response(request.deadline, request.request_id)
 
     def _request_body_completed(self, event: RequestBodyCompleted) -> None:
-        """Start the clock of a request that has arrived completely; its server has it now."""
+        """Start the deadline of a request whose body has arrived, and the timeouts of its attempts."""
         request = self._requests.get(event.request)
         if request is None or request.is_answered or not request.is_body_arriving:
             return
@@ -167,8 +171,11 @@
         self._in_flight.start(attempt)
         self._timeouts.start(request, attempt)
 
-    def _attempt(self, request: Request) -> None:
-        """Send the request to a selected endpoint, or finish it where nothing is left to try."""
+    def _send_or_finish(self, request: Request) -> None:
+        """Send an attempt to a selected endpoint; finish the request if that is not possible.
+
+        A request with a pending attempt is not finished.
+        """
         endpoint = self._select(request)
         is_sent = endpoint is not None and self._send(request, endpoint)
         if not is_sent and not request.has_pending_attempt():
@@ -185,10 +192,13 @@
         if request is not None and not request.is_answered:
             self._close(request)
 
-    # The two gates
+    # Sending attempts and final responses
 
     def _send(self, request: Request, endpoint: Endpoint) -> bool:
-        """Send an attempt if the rules allow it, and return whether it was sent: the only place to do so."""
+        """Send an attempt if the rules allow it; return whether it was sent.
+
+        All attempts are sent here, so that the rules hold whatever the components decide.
+        """
         send_by = self._retries.send_by(request)
         if not self._may_send(request, endpoint, send_by):
             return False
@@ -206,7 +216,7 @@
 
     def _may_send(self, request: Request, endpoint: Endpoint, send_by: int) -> bool:
         if request.is_answered or self._context.now >= min(send_by, request.deadline):
-            return False  # not after the final response, nor later than it helps or is safe
+            return False  # after the final response or the deadline, or too late for a safe retry
         if len(request.attempts) >= self._limits.max_attempts:
             return False
         if not self._limits.hedged_requests and request.has_pending_attempt():
@@ -214,13 +224,14 @@
         if not self._retries.is_in_scope(request, endpoint):
             return False
         if not endpoint.is_available:
-            return False  # at once on hearing of it, without use of the grace period
+            return False  # the grace period of a drain is not used
         return self._slow_start.has_budget(endpoint, request.relative_cost)
 
     def _finish(self, request: Request) -> None:
-        """Produce the final response of a request that no server answers: the only place to do so.
+        """Produce the final response of a request that no server answers.
 
-        A rejection tells the client that a retry is safe; where that is not certain, the request fails.
+        A rejection tells the client that a retry is safe; if that is not certain, the request fails.  All
+        final responses of the balancer are produced here.
         """
         if request.is_answered:
             return
@@ -233,10 +244,10 @@
         self._close(request)
 
     def _close(self, request: Request) -> None:
-        """Nothing is owed any more; pending attempts are cancelled where that is permitted."""
+        """Mark a request as answered and cancel its pending attempts if settings allow it."""
         request.is_answered = True
         self._cancel_attempts(request)
-        self._forget_if_over(request)
+        self._remove_if_ended(request)
 
     def _cancel_attempts(self, request: Request) -> None:
         """Cancel the pending attempts whose response has not started."""
@@ -246,14 +257,18 @@
             if attempt.is_pending and not attempt.response_started:
                 self._context.actions.append(CancelAttempt(request.request_id, attempt.index))
 
-    def _forget_if_over(self, request: Request) -> None:
+    def _remove_if_ended(self, request: Request) -> None:
+        """Remove a request that is answered and has no pending attempt."""
         if request.is_answered and not request.has_pending_attempt():
             self._requests.pop(request.request_id, None)
 
     # Responses and other outcomes of attempts
 
     def _response_started(self, event: ResponseStarted) -> None:
-        """The server has done its work; how long the rest takes depends on its size, and on the client."""
+        """Record the response of an attempt when its first bytes arrive.
+
+        How long the rest takes depends on the size of the response and on the client, not on the server.
+        """
         request = self._requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -288,12 +303,12 @@
                 self._close(request)
         elif not request.is_answered and not request.is_streaming_response():
             self._retry_or_finish(request, attempt, event.outcome)
-        self._forget_if_over(request)
+        self._remove_if_ended(request)
 
     def _record_outcome(
         self, request: Request, attempt: Attempt, event: AttemptEnded, *, was_in_flight: bool
     ) -> None:
-        """Let the mechanisms learn from the end of an attempt."""
+        """Pass the outcome of an attempt to the components."""
         endpoint, outcome = attempt.endpoint, event.outcome
         elapsed_us = self._elapsed_us(attempt, event.elapsed_us)
         if not attempt.response_started or outcome is not Outcome.DELIVERED:
@@ -315,7 +330,7 @@
             self._record_response(request, attempt, elapsed_us)
 
     def _record_response(self, request: Request, attempt: Attempt, elapsed_us: int) -> None:
-        """Let the mechanisms learn from a response, or from its beginning."""
+        """Pass a response, or the start of a streamed one, to the components."""
         objective_us = request.service_class.latency_objective_us
         self._selector.record_response(attempt.endpoint, request.service_class.name)
         self._window.record_response(objective_us)
@@ -324,24 +339,25 @@
             self._window.record_latency_ratio(elapsed_us / objective_us)
 
     def _retry_or_finish(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
-        """Go on with a request after an attempt without a response.
+        """Retry a request after an attempt without a response, or finish it.
 
-        Retries after "full", and where no server was reached, are not taken from the retry budget: it limits
-        what may pile up at servers, and these had no work of it.
+        Retries after "full" and after a failed connect are not charged to the retry budget: the budget limits
+        the load of retries on servers, and those attempts caused their servers no work.
         """
         request.failed_endpoints.append(attempt.endpoint)
         is_full = outcome is Outcome.FULL
         request.full_responses += is_full
-        is_free = is_full or outcome is Outcome.CONNECT_FAILED
+        is_outside_budget = is_full or outcome is Outcome.CONNECT_FAILED
         may_retry = self._context.now < self._retries.send_by(request)
-        if may_retry and (is_free or self._retries.has_budget()):
-            if not is_free:
+        if may_retry and (is_outside_budget or self._retries.has_budget()):
+            if not is_outside_budget:
                 self._retries.spend()
-            self._attempt(request)
+            self._send_or_finish(request)
         elif not request.has_pending_attempt():
             self._finish(request)
         if is_full and request.is_answered and not request.is_body_consumed:
-            self._window.record_no_capacity()  # no retry found room: the fleet is full, not one server
+            # No retry found capacity, so the whole fleet is full and not just one server.
+            self._window.record_no_capacity()
 
     # Deadlines and the timer
 
@@ -371,14 +387,14 @@
         step = self._timeouts.check(request, attempt)
         if step is TimeoutStep.HEDGE:
             self._retries.spend()
-            self._attempt(request)
+            self._send_or_finish(request)
         elif step is TimeoutStep.CANCEL:
             self._context.actions.append(CancelAttempt(request.request_id, attempt.index))
 
-    def _is_void(self, deadline: Deadline) -> bool:
-        """Whether nothing would be done when this deadline passes."""
+    def _is_obsolete(self, deadline: Deadline) -> bool:
+        """Whether nothing has to be done when this deadline passes."""
         if deadline.kind is DeadlineKind.POLL:
-            return not self._discovery.is_planned_at(deadline.due)
+            return not self._discovery.is_scheduled_at(deadline.due)
         request = self._requests.get(deadline.request_id)
         if request is None or request.is_answered:
             return True
@@ -387,9 +403,9 @@
         return not request.attempts[deadline.attempt_index].is_pending
 
     def _set_timer(self) -> None:
-        """Ask for a timer for the earliest deadline that is not void, unless the one set will do."""
+        """Set a timer for the earliest deadline that is not obsolete, unless the current timer suffices."""
         deadline = self._scheduler.next()
-        while deadline is not None and self._is_void(deadline):
+        while deadline is not None and self._is_obsolete(deadline):
             self._scheduler.drop_next()
             deadline = self._scheduler.next()
         delay_us = self._scheduler.timer_to_set(self._context.now)
--- a/balancer/connection_reuse.py
+++ b/balancer/connection_reuse.py
@@ -1,7 +1,8 @@
-"""Whether idle connections can be relied on.
+"""Detection of stale idle connections.
 
-Something on the way may drop idle connections unseen: what is sent on one gets no response, and neither the
-server nor the fleet is at fault.  The same covers servers that close idle connections early.
+A network device between sidecar and server may drop idle connections without notice: a request sent on such a
+connection gets no response, although neither the server nor the fleet has failed.  The same detection covers
+servers that close idle connections early.
 """
 
 from __future__ import annotations
@@ -13,20 +14,21 @@
 from balancer.endpoints import Endpoint
 from balancer.requests import Attempt
 
-# A connection unused for less than this part of the longest latency objective is taken to be alive.
+# A connection unused for a shorter time is assumed to work; in multiples of the longest latency objective.
 MIN_IDLE_OBJECTIVES = 0.25
-# How far one missing response on an idle connection moves the probability towards 1.
+# How far one missing response on an idle connection moves the stale probability towards 1.
 STALE_STEP = 0.5
-# How far a response on one moves it towards 0: some servers may keep connections that others drop.
+# How far a response on an idle connection moves it towards 0.  Less than STALE_STEP, because some servers may
+# keep connections that others drop.
 ALIVE_STEP = 0.3
-# The probability decays over this many of the longest latency objective.
+# Time constant of the decay of the stale probability, in multiples of the longest latency objective.
 DECAY_OBJECTIVES = 16.0
-# From this probability on, idle connections are closed instead of reused.
+# At this stale probability or more, idle connections are closed instead of reused.
 MAX_STALE_PROBABILITY = 0.25
 
 
 class ConnectionReuse:
-    """The probability that an idle connection is stale, learnt from responses and their absence."""
+    """Estimates the probability that an idle connection is stale, from responses and missing responses."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
@@ -35,29 +37,32 @@
         self._min_stale_idle_us = 0  # the shortest idle time at which a connection was stale
 
     def use_connection(self, endpoint: Endpoint) -> int:
-        """Return how long (us) the connection that an attempt would reuse has been idle; 0 if hardly.
+        """Return the idle time (us) of the connection that an attempt will reuse.
 
-        A connection that is likely to be stale is closed first, at the cost of a handshake.
+        0 means that the attempt opens a new connection or reuses one in steady use.  A connection that is
+        likely to be stale is closed first, at the cost of a handshake.
         """
-        since, endpoint.idle_since = endpoint.idle_since, None
-        idle_us = 0 if since is None else self._context.now - since
+        idle_since, endpoint.idle_since = endpoint.idle_since, None
+        idle_us = 0 if idle_since is None else self._context.now - idle_since
         if idle_us < MIN_IDLE_OBJECTIVES * self._context.longest_objective_us:
             return 0
         if idle_us >= self._context.settings.limits.idle_timeout_us:
             return 0
-        if self._probability() >= MAX_STALE_PROBABILITY and 2 * idle_us >= self._min_stale_idle_us:
+        if self._decayed_probability() >= MAX_STALE_PROBABILITY and 2 * idle_us >= self._min_stale_idle_us:
             self._context.actions.append(CloseIdleConnections(endpoint.name))
             return 0
         return idle_us
 
     def record_silence(self, attempt: Attempt) -> bool:
-        """Learn from an attempt without a response; return whether an idle connection may be to blame."""
+        """Learn from an attempt without a response; return whether a stale connection may be the cause."""
         if attempt.is_silence_recorded:
             return attempt.is_blamed_on_idle_connection
         attempt.is_silence_recorded = True
-        probability = self._probability()
+        probability = self._decayed_probability()
         if not attempt.idle_us:
-            self._stale_probability = probability * (1.0 - STALE_STEP)  # silent on a live connection
+            self._stale_probability = probability * (
+                1.0 - STALE_STEP
+            )  # the connection was in use, so the server is silent
             return False
         if probability < MAX_STALE_PROBABILITY or attempt.idle_us < self._min_stale_idle_us:
             self._min_stale_idle_us = attempt.idle_us
@@ -67,14 +72,15 @@
         return True
 
     def record_response(self, attempt: Attempt) -> None:
-        """Learn from a response; its connection is idle from now on."""
+        """Learn from a response, and note that its connection is idle from now on."""
         attempt.endpoint.idle_since = self._context.now
         if attempt.is_silence_recorded:
-            self._stale_probability = 0.0  # the server was slow, the connection alive
+            self._stale_probability = 0.0  # the response came late: the connection works
         elif attempt.idle_us and attempt.idle_us >= self._min_stale_idle_us:
-            self._stale_probability = self._probability() * (1.0 - ALIVE_STEP)
+            self._stale_probability = self._decayed_probability() * (1.0 - ALIVE_STEP)
 
-    def _probability(self) -> float:
+    def _decayed_probability(self) -> float:
+        """Return the stale probability, decayed up to the current time."""
         now = self._context.now
         span_us = DECAY_OBJECTIVES * self._context.longest_objective_us
         self._stale_probability *= math.exp((self._updated_at - now) / span_us)
--- a/balancer/endpoint_updates.py
+++ b/balancer/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Changes of the endpoint table: endpoint lists, and exclusion by operators."""
+"""Updates of the endpoint table by endpoint lists and by operators' exclusions."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from balancer.requests import Request
 from balancer.slow_start import SlowStart
 
-# After about this many of the longest latency objective, an endpoint that operators included again is sent
-# a request, whether or not it was selected by chance.
+# Delay, in multiples of the longest latency objective, after which an endpoint that operators included again
+# is sent a request even if it was not selected.
 INCLUSION_OBJECTIVES = 4.0
 
 
 class EndpointUpdater:
-    """Applies endpoint lists and exclusions; an excluded endpoint is treated as draining over every list."""
+    """Applies endpoint lists and exclusions; an excluded endpoint stays excluded whatever the lists say."""
 
     def __init__(
         self,
@@ -29,10 +29,10 @@
         self._endpoints = endpoints
         self._slow_start = slow_start
         self._outliers = outliers
-        self._first_request_due: dict[Endpoint, int] = {}  # of those included again and not used since
+        self._first_request_due: dict[Endpoint, int] = {}  # endpoints included again and not used since
 
     def apply(self, event: EndpointListReceived) -> None:
-        """Take over a list, complete or of changes only."""
+        """Apply an endpoint list, either complete or with changes only."""
         if event.kind is not EndpointListKind.CHANGES:
             listed = {entry.server for entry in event.entries}
             for endpoint in self._endpoints.by_name.values():
@@ -54,53 +54,58 @@
             endpoint.started_at = entry.started_at
             self._slow_start.begin(endpoint, entry.started_at)
             if endpoint.ejected_until is not None and entry.state is EndpointState.READY:
-                self._outliers.readmit(endpoint)  # a new process: what the old one did says nothing of it
+                self._outliers.readmit(endpoint)  # a new process: failures of the old one do not count
 
     def _set_state(self, endpoint: Endpoint, state: EndpointState) -> None:
-        is_changed, endpoint.state = endpoint.state is not state, state
+        is_changed = endpoint.state is not state
+        endpoint.state = state
         if is_changed:
             self.close_idle_if_unavailable(endpoint)
         if state is EndpointState.GONE and endpoint.ejected_until is not None:
-            self._outliers.release(endpoint)  # it no longer counts among those that may be ejected
+            self._outliers.release(endpoint)  # it no longer counts towards the limit of ejected endpoints
 
     def close_idle_if_unavailable(self, endpoint: Endpoint) -> None:
-        """Close idle connections to an endpoint that is draining, gone or excluded, where that is required.
+        """Close idle connections to a draining, gone or excluded endpoint, if the platform requires it.
 
-        Called when it becomes so, and whenever an attempt ends there later and leaves its connection idle.
+        Called when the endpoint becomes unavailable, and whenever an attempt ends there later and leaves its
+        connection idle.
         """
         is_required = self._context.settings.guarantees.close_idle_within_us is not None
         if is_required and not endpoint.is_available:
             self._context.actions.append(CloseIdleConnections(endpoint.name))
 
     def exclude(self, name: str) -> None:
-        """Send nothing more to an endpoint; attempts that it holds may end there."""
+        """Exclude an endpoint from new attempts; its pending attempts continue."""
         endpoint = self._endpoints.get_or_add(name)
         if endpoint.is_excluded:
             return
         endpoint.is_excluded = True
         self._first_request_due.pop(endpoint, None)
         if endpoint.ejected_until is not None:
-            self._outliers.release(endpoint)  # it gets no trials and is not among those that may be ejected
+            self._outliers.release(
+                endpoint
+            )  # no trial requests; it does not count towards the limit of ejected endpoints
         self.close_idle_if_unavailable(endpoint)
         self._endpoints.refresh()
         self._context.actions.append(Log(f"excluded {name}"))
 
     def include(self, name: str) -> None:
-        """Use an endpoint again; what it did before the exclusion says little of it."""
+        """Include an endpoint again; its failures and latency from before the exclusion are discarded."""
         endpoint = self._endpoints.by_name.get(name)
         if endpoint is None or not endpoint.is_excluded:
             return
         endpoint.is_excluded = False
         endpoint.consecutive_failures = endpoint.ejections = 0
         endpoint.relative_latency = 0.0
-        self._first_request_due[endpoint] = self._context.time_after(INCLUSION_OBJECTIVES)
+        self._first_request_due[endpoint] = self._context.jittered_time_after(INCLUSION_OBJECTIVES)
         self._endpoints.refresh()
         self._context.actions.append(Log(f"included {name}"))
 
     def endpoint_after_inclusion(self, request: Request) -> Endpoint | None:
-        """An endpoint that was included again, and not selected since, when its time has come; or None.
+        """Return an endpoint that was included again, if it is due for its first request; or None.
 
-        Guards small balancers, which might leave it unused for long, above all while it is warming up.
+        Without this, a small balancer could leave the endpoint unused for long, above all while it is warming
+        up.
         """
         for endpoint, due in self._first_request_due.items():
             if due <= self._context.now and not request.attempts and endpoint.is_available:
@@ -111,5 +116,5 @@
         return None
 
     def record_attempt(self, endpoint: Endpoint) -> None:
-        """The endpoint was sent a request, so it no longer waits for its first one."""
+        """Note that the endpoint was sent an attempt, so it needs no first request any more."""
         self._first_request_due.pop(endpoint, None)
--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -1,6 +1,6 @@
-"""Endpoints and the table of those that a balancer knows.
+"""Endpoints and the table of the endpoints that a balancer knows.
 
-How endpoint lists and operators change the table is in `endpoint_updates`.
+`endpoint_updates` applies endpoint lists and exclusions to the table.
 """
 
 from __future__ import annotations
@@ -12,7 +12,11 @@
 
 
 class FullBackoff:
-    """One service class keeps off an endpoint that answered "full", for so many latency objectives."""
+    """Backoff of one service class at an endpoint that answered "full".
+
+    `objectives` is its duration in multiples of the longest latency objective, `until` the clock time of its
+    end.
+    """
 
     __slots__ = ("objectives", "until")
 
@@ -22,7 +26,7 @@
 
 
 class Endpoint:
-    """What this balancer knows of one server.  Times are clock times in microseconds."""
+    """The state that this balancer keeps of one server.  Times are clock times in microseconds."""
 
     __slots__ = (
         "abandoned_until",
@@ -50,11 +54,13 @@
 
     def __init__(self, name: str, subset_position: float) -> None:
         self.name = name
-        self.subset_position = subset_position  # random; orders the endpoints differently in each balancer
+        self.subset_position = (
+            subset_position  # random, so that each balancer orders the endpoints differently
+        )
         self.zone = ""
         self.cell = 0
         self.nominal_capacity = 1.0
-        self.relative_latency = 1.0  # to the usual latency; 0: to be derived from the nominal capacity
+        self.relative_latency = 1.0  # to the latency estimate; 0: to be derived from the nominal capacity
         self.state = EndpointState.GONE
         self.is_excluded = False  # by operators, whatever the endpoint list says
         self.started_at: int | None = None  # None: long ago
@@ -67,19 +73,19 @@
         self.last_response_at = -1
         self.full_backoffs: dict[str, FullBackoff] = {}  # by service class
         self.consecutive_failures = 0
-        self.ejections = 0  # in a row
+        self.ejections = 0  # consecutive ones
         self.ejected_until: int | None = None  # None: not ejected
         self.has_trial_request = False
 
     @property
     def is_available(self) -> bool:
-        """Whether new requests may go there, as far as the endpoint list and the operators are concerned."""
+        """Whether the endpoint list and the operators allow new requests to the endpoint."""
         return self.state is EndpointState.READY and not self.is_excluded
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointCounts:
-    """How many endpoints are listed, and how many of these are draining, excluded or ejected."""
+    """The number of listed endpoints, and of those among them that are draining, excluded or ejected."""
 
     listed: int
     unavailable: int
@@ -98,18 +104,18 @@
 
 
 class EndpointTable:
-    """All endpoints ever listed or excluded, and of these the available ones in subset order."""
+    """All endpoints that were ever listed or excluded, and the available ones in subset order."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         self._zone = context.settings.zone
         self.by_name: dict[str, Endpoint] = {}
         self.available: list[Endpoint] = []
-        self.remote_fraction = 0.0  # of the available endpoints
-        self._zone_latency: ZoneLatency | None = None  # None: to be summed
+        self.remote_fraction = 0.0  # fraction of the available endpoints that are in other zones
+        self._zone_latency: ZoneLatency | None = None  # None: not computed yet
 
     def get_or_add(self, name: str) -> Endpoint:
-        """The endpoint of this name; a new one is not listed yet."""
+        """Return the endpoint of this name; a new endpoint is added as not listed."""
         endpoint = self.by_name.get(name)
         if endpoint is None:
             endpoint = self.by_name[name] = Endpoint(name, self._context.random_stream.random())
@@ -124,7 +130,7 @@
         return EndpointCounts(len(listed), unavailable)
 
     def refresh(self) -> None:
-        """Find the available endpoints anew after states, exclusions or capacities have changed."""
+        """Update the available endpoints after a change of states, exclusions or capacities."""
         available = [endpoint for endpoint in self.by_name.values() if endpoint.is_available]
         available.sort(key=lambda endpoint: endpoint.subset_position)
         self.available = available
@@ -134,7 +140,7 @@
         mean_capacity = sum(endpoint.nominal_capacity for endpoint in available) / max(len(available), 1)
         for endpoint in available:
             if endpoint.relative_latency <= 0.0:
-                # Until responses tell, an endpoint is as quick as its nominal capacity says.
+                # Before the first response, the relative latency follows from the nominal capacity.
                 nominal = endpoint.nominal_capacity
                 endpoint.relative_latency = mean_capacity / nominal if nominal > 0.0 else 1.0
 
@@ -142,12 +148,12 @@
         """Whether the endpoint is in the balancer's own zone."""
         return endpoint.zone == self._zone
 
-    def forget_zone_latency(self) -> None:
-        """Sum the zones' latency anew when it is asked for next: an endpoint was ejected or readmitted."""
+    def invalidate_zone_latency(self) -> None:
+        """Have the zones' latency computed again at the next use, after an ejection or readmission."""
         self._zone_latency = None
 
-    def change_latency(self, endpoint: Endpoint, step: float) -> None:
-        """Change an endpoint's relative latency, and with it the sum of its zone."""
+    def adjust_latency(self, endpoint: Endpoint, step: float) -> None:
+        """Add a step to an endpoint's relative latency and to the sum of its zone."""
         endpoint.relative_latency += step
         zones = self._zone_latency
         if zones is None or not endpoint.is_available or endpoint.ejected_until is not None:
@@ -158,7 +164,7 @@
             zones.remote_sum += step
 
     def zone_latency(self) -> ZoneLatency:
-        """Sums over the available endpoints that are not ejected, kept up between changes of the table."""
+        """Return the sums over available endpoints that are not ejected, cached until the table changes."""
         if self._zone_latency is None:
             zones = self._zone_latency = ZoneLatency()
             for endpoint in self.available:
--- a/balancer/events.py
+++ b/balancer/events.py
@@ -1,6 +1,6 @@
-"""Events: everything that the balancer learns from the program around it.
+"""Events: all input that the balancer gets from the surrounding program.
 
-Times are integers in microseconds.  Events are plain slotted dataclasses; treat them as values.
+Times are integers in microseconds.  Events are slotted dataclasses; do not modify them once created.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 @unique
 class EndpointListKind(Enum):
-    """How the entries of an endpoint list are to be read."""
+    """What the entries of an endpoint list stand for."""
 
     CHANGES = "changes"  # changed entries only
-    COMPLETE = "complete"  # endpoints without an entry are gone
-    CACHED = "remembered"  # complete, but as last known before a restart
+    COMPLETE = "complete"  # all entries; endpoints without an entry are gone
+    CACHED = "remembered"  # all entries as last known before a restart
     FAILED = "failed"  # a call to discovery failed or the watch broke; nothing changes
 
 
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class EndpointListReceived:
-    """An endpoint list was received, or a call for it failed."""
+    """An endpoint list was received, or a call to discovery failed."""
 
     kind: EndpointListKind
     entries: Sequence[EndpointEntry] = ()
@@ -67,23 +67,23 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request; exactly one final response is owed from here on."""
+    """A client's request arrived; exactly one final response to it has to follow."""
 
     request: int
     service_class: str
     tenant: str | None
     key: int | None
     remaining_us: int
-    cost_us: int | None = None  # a hint of the processing time, where the client gave one
+    cost_us: int | None = None  # expected processing time; None: the client gave no hint
     is_client_retry: bool = False
     is_write: bool = False
-    # Whether its body is still arriving and is streamed; `RequestBodyCompleted` then begins its deadline.
+    # Whether the body is streamed and still arriving; its deadline then starts with `RequestBodyCompleted`.
     is_body_streaming: bool = False
 
 
 @dataclass(slots=True)
 class RequestBodyCompleted:
-    """The last byte of a streamed request body has arrived; its deadline begins now."""
+    """The last byte of a streamed request body has arrived; the request's deadline starts now."""
 
     request: int
     remaining_us: int
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The streamed response of an attempt has begun; no other attempt can answer the client any more."""
+    """The client is receiving the streamed response of an attempt, so no other attempt can answer it."""
 
     request: int
     attempt: int
@@ -108,22 +108,22 @@
     server: str
     outcome: Outcome
     elapsed_us: int
-    is_request_answered: bool  # the client has its final response, by this outcome or an earlier one
+    is_request_answered: bool  # whether the client has its final response, by this attempt or before
     load_report: Mapping[str, float] | None = None
-    # Whether a part of the streamed request body was sent and not kept, so that it cannot be sent again.
+    # Whether a part of the streamed request body was sent and is no longer held, which rules out a retry.
     is_body_consumed: bool = False
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client disconnected; nothing is owed any more."""
+    """The client disconnected; no response is needed any more."""
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that was set earlier is due."""
+    """A timer that the balancer set has fired."""
 
     token: str
 
@@ -140,7 +140,7 @@
 
 @dataclass(slots=True)
 class EndpointExcluded:
-    """Operators excluded an endpoint: it gets no requests, whatever is listed, until it is included again."""
+    """Operators excluded an endpoint: it gets no requests until it is included, whatever the lists say."""
 
     server: str
 
@@ -154,11 +154,11 @@
 
 @dataclass(slots=True)
 class ClusterSizeChanged:
-    """How many balancers of the cluster are believed to be present, this one included.
+    """The number of balancers of the cluster that are present changed; the counts include this one.
 
-    Until the first event of this kind, all are.  `present` includes suspected members and those never heard
-    of, `certain` just those that acknowledged; `in_minority` means that no more than half of the members that
-    did not announce their leaving are seen.
+    Before the first event of this kind, all balancers count as present.  `present` includes suspected and
+    unknown members, `certain` only members that acknowledged a ping.  `in_minority` means that at most half
+    of the members that did not announce their leaving are reachable.
     """
 
     configured: int
@@ -169,7 +169,7 @@
 
 @dataclass(slots=True)
 class PeerMessageReceived:
-    """A message from another balancer of the cluster."""
+    """A message from another balancer of the cluster arrived."""
 
     sender: int
     payload: bytes
--- a/balancer/in_flight.py
+++ b/balancer/in_flight.py
@@ -1,4 +1,4 @@
-"""Counts of the attempts that a balancer has in flight, in total, on average and at each endpoint."""
+"""Counts of the attempts in flight of a balancer: total, mean over time, and by endpoint."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 from balancer.endpoints import Endpoint
 from balancer.requests import Attempt
 
-# An abandoned attempt counts as in flight for as long again as it was waited for.
+# An abandoned attempt counts as in flight for this multiple of the time that was waited for its response.
 ABANDONED_FACTOR = 1.0
-# With fewer requests in flight than this, much of what is observed is chance.
+# With fewer requests in flight than this on average, observations are uncertain and averaged over longer
+# times ...
 SIGNIFICANT_IN_FLIGHT = 8.0
-# Averages are then taken over longer spans, up to this factor.
+# ... by up to this factor.
 MAX_AVERAGING_FACTOR = 4.0
 
 
 class InFlightTracker:
-    """Running counts of attempts in flight, since they are needed at every event.
+    """Running counts of attempts in flight, which are needed at every event.
 
-    Abandoned attempts are included for a while, since they may well run on at their servers.  Attempts at
-    ejected endpoints are left out of the total.
+    Abandoned attempts stay included for a while, because their servers may still be working on them.
+    Attempts at ejected endpoints are not included in the total.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -29,20 +30,20 @@
         self._count = 0
         self._count_at_ejected = 0
         self._abandoned_until: list[int] = []  # a heap
-        self.mean = 0.0  # of `total`, over time
+        self.mean = 0.0  # moving average of `total`
         self._mean_at = 0
 
     def total(self) -> int:
-        """Attempts in flight at endpoints that are not ejected, abandoned ones included."""
+        """Return the attempts in flight at endpoints that are not ejected, including abandoned attempts."""
         abandoned = self._abandoned_until
         while abandoned and abandoned[0] <= self._context.now:
             heapq.heappop(abandoned)
         return self._count - self._count_at_ejected + len(abandoned)
 
     def at_endpoint(self, endpoint: Endpoint) -> int:
-        """Attempts in flight at one endpoint, abandoned ones included.
+        """Return the attempts in flight at one endpoint, including abandoned attempts.
 
-        Without those a slow or hung server would look empty once its attempts were cancelled.
+        Without abandoned attempts, a slow or hung server would look idle once its attempts were cancelled.
         """
         if endpoint.abandoned_until:
             now = self._context.now
@@ -50,14 +51,14 @@
         return endpoint.in_flight + len(endpoint.abandoned_until)
 
     def start(self, attempt: Attempt) -> None:
-        """A server has the complete request of this attempt."""
+        """Count an attempt whose server has the complete request."""
         attempt.is_in_flight = True
         attempt.endpoint.in_flight += 1
         self._count += 1
         self._count_at_ejected += attempt.endpoint.ejected_until is not None
 
     def finish(self, attempt: Attempt) -> bool:
-        """A server owes nothing for this attempt any more; return whether it did."""
+        """Stop counting an attempt whose server owes no response any more; return whether it was counted."""
         if not attempt.is_in_flight:
             return False
         attempt.is_in_flight = False
@@ -67,30 +68,34 @@
         return True
 
     def abandon(self, endpoint: Endpoint, waited_us: int) -> None:
-        """Keep counting an attempt that ended without a response."""
+        """Count an attempt that ended without a response as in flight for a while longer."""
         until = self._context.now + int(ABANDONED_FACTOR * waited_us)
         endpoint.abandoned_until.append(until)
         if endpoint.ejected_until is None:
             heapq.heappush(self._abandoned_until, until)
 
     def record_ejection(self, endpoint: Endpoint) -> None:
-        """What the endpoint holds no longer counts in the total."""
+        """Remove the endpoint's attempts from the total."""
         self._count_at_ejected += endpoint.in_flight
 
     def record_readmission(self, endpoint: Endpoint) -> None:
-        """What the endpoint holds counts in the total again."""
+        """Add the endpoint's attempts to the total again."""
         self._count_at_ejected -= endpoint.in_flight
 
     def averaging_factor(self) -> float:
-        """How much longer than in a busy balancer it takes here to tell a change from chance; from 1."""
+        """Return the factor on averaging times: 1 in a busy balancer, more with few requests in flight."""
         return max(1.0, min(SIGNIFICANT_IN_FLIGHT / max(self.mean, 1e-9), MAX_AVERAGING_FACTOR))
 
     def uncertainty(self) -> float:
-        """How much of what is observed is chance, from 0 in a busy balancer to 1 in an idle one."""
+        """Return how uncertain observations are, from 0 in a busy balancer to 1 in an idle one."""
         return (self.averaging_factor() - 1.0) / (MAX_AVERAGING_FACTOR - 1.0)
 
     def update_mean(self, concurrency_window: float) -> None:
-        """Follow the total up to the current time; a mean beyond the window would delay relief."""
+        """Update the mean up to the current time.
+
+        The mean is limited to the larger of the total and the concurrency window; a higher mean would delay
+        the end of an overload.
+        """
         elapsed_us = self._context.now - self._mean_at
         if elapsed_us <= 0:
             return
--- a/balancer/mapping_reader.py
+++ b/balancer/mapping_reader.py
@@ -1,4 +1,4 @@
-"""Reads typed values from nested mappings; every error names the path of the key."""
+"""Reads typed values from nested mappings, with the path of the key in every error message."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 from typing import Any, TypeVar
 
 _Choice = TypeVar("_Choice", bound=Enum)
-# Every integer up to here survives a conversion to a double.
+# The largest integer up to which every integer is exact as a double.
 MAX_INTEGER = 2**53
 
 
 class MappingReader:
-    """Reads one mapping whose own path is `path`, "" at the top.
+    """Reads one mapping at `path`, which is "" for the outermost mapping.
 
-    Null counts as absent, and keys that are never asked for are skipped.  Every method raises ValueError for
-    a value of the wrong type or range, and for an absent one that has no default.
+    Null counts as absent, and unknown keys are ignored.  Every method raises ValueError for a value of the
+    wrong type or range, and for a missing value without a default.
     """
 
-    def __init__(self, given: object, path: str = "") -> None:
-        if not isinstance(given, Mapping):
-            raise ValueError(f"{path}: a mapping is needed")  # noqa: TRY004 - callers catch ValueError for any invalid input
-        self._given = given
+    def __init__(self, mapping: object, path: str = "") -> None:
+        if not isinstance(mapping, Mapping):
+            raise ValueError(f"{path}: must be a mapping, not {mapping!r:.60}")  # noqa: TRY004 - callers catch ValueError for any invalid input
+        self._mapping = mapping
         self._prefix = f"{path}." if path else ""
 
     def section(self, key: str) -> MappingReader:
-        """Read a mapping; an absent one is empty."""
+        """Read a nested mapping; an absent one is read as empty."""
         value = self._value(key)
         return MappingReader({} if value is None else value, self._prefix + key)
 
     def sections(self, key: str) -> list[MappingReader]:
-        """Read a list of mappings; an absent one is empty."""
+        """Read a list of mappings; an absent one is read as empty."""
         value = self._value(key)
         if value is None:
             return []
@@ -39,23 +39,23 @@
         return [MappingReader(item, f"{self._prefix}{key}[{index}]") for index, item in enumerate(value)]
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Read a text; `default` None means that it is needed."""
+        """Read a string; it is required if `default` is None."""
         value = self._value(key)
         if value is None and default is not None:
             return default
         if not isinstance(value, str):
-            raise self._error(key, "a text")
+            raise self._error(key, "a string")
         return value
 
     def texts(self, key: str) -> tuple[str, ...]:
-        """Read a list of texts; an absent one is empty."""
+        """Read a list of strings; an absent one is read as empty."""
         value = self._value(key)
         if value is None:
             return ()
         if not isinstance(value, Sequence) or isinstance(value, str):
-            raise self._error(key, "a list of texts")
+            raise self._error(key, "a list of strings")
         if not all(isinstance(item, str) for item in value):
-            raise self._error(key, "a list of texts")
+            raise self._error(key, "a list of strings")
         return tuple(value)
 
     def boolean(self, key: str, *, default: bool) -> bool:
@@ -77,36 +77,36 @@
         return float(value)
 
     def integer(self, key: str, default: int | None, low: int = 0) -> int:
-        """Read an integer from `low`; `default` None means that it is needed."""
+        """Read an integer of at least `low`; it is required if `default` is None."""
         value = self._value(key)
         if value is None and default is not None:
             return default
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value <= MAX_INTEGER:
-            raise self._error(key, f"a whole number from {low}")
+            raise self._error(key, f"an integer of at least {low}")
         if value != int(value):
-            raise self._error(key, "a whole number")
+            raise self._error(key, "an integer")
         return int(value)
 
     def optional_integer(self, key: str) -> int | None:
-        """Read an integer from 0; None if it is absent."""
+        """Read a non-negative integer; None if it is absent."""
         return None if self._value(key) is None else self.integer(key, None)
 
     def choice(self, key: str, kind: type[_Choice], default: _Choice) -> _Choice:
-        """Read the value of an enumeration's member."""
-        return self.word(key, {str(member.value): member for member in kind}, default)
+        """Read an enumeration member that is given by its value."""
+        return self.named_choice(key, {str(member.value): member for member in kind}, default)
 
-    def word(self, key: str, words: Mapping[str, _Choice], default: _Choice) -> _Choice:
-        """Read one of some words, each of which stands for an enumeration's member."""
+    def named_choice(self, key: str, members: Mapping[str, _Choice], default: _Choice) -> _Choice:
+        """Read an enumeration member that is given by its name in `members`."""
         value = self._value(key)
         if value is None:
             return default
-        member = words.get(value) if isinstance(value, str) else None
+        member = members.get(value) if isinstance(value, str) else None
         if member is None:
-            raise self._error(key, "one of " + ", ".join(words))
+            raise self._error(key, "one of " + ", ".join(members))
         return member
 
     def _value(self, key: str) -> Any:
-        return self._given.get(key)
+        return self._mapping.get(key)
 
-    def _error(self, key: str, needed: str) -> ValueError:
-        return ValueError(f"{self._prefix}{key}: {needed} is needed, not {self._value(key)!r:.60}")
+    def _error(self, key: str, expected: str) -> ValueError:
+        return ValueError(f"{self._prefix}{key}: must be {expected}, not {self._value(key)!r:.60}")
--- a/balancer/moving_average.py
+++ b/balancer/moving_average.py
@@ -1,4 +1,4 @@
-"""Event rates over a sliding span of time, as exponentially decaying counts."""
+"""Moving averages of event rates, as exponentially decaying counts."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class DecayingRate:
-    """A rate averaged over about `window_us`: recent amounts count most, older ones fade exponentially.
+    """An exponentially weighted moving average of a rate, with time constant `window_us`.
 
-    Takes constant time and memory, whatever the rate.
+    Takes constant time and memory at any rate.
     """
 
     __slots__ = ("_count", "_updated_at", "_window_us")
@@ -19,17 +19,17 @@
         self._updated_at = 0
 
     def set_window(self, window_us: float) -> None:
-        """Average over another span from now on; the current rate stays as it is."""
+        """Change the time constant without changing the current rate."""
         self._count *= window_us / self._window_us
         self._window_us = window_us
 
     def add(self, now: int, amount: float) -> None:
-        """Count an amount at clock time `now`."""
+        """Add an amount at clock time `now`."""
         self._decay(now)
         self._count += amount
 
     def per_us(self, now: int) -> float:
-        """The average amount for each microsecond up to `now`."""
+        """Return the average amount per microsecond at clock time `now`."""
         self._decay(now)
         return self._count / self._window_us
 
--- a/balancer/requests.py
+++ b/balancer/requests.py
@@ -1,4 +1,4 @@
-"""Requests that a balancer has accepted, and their attempts."""
+"""Requests that a balancer handles, and their attempts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Attempt:
-    """One attempt of a request; it is pending until it has an outcome.  Times are in microseconds."""
+    """One attempt of a request, pending until it has an outcome.  Times are in microseconds."""
 
     __slots__ = (
         "cell",
@@ -34,27 +34,27 @@
     def __init__(self, index: int, endpoint: Endpoint, sent_at: int, responses_before: int) -> None:
         self.index = index
         self.endpoint = endpoint
-        self.zone = endpoint.zone  # as listed when it was sent; the list may move an endpoint
+        self.zone = endpoint.zone  # as listed when sent; a later list may change them
         self.cell = endpoint.cell
         self.sent_at = sent_at
-        self.responses_before = responses_before  # of all endpoints, up to then
-        self.idle_us = 0  # how long its connection had been unused; 0: it was new or in steady use
-        self.is_trial = False  # whether it may bring an ejected endpoint back
+        self.responses_before = responses_before  # response count of all endpoints when sent
+        self.idle_us = 0  # idle time of its connection before; 0: new or in steady use
+        self.is_trial = False  # whether it is a trial request to an ejected endpoint
         self.is_pending = True
         self.is_in_flight = False  # whether the server has the complete request and owes its response
-        self.may_have_executed = True  # until an outcome proves that it did not
+        self.may_have_executed = True  # true until its outcome proves otherwise
         self.response_started = False
-        self.is_silence_recorded = False  # whether its missing response was taken account of
+        self.is_silence_recorded = False  # whether its missing response was recorded
         self.is_counted_late = False  # whether it was counted as a sign of overload before it ended
 
     @property
     def is_blamed_on_idle_connection(self) -> bool:
-        """Whether its missing response is put down to a connection that had been unused."""
+        """Whether its missing response is attributed to a stale idle connection."""
         return self.is_silence_recorded and self.idle_us > 0
 
 
 class Request:
-    """An accepted request; it is kept until it has its final response and its last attempt has ended."""
+    """A request, kept until it has its final response and all its attempts have ended."""
 
     __slots__ = (
         "attempts",
@@ -82,20 +82,22 @@
     ) -> None:
         self.request_id = request_id
         self.service_class = service_class
-        self.deadline = deadline  # clock time by which the final response has to be sent
-        self.relative_cost = relative_cost  # to the mean of its class
-        # The cost by powers of two.
+        self.deadline = deadline  # clock time by which the final response must be sent
+        self.relative_cost = relative_cost  # relative to the mean cost of its class
+        # Exponent of the relative cost to base 2, limited to the range of buckets.
         self.cost_bucket = max(MIN_COST_BUCKET, min(math.frexp(relative_cost)[1], MAX_COST_BUCKET))
         self.attempts: list[Attempt] = []
-        self.failed_endpoints: list[Endpoint] = []  # those that answered "full" included
+        self.failed_endpoints: list[Endpoint] = []  # includes those that answered "full"
         self.full_responses = 0
         self.is_answered = False
-        self.has_streamed_body = has_streamed_body  # its body is not kept, so it can't be hedged
+        self.has_streamed_body = (
+            has_streamed_body  # a streamed body is not held, so the request can't be hedged
+        )
         self.is_body_arriving = has_streamed_body
-        self.is_body_consumed = False  # some of a streamed body is gone: no further attempt is possible
+        self.is_body_consumed = False  # part of a streamed body is no longer held, so no retry is possible
 
     def has_pending_attempt(self) -> bool:
-        """Whether an attempt has not ended yet."""
+        """Whether any attempt is pending."""
         return any(attempt.is_pending for attempt in self.attempts)
 
     def is_streaming_response(self) -> bool:
@@ -103,11 +105,11 @@
         return any(attempt.response_started and attempt.is_pending for attempt in self.attempts)
 
     def has_started_response(self) -> bool:
-        """Whether a response to the client has begun, finished or not."""
+        """Whether a response to the client has begun, complete or not."""
         return any(attempt.response_started for attempt in self.attempts)
 
     def first_attempt_that_may_have_executed(self) -> Attempt | None:
-        """The earliest attempt whose outcome does not prove that the server did nothing."""
+        """Return the earliest attempt whose outcome does not prove that the server did not execute it."""
         for attempt in self.attempts:
             if attempt.may_have_executed:
                 return attempt
--- a/balancer/retry_policy.py
+++ b/balancer/retry_policy.py
@@ -1,8 +1,8 @@
-"""Which requests may be attempted again, where, until when and how often.
+"""The retry policy: which requests may be retried, at which endpoints, until when and how often.
 
-A request must not take effect twice.  An idempotent one may be attempted any number of times; one with an
-idempotency key only where and while servers drop repeats; any other only if no server executed it.  See RFC
-9110, section 9.2.2.
+A request must not take effect twice.  An idempotent request may be attempted any number of times.  A request
+with an idempotency key may be repeated only within the scope and window in which servers drop repeats of a
+key.  Any other request may be retried only if no server can have executed it.  See RFC 9110, section 9.2.2.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 from balancer.requests import Request
 from balancer.settings import Idempotency, IdempotencyScope
 
-# Retries and hedged requests for each request of a client: retries must not multiply an overload.
+# Retries and hedged requests allowed for each client request, so that retries do not amplify an overload.
 RETRIES_PER_REQUEST = 0.2
-# Requests whose allowance may be saved up.
+# The retry budget accumulates the allowance of at most this many requests.
 MAX_SAVED_REQUESTS = 50.0
-# A send time without a limit of its own.
+# Values of `RetryPolicy.send_by`: no limit besides the deadline, and no further attempt.
 NO_LIMIT = 2**61
 NOT_ALLOWED = 0
 
 
 class RetryPolicy:
-    """The rules of idempotency, and the budget of retries that follow a failure."""
+    """Applies the rules of idempotency and keeps the retry budget."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         self._budget = RETRIES_PER_REQUEST * MAX_SAVED_REQUESTS / 2
 
     def record_arrival(self) -> None:
-        """Add to the budget for a request of a client."""
+        """Add the allowance of one client request to the retry budget."""
         self._budget = min(self._budget + RETRIES_PER_REQUEST, RETRIES_PER_REQUEST * MAX_SAVED_REQUESTS)
 
     def has_budget(self) -> bool:
-        """Whether a retry or a hedged request is within the budget."""
+        """Whether the budget allows a retry or a hedged request."""
         return self._budget >= 1.0
 
     def spend(self) -> None:
@@ -41,7 +41,10 @@
         self._budget -= 1.0
 
     def send_by(self, request: Request) -> int:
-        """The clock time before which another attempt may be sent, by its first byte; 0: it may not."""
+        """Return the clock time before which the first byte of another attempt must be sent.
+
+        `NO_LIMIT` if there is no limit besides the deadline, `NOT_ALLOWED` if no attempt may be sent.
+        """
         if request.is_body_consumed:
             return NOT_ALLOWED
         idempotency = request.service_class.idempotency
@@ -50,12 +53,15 @@
             return NO_LIMIT
         if idempotency is Idempotency.NOT_IDEMPOTENT:
             return NOT_ALLOWED
-        # Servers forget keys; one tick less, since the clock is read once a tick.
+        # Servers forget a key after its window.  One tick less, because the clock advances only once a tick.
         window_us = request.service_class.idempotency_window_us
         return executed.sent_at + window_us - self._context.settings.clock_resolution_us
 
     def is_in_scope(self, request: Request, endpoint: Endpoint) -> bool:
-        """Whether this endpoint would drop the repeat of a request with a key that may have executed."""
+        """Whether the endpoint is in the idempotency scope of the first attempt that may have executed.
+
+        Always true for requests without an idempotency key.
+        """
         service_class = request.service_class
         if service_class.idempotency is not Idempotency.WITH_KEY:
             return True
@@ -69,7 +75,7 @@
         return executed.cell == endpoint.cell
 
     def is_safe_to_repeat(self, request: Request) -> bool:
-        """Whether the client may send the request again, to any server, without effect twice."""
+        """Whether the client may repeat the request at any server without a risk of executing it twice."""
         service_class = request.service_class
         if service_class.idempotency is Idempotency.IDEMPOTENT:
             return True
@@ -81,6 +87,6 @@
         return request.first_attempt_that_may_have_executed() is None
 
     def has_attempts_left(self, request: Request) -> bool:
-        """Whether a further attempt is allowed, by number and by time."""
+        """Whether the number of attempts and the time allow another attempt."""
         max_attempts = self._context.settings.limits.max_attempts
         return self._context.now < self.send_by(request) and len(request.attempts) < max_attempts
--- a/balancer/scheduler.py
+++ b/balancer/scheduler.py
@@ -1,4 +1,4 @@
-"""Pending deadlines of a balancer, and the one timer that is set for the earliest of them."""
+"""Pending deadlines of a balancer, and the single timer that is set for the earliest one."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 @unique
 class DeadlineKind(Enum):
-    """What falls due."""
+    """What has to be done when a deadline passes."""
 
-    POLL = "poll"  # discovery is to be polled
-    RESPONSE = "response"  # a request needs its final response
-    ATTEMPT = "attempt"  # an attempt has taken longer than expected
+    POLL = "poll"  # poll discovery
+    RESPONSE = "response"  # send the final response of a request
+    ATTEMPT = "attempt"  # check an attempt whose timeout has passed
 
 
 class Deadline:
-    """Something that falls due at a clock time; it holds identifiers, so that what is over can be freed."""
+    """A scheduled deadline.  It refers to its request by number, so that an ended request can be freed."""
 
     __slots__ = ("attempt_index", "due", "kind", "request_id")
 
@@ -30,23 +30,23 @@
 
 
 class Scheduler:
-    """A priority queue of deadlines; those due at the same time come in the order they were scheduled."""
+    """A priority queue of deadlines; deadlines due at the same time pass in the order of scheduling."""
 
     def __init__(self) -> None:
-        self._queue: list[tuple[int, int, Deadline]] = []  # due, sequence number, deadline
+        self._queue: list[tuple[int, int, Deadline]] = []  # (due, sequence number, deadline)
         self._sequence = 0
         self._timer_due: int | None = None  # None: no timer is set
 
     def schedule_poll(self, due: int) -> None:
-        """Poll discovery at `due`."""
+        """Schedule a poll of discovery."""
         self._push(Deadline(DeadlineKind.POLL, due, -1, -1))
 
     def schedule_response(self, due: int, request_id: int) -> None:
-        """A request's final response has to be sent at `due`."""
+        """Schedule the final response of a request."""
         self._push(Deadline(DeadlineKind.RESPONSE, due, request_id, -1))
 
     def schedule_attempt(self, due: int, request_id: int, attempt_index: int) -> None:
-        """Look at an attempt at `due`."""
+        """Schedule a check of an attempt that may have timed out."""
         self._push(Deadline(DeadlineKind.ATTEMPT, due, request_id, attempt_index))
 
     def _push(self, deadline: Deadline) -> None:
@@ -54,11 +54,11 @@
         heapq.heappush(self._queue, (deadline.due, self._sequence, deadline))
 
     def next(self) -> Deadline | None:
-        """The earliest deadline, left in place."""
+        """Return the earliest deadline without removing it."""
         return self._queue[0][2] if self._queue else None
 
     def drop_next(self) -> None:
-        """Remove the earliest deadline; there must be one."""
+        """Remove the earliest deadline; the queue must not be empty."""
         heapq.heappop(self._queue)
 
     def pop_due(self, now: int) -> Deadline | None:
@@ -68,12 +68,16 @@
         return None
 
     def record_timer(self, now: int) -> None:
-        """A timer fired; one that is not due yet was set earlier and replaced since."""
+        """Note that a timer fired.
+
+        Ignored before the due time of the current timer: then the timer that fired is an older one, which the
+        current timer replaced.
+        """
         if self._timer_due is not None and now >= self._timer_due:
             self._timer_due = None
 
     def timer_to_set(self, now: int) -> int | None:
-        """The delay of a timer that is to be set for the earliest deadline; None if the one set will do."""
+        """Return the delay of the timer to set for the earliest deadline; None if no new timer is needed."""
         if not self._queue:
             return None
         due = self._queue[0][0]
--- a/balancer/selection.py
+++ b/balancer/selection.py
@@ -1,7 +1,7 @@
 """Endpoint selection: best of k random endpoints of a subset, by requests in flight.
 
-See M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing" (2001).  After "full" responses
-twice as many endpoints are drawn each time.
+See M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing" (2001).  Each "full" response to
+a request doubles the number of endpoints drawn for its next attempt.
 """
 
 from __future__ import annotations
@@ -18,40 +18,42 @@
 from balancer.slow_start import SlowStart
 from balancer.subset_size import subset_size
 
-# Endpoints drawn: counts are mostly small in one balancer, where two choices find too little.
+# Endpoints drawn for an attempt.  More than two, because most endpoints have few or no requests in flight
+# from one balancer, and two such counts often do not differ.
 CHOICES = 4
 # Exponent of the relative latency for a request of four times the mean cost or more.
 MAX_LATENCY_EXPONENT = 3.0
-# Weight of an endpoint in another zone while the own zone is as quick.
+# Weight of an endpoint in another zone while the local zone is as fast.
 MIN_REMOTE_WEIGHT = 0.25
-# All zones weigh the same once the own zone's latency is this far beyond that of the others ...
+# All zones have the same weight once the local zone's latency exceeds that of the others by this fraction ...
 EVEN_LATENCY_EXCESS = 0.3
-# ... or the typical latency ratio is twice this.
+# ... or once the mean latency ratio is twice this.
 BUSY_LATENCY_RATIO = 0.12
-# A class keeps off an endpoint that answered "full" for so many of the longest latency objective ...
+# Backoff of a service class after the first "full" response of an endpoint, in multiples of the longest
+# latency objective ...
 FULL_BACKOFF_OBJECTIVES = 0.5
-# ... and for twice as long at each further one in a row, up to this.
+# ... which doubles with each further consecutive one up to this limit.
 MAX_FULL_BACKOFF_OBJECTIVES = 4.0
 
 
-class _Slots:
-    """The part of a subset that is for endpoints of the own zone, or for those of all others."""
+class _ZoneSlots:
+    """The slots of a subset for endpoints of the local zone, or for endpoints of all other zones."""
 
-    __slots__ = ("_places_left", "_size_left")
+    __slots__ = ("_candidates_left", "_slots_left")
 
     def __init__(self, size: int) -> None:
-        self._places_left = size
-        self._size_left = size
+        self._candidates_left = size
+        self._slots_left = size
 
-    def pass_by(self) -> bool:
-        """Go on to the next endpoint; return whether it is among as many first ones as there are slots."""
-        self._places_left -= 1
-        return self._places_left >= 0
+    def next_candidate(self) -> bool:
+        """Count a candidate; return whether it is one of the first `size` candidates."""
+        self._candidates_left -= 1
+        return self._candidates_left >= 0
 
     def take(self) -> bool:
-        """Use a slot; return whether there was one left."""
-        self._size_left -= 1
-        return self._size_left >= 0
+        """Take a slot; return whether one was left."""
+        self._slots_left -= 1
+        return self._slots_left >= 0
 
 
 class EndpointSelector:
@@ -76,7 +78,7 @@
         self._remote_weight_at = -1
 
     def select(self, request: Request) -> Endpoint | None:
-        """Return the drawn endpoint with the fewest attempts in flight; None if none is eligible."""
+        """Return the drawn endpoint with the fewest attempts in flight; None if no endpoint is eligible."""
         pool = self._subset(request)
         if not pool:
             return None
@@ -96,27 +98,29 @@
         return best
 
     def record_full(self, endpoint: Endpoint, class_name: str) -> None:
-        """Keep a service class off an endpoint that was full for it.
+        """Start or prolong the backoff of a service class at an endpoint that answered "full".
 
-        Servers may reject one class or tenant while they have capacity for others.  Also spares redraws where
-        servers reject early.  The backoff gives way where no other endpoint is left.
+        The backoff is per class, because servers may reject one class or tenant while they have capacity for
+        others.  It also saves redraws where servers reject early.  It is ignored if no other endpoint is
+        left.
         """
         backoff = endpoint.full_backoffs.setdefault(class_name, FullBackoff())
         if backoff.objectives:
             backoff.objectives = min(2.0 * backoff.objectives, MAX_FULL_BACKOFF_OBJECTIVES)
         else:
             backoff.objectives = FULL_BACKOFF_OBJECTIVES
-        backoff.until = self._context.time_after(backoff.objectives)
+        backoff.until = self._context.jittered_time_after(backoff.objectives)
 
     def record_response(self, endpoint: Endpoint, class_name: str) -> None:
-        """End the backoff of a service class at an endpoint that answered it."""
+        """End the backoff of a service class at an endpoint that answered a request of it."""
         endpoint.full_backoffs.pop(class_name, None)
 
     def _subset(self, request: Request) -> list[Endpoint]:
-        """The first eligible endpoints in this balancer's own order, of both zones where crossing has a cost.
+        """Return the first eligible endpoints in this balancer's order.
 
-        Endpoints that are warming up are taken only from the very first: further ones are in the budgets of
-        other balancers.
+        If cross-zone requests have a cost, local and remote endpoints have separate numbers of slots.
+        Endpoints that are warming up are taken only from the first candidates, as many as there are slots:
+        those further down are in the subsets, and so in the slow-start budgets, of other balancers.
         """
         size = subset_size(self._in_flight.mean)
         local_size = remote_size = size
@@ -124,26 +128,28 @@
             remote_fraction = self._current_remote_weight() * self._endpoints.remote_fraction
             remote_size = max(round(size * remote_fraction), 1)
             local_size = size - remote_size
-        return self._fill_subset(request, size, _Slots(local_size), _Slots(remote_size))
+        return self._fill_subset(request, size, _ZoneSlots(local_size), _ZoneSlots(remote_size))
 
-    def _fill_subset(self, request: Request, size: int, local: _Slots, remote: _Slots) -> list[Endpoint]:
+    def _fill_subset(
+        self, request: Request, size: int, local: _ZoneSlots, remote: _ZoneSlots
+    ) -> list[Endpoint]:
         class_name = request.service_class.name
         subset: list[Endpoint] = []
-        spare: list[Endpoint] = []  # beyond the slots of their zone
+        surplus: list[Endpoint] = []  # eligible, but without a slot of their zone
         backed_off: list[Endpoint] = []
         for endpoint in self._endpoints.available:
             slots = local if self._endpoints.is_local(endpoint) else remote
-            if not slots.pass_by() and self._slow_start.is_warming_up(endpoint):
+            if not slots.next_candidate() and self._slow_start.is_warming_up(endpoint):
                 continue
             if not self._is_eligible(endpoint, request):
                 continue
             if self._is_backed_off(endpoint, class_name):
                 backed_off.append(endpoint)
                 continue
-            (subset if slots.take() else spare).append(endpoint)
+            (subset if slots.take() else surplus).append(endpoint)
             if len(subset) >= size:
                 break
-        subset += spare[: size - len(subset)]
+        subset += surplus[: size - len(subset)]
         return subset or backed_off[:size]
 
     def _is_eligible(self, endpoint: Endpoint, request: Request) -> bool:
@@ -153,7 +159,7 @@
             if endpoint in request.failed_endpoints or not self._retries.is_in_scope(request, endpoint):
                 return False
             if any(attempt.is_pending and attempt.endpoint is endpoint for attempt in request.attempts):
-                return False  # a hedged request goes elsewhere
+                return False  # a hedged request must go to another endpoint
         if endpoint.slow_start_since is None:
             return True
         return self._slow_start.has_budget(endpoint, request.relative_cost)
@@ -163,9 +169,10 @@
         return backoff is not None and self._context.now < backoff.until
 
     def _weight(self, endpoint: Endpoint, exponent: float) -> float:
-        """Slower endpoints weigh less: with few requests most counts are zero, and the draw decides.
+        """Return the weight of an endpoint in the draw, which is lower for slower endpoints.
 
-        Still less for heavy requests, which only quick servers can answer in time.
+        With few requests in flight most counts are zero, so the draw alone decides.  Slower endpoints get an
+        even lower weight for requests of high cost, which only fast servers can answer in time.
         """
         latency = math.pow(max(endpoint.relative_latency, 1.0 / MAX_RELATIVE_LATENCY), exponent)
         if endpoint.slow_start_since is None:
@@ -173,7 +180,7 @@
         return self._slow_start.capacity_fraction(endpoint) / latency
 
     def _draw(self, pool: list[Endpoint], weights: list[float], count: int) -> list[Endpoint]:
-        """Draw distinct endpoints by their weights, in random order."""
+        """Draw up to `count` distinct endpoints one by one, each with a probability by its weight."""
         drawn = []
         left = list(range(len(pool)))
         total = sum(weights)
@@ -189,26 +196,26 @@
         return drawn
 
     def _current_remote_weight(self) -> float:
-        """The weight of endpoints in other zones, computed once for each clock time."""
+        """Return the weight of endpoints in other zones, computed once for each clock time."""
         if self._remote_weight_at != self._context.now:
             self._remote_weight_at = self._context.now
             self._remote_weight = self._compute_remote_weight()
         return self._remote_weight
 
     def _compute_remote_weight(self) -> float:
-        """Endpoints of other zones weigh less while the own zone is as quick as theirs.
+        """Return a weight below 1 while the local zone is as fast as the others.
 
-        Spares crossings without the trap of a zone that has more traffic than servers: as the own zone's
-        latency rises, or responses come late anywhere, the weights even out.
+        This avoids cross-zone requests without overloading a zone that has too few servers for its traffic:
+        the weight rises to 1 as the local zone's latency rises, or as the latency ratio rises in any zone.
         """
         if self._context.settings.costs.cross_zone <= 0.0 or not self._window.has_spare_capacity():
-            return 1.0  # capacity anywhere is worth more than a crossing
+            return 1.0  # capacity in any zone is worth the cost of a cross-zone request
         zones = self._endpoints.zone_latency()
         if not zones.local_count or not zones.remote_count or zones.remote_sum <= 0.0:
             return 1.0
         local_mean = zones.local_sum / zones.local_count
         remote_mean = zones.remote_sum / zones.remote_count
         excess = (local_mean / remote_mean - 1.0) / EVEN_LATENCY_EXCESS
-        # The busier the fleet, the less may any zone be uneven.
-        busyness = (self._window.latency_ratio - BUSY_LATENCY_RATIO) / BUSY_LATENCY_RATIO
-        return max(MIN_REMOTE_WEIGHT, min(max(excess, busyness), 1.0))
+        # The busier the fleet, the more evenly all zones are used.
+        load = (self._window.latency_ratio - BUSY_LATENCY_RATIO) / BUSY_LATENCY_RATIO
+        return max(MIN_REMOTE_WEIGHT, min(max(excess, load), 1.0))
--- a/balancer/settings.py
+++ b/balancer/settings.py
@@ -1,9 +1,9 @@
 """Typed settings of the balancer.
 
-Durations are integers in microseconds.  Settings carry what a decision, or the program around the balancer,
-can act on; the balancer itself does not read all of them.  The names of services are left out on purpose: a
-decision that followed a name would be wrong elsewhere.  How settings are read from the platform's
-format is in `settings_wire`.
+Durations are integers in microseconds.  The settings hold what a decision, or the program around the
+balancer, may depend on; the balancer itself does not read all of them.  Names of services are left out on
+purpose: a decision that depends on a name would be wrong in another deployment.  `settings_wire` reads
+settings from the platform's format.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     """Whether a request of a class may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
-    WITH_KEY = "with_key"  # servers of one scope drop repeats of a key for a while
+    WITH_KEY = "with_key"  # within a scope, servers drop repeats of a key for a while
     NOT_IDEMPOTENT = "not_idempotent"
 
 
@@ -34,7 +34,7 @@
 
 @unique
 class DiscoveryMode(Enum):
-    """Whether changes of the endpoint list are pushed or have to be watched for."""
+    """Whether discovery pushes changes of the endpoint list or the balancer has to watch for them."""
 
     PUSHED = "pushed"
     ON_REQUEST = "on_request"
@@ -42,7 +42,7 @@
 
 @unique
 class CapacityHint(Enum):
-    """What an endpoint's nominal capacity means."""
+    """How far an endpoint's nominal capacity can be relied on."""
 
     NONE = "silent"
     NOMINAL = "nominal"
@@ -52,7 +52,7 @@
 
 @unique
 class LoadReportSource(Enum):
-    """Where load reports come from."""
+    """How load reports reach the balancer."""
 
     RESPONSES = "responses"
     HEALTH_CHECKS = "health_checks"
@@ -61,7 +61,7 @@
 
 @unique
 class PriorityWeightUnit(Enum):
-    """What a class's priority weight is counted for."""
+    """Whether a class's priority weight applies to each request or to each unit of work."""
 
     REQUEST = "request"
     WORK = "work"
@@ -69,11 +69,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """One class of requests and what its clients expect."""
+    """One class of requests and the expectations of its clients."""
 
     name: str
-    deadline_us: int  # clients give up then
-    latency_objective_us: int  # no more than the deadline
+    deadline_us: int  # after which clients give up
+    latency_objective_us: int  # at most the deadline
     priority_weight: float = 1.0
     late_priority_weight: float = 0.0
     idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits."""
+    """What the deployment permits the balancer to do, and the limits it sets."""
 
     max_attempts: int = 1
     hedged_requests: bool = False
@@ -106,14 +106,14 @@
     connect_timeout_us: int = 250_000
     idle_timeout_us: int = 15_000_000
     streams_per_connection: int = 1
-    max_open_requests: int | None = None  # at once, enforced by the sidecar; None: no limit
+    max_open_requests: int | None = None  # concurrently, enforced by the sidecar; None: no limit
     cpu_us_per_s: int | None = None  # CPU time of the instance; None: no limit
     cpu_us_per_request: float = 0.0  # average CPU time; 0: no limit
 
 
 @dataclass(frozen=True, slots=True)
 class Guarantees:
-    """What the platform guarantees and requires.  The defaults are the cautious ends."""
+    """What the platform guarantees and requires, with conservative defaults."""
 
     response_slack_us: int = 0
     max_poll_interval_us: int = 10_000_000
@@ -122,11 +122,11 @@
     slow_start_us: int = 30_000_000
     overload_multiple: float = 1.0
     overload_window_us: int = 2_000_000
-    full_may_have_executed: bool = False  # "full" does not prove that nothing was done
-    close_idle_within_us: int | None = None  # of a drain; None: not required
+    full_may_have_executed: bool = False  # whether a "full" response does not prove that nothing was executed
+    close_idle_within_us: int | None = None  # after the start of a drain; None: not required
 
     def proves_not_executed(self, outcome: Outcome) -> bool:
-        """Whether the outcome proves that the server did nothing of the request."""
+        """Whether the outcome proves that the server did not execute the request."""
         if outcome is Outcome.FULL:
             return not self.full_may_have_executed
         return outcome in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
@@ -134,21 +134,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """What extra work costs, as a fraction of the value of all service, mostly for one unit a request."""
+    """Costs of extra work, as fractions of the value of all service; by default for one unit per request."""
 
     cross_zone: float = 0.0
     health_check: float = 0.0
-    peer_message: float = 0.0  # for 256 bytes a request, delivered
-    wasted_work: float = 0.0  # server time without a response, as much as was requested
+    peer_message: float = 0.0  # for 256 bytes delivered per request
+    wasted_work: float = 0.0  # for as much server time without a response as was requested
     handshake: float = 0.0
-    connection: float = 0.0  # for a hundred open connections a server
-    discovery: float = 0.0  # for a hundred entries of endpoint lists a request
-    late_failure: float = 0.0  # for all requests failing after their latency objective
+    connection: float = 0.0  # for a hundred open connections per server
+    discovery: float = 0.0  # for a hundred entries of endpoint lists per request
+    late_failure: float = 0.0  # if all requests fail after their latency objective
 
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """How the deployment is judged: the weights of its measures; all zero: not known."""
+    """The weights of the measures that the deployment is evaluated by; all zero if unknown."""
 
     total: float = 0.0
     worst_window: float = 0.0
@@ -160,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an instance knows at its start."""
+    """The complete settings of an instance."""
 
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -178,6 +178,6 @@
     guarantees: Guarantees = field(default_factory=Guarantees)
     costs: Costs = field(default_factory=Costs)
     objective: Objective = field(default_factory=Objective)
-    machine_types: tuple[str, ...] = ()  # that endpoint lists may name
+    machine_types: tuple[str, ...] = ()  # the types that may occur in endpoint lists
     clients_mark_retries: bool = False
-    warm_keys: bool = False  # a server that has met a key lately needs less time for it
+    warm_keys: bool = False  # whether a server needs less time for a key that it has handled recently
--- a/balancer/settings_wire.py
+++ b/balancer/settings_wire.py
@@ -1,7 +1,7 @@
-"""Reads settings from the platform's format: the simulator's wire and the `settings` of a sidecar's file.
+"""Reads settings in the platform's format, from the simulator and from `settings` in a configuration file.
 
-The one place that connects the format's names to the fields of `balancer.settings`.  Keys that it does not
-name are skipped, absent ones have the cautious defaults of the fields.
+This module alone maps the names of the format to the fields of `balancer.settings`.  Unknown keys are
+ignored; absent keys get the conservative defaults of the fields.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
     Tenant,
 )
 
-# The first word of each member is the format's own; the others are accepted as well.
-_IDEMPOTENCY_WORDS = {
+# The first name of each member is the current one; the other names are accepted as aliases.
+_IDEMPOTENCY_NAMES = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.WITH_KEY,
     "non_idempotent": Idempotency.NOT_IDEMPOTENT,
@@ -34,7 +34,7 @@
     "keyed": Idempotency.WITH_KEY,
     "unsafe": Idempotency.NOT_IDEMPOTENT,
 }
-_LOAD_REPORT_WORDS = {
+_LOAD_REPORT_NAMES = {
     "piggyback": LoadReportSource.RESPONSES,
     "pull": LoadReportSource.HEALTH_CHECKS,
     "silent": LoadReportSource.NONE,
@@ -44,14 +44,17 @@
 _MIN_FRACTION = 0.001
 
 
-def settings_from_wire(given: object) -> Settings:
-    """Translate a settings object; raise ValueError, beginning with the path of the key, on nonsense."""
-    if not isinstance(given, Mapping):
-        raise ValueError("settings: an object is needed")  # noqa: TRY004 - callers catch ValueError for any invalid input
-    top = MappingReader(given)
+def settings_from_wire(wire: object) -> Settings:
+    """Read a settings object.
+
+    Raises ValueError for an invalid value; the message begins with the path of its key.
+    """
+    if not isinstance(wire, Mapping):
+        raise ValueError(f"settings: must be an object, not {wire!r:.60}")  # noqa: TRY004 - callers catch ValueError for any invalid input
+    top = MappingReader(wire)
     classes = tuple(_service_class(section) for section in top.sections("lanes"))
     if not classes:
-        raise ValueError("lanes: at least one class of requests is needed")
+        raise ValueError("lanes: must contain at least one service class")
     _check_unique("lanes", [service_class.name for service_class in classes])
     tenants = tuple(_tenant(section) for section in top.sections("realms"))
     _check_unique("realms", [tenant.name for tenant in tenants])
@@ -67,7 +70,7 @@
         capacity_hint=top.choice("weights", CapacityHint, CapacityHint.NONE),
         priority_weight_unit=top.choice("worthBy", PriorityWeightUnit, PriorityWeightUnit.REQUEST),
         over_quota_weight=top.number("overShareWorth", 1.0, high=1.0),
-        load_report_source=report.word("source", _LOAD_REPORT_WORDS, LoadReportSource.NONE),
+        load_report_source=report.named_choice("source", _LOAD_REPORT_NAMES, LoadReportSource.NONE),
         load_report_columns=report.texts("columns"),
         limits=_limits(top.section("bounds")),
         guarantees=_guarantees(top.section("guarantees")),
@@ -81,7 +84,8 @@
 
 def _check_unique(key: str, names: Sequence[str]) -> None:
     if len(set(names)) != len(names):
-        raise ValueError(f"{key}: a name stands twice")
+        duplicate = next(name for name in names if names.count(name) > 1)
+        raise ValueError(f"{key}: duplicate name {duplicate!r:.60}")
 
 
 def _service_class(lane: MappingReader) -> ServiceClass:
@@ -92,7 +96,7 @@
         latency_objective_us=min(lane.integer("promiseUs", deadline_us, low=1), deadline_us),
         priority_weight=lane.number("worth", 1.0),
         late_priority_weight=lane.number("lateValue", 0.0),
-        idempotency=lane.word("repeat", _IDEMPOTENCY_WORDS, Idempotency.NOT_IDEMPOTENT),
+        idempotency=lane.named_choice("repeat", _IDEMPOTENCY_NAMES, Idempotency.NOT_IDEMPOTENT),
         idempotency_scope=lane.choice("group", IdempotencyScope, IdempotencyScope.CELL),
         idempotency_window_us=lane.integer("memorySpanUs", 0),
         streaming=lane.boolean("streaming", default=False),
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""Puts balancers on the simulator's wire, one JSON array a line; it translates and decides nothing.
+"""Connects balancers to the simulator by its wire protocol, with one JSON array per line.
 
-Run as `python -m balancer.simulator_adapter`.  Input that breaks the wire's grammar ends the process with one
-line on standard error and exit code 2.
+The adapter only translates messages; it takes no decisions.  Run it as `python -m
+balancer.simulator_adapter`. Invalid input ends the process with one line on standard error and exit code 2.
 """
 
 from __future__ import annotations
@@ -47,11 +47,11 @@
 MAX_ERROR_LENGTH = 500
 
 _Member = TypeVar("_Member")
-_Message = list[Any]  # its name, then its values
+_Message = list[Any]  # the name of the message, then its values
 
 
 class WireError(Exception):
-    """A line that the wire does not allow."""
+    """An input line that violates the wire protocol."""
 
 
 # ---------------------------------------------------------------------------------------------------
@@ -75,14 +75,14 @@
     "unused": Outcome.NOT_SENT,
 }
 _MIN_ENTRY_LENGTH = 6
-# Flags of a request.
+# Bits of the flags of a request.
 _HAS_COST_HINT, _IS_CLIENT_RETRY, _IS_WRITE = 1, 2, 4
 _ALL_PEERS = -1
 
 
 def _integer(value: object) -> int:
     if type(value) is not int:
-        raise WireError(f"a whole number is needed, not {value!r:.60}")
+        raise WireError(f"expected an integer, not {value!r:.60}")
     return value
 
 
@@ -92,26 +92,26 @@
 
 def _text(value: object) -> str:
     if type(value) is not str:
-        raise WireError(f"a text is needed, not {value!r:.60}")
+        raise WireError(f"expected a string, not {value!r:.60}")
     return value
 
 
 def _boolean(value: object) -> bool:
     if type(value) is not bool:
-        raise WireError(f"true or false is needed, not {value!r:.60}")
+        raise WireError(f"expected true or false, not {value!r:.60}")
     return value
 
 
-def _number(value: object, complaint: str) -> float:
+def _number(value: object, error_text: str) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise WireError(complaint)
+        raise WireError(error_text)
     return value
 
 
-def _word(value: object, words: Mapping[str, _Member]) -> _Member:
-    member = words.get(value) if isinstance(value, str) else None
+def _enum_member(value: object, members: Mapping[str, _Member]) -> _Member:
+    member = members.get(value) if isinstance(value, str) else None
     if member is None:
-        raise WireError(f"unknown word {value!r:.60}")
+        raise WireError(f"unknown value {value!r:.60}, expected one of " + ", ".join(members))
     return member
 
 
@@ -121,7 +121,7 @@
     if not isinstance(value, dict):
         raise WireError("a load report must be an object")
     for number in value.values():
-        _number(number, f"a load report holds numbers, not {number!r:.60}")
+        _number(number, f"the values of a load report must be numbers, not {number!r:.60}")
     return value
 
 
@@ -129,20 +129,20 @@
     try:
         return bytes.fromhex(_text(value))
     except ValueError:
-        raise WireError("hex digits are needed") from None
+        raise WireError(f"expected hex digits, not {value!r:.60}") from None
 
 
 def _endpoint_entry(entry: object) -> EndpointEntry:
     if not isinstance(entry, list) or len(entry) < _MIN_ENTRY_LENGTH:
-        raise WireError(f"an entry of a server list has at least {_MIN_ENTRY_LENGTH} values")
-    nominal = _number(entry[5], "a nominal figure must be a number")
+        raise WireError(f"an entry of an endpoint list needs at least {_MIN_ENTRY_LENGTH} values")
+    nominal = _number(entry[5], f"a nominal capacity must be a number, not {entry[5]!r:.60}")
     started_at = _optional_integer(entry[6]) if len(entry) > _MIN_ENTRY_LENGTH else None
     return EndpointEntry(
         server=_text(entry[0]),
         zone=_text(entry[1]),
         machine_type=_text(entry[2]),
         cell=_integer(entry[3]),
-        state=_word(entry[4], _STATES),
+        state=_enum_member(entry[4], _STATES),
         nominal_capacity=float(nominal),
         started_at=started_at or None,  # 0: long ago
     )
@@ -180,7 +180,7 @@
         request=_integer(message[2]),
         attempt=_integer(message[3]),
         server=_text(message[4]),
-        outcome=_word(message[5], _OUTCOMES),
+        outcome=_enum_member(message[5], _OUTCOMES),
         elapsed_us=_integer(message[6]),
         is_request_answered=_boolean(message[7]),
         load_report=_load_report(message[8]) if len(message) > 8 else None,
@@ -190,7 +190,7 @@
 def _health_check_ended(message: _Message) -> Event:
     return HealthCheckEnded(
         server=_text(message[4]),
-        outcome=_word(message[3], _OUTCOMES),
+        outcome=_enum_member(message[3], _OUTCOMES),
         elapsed_us=_integer(message[2]),
         load_report=_load_report(message[5]) if len(message) > 5 else None,
     )
@@ -208,7 +208,7 @@
     return PeerMessageReceived(_integer(message[2]), _payload(message[3]))
 
 
-# By name: the least number of values, the name included, and how to read them.
+# By message name: the minimal length of the message, including its name, and the function that reads it.
 _EVENTS: dict[str, tuple[int, Callable[[_Message], Event]]] = {
     "WORK_ITEM": (9, _request_arrived),
     "FIRST": (6, _response_started),
@@ -221,7 +221,7 @@
 
 
 def _action_message(action: Action) -> tuple[str, list[Any]]:
-    """The name of an action's message and its values after the instance's name."""
+    """Return the name of an action's message, and its values without the name of the instance."""
     message: tuple[str, list[Any]]
     match action:
         case SendAttempt():
@@ -262,19 +262,19 @@
 
 
 class SimulatorAdapter:
-    """Hosts independent balancers and plays batches of messages to them."""
+    """Hosts independent balancers and passes batches of messages to them."""
 
     def __init__(self) -> None:
         self._balancers: dict[str, Balancer] = {}
-        self._pages: dict[int, list[EndpointEntry]] = {}  # endpoint lists by number
+        self._pages: dict[int, list[EndpointEntry]] = {}  # endpoint lists by their number
         self._now = 0
         self._is_in_batch = False
         self._reply: list[str] = []
 
     def receive_line(self, text: str) -> list[str] | None:
-        """Take one line; at the end of a batch return the lines of its reply, else None.
+        """Process one line; return the lines of the reply at the end of a batch, else None.
 
-        Raises WireError if the line is not allowed there.
+        Raises WireError if the line is invalid or not allowed at this place.
         """
         message = self._parse(text)
         name = message[0]
@@ -297,15 +297,15 @@
         try:
             message = json.loads(text)
         except (ValueError, RecursionError):
-            raise WireError("this is not JSON") from None
+            raise WireError("the line is not JSON") from None
         if not isinstance(message, list) or not message:
-            raise WireError("a message must be an array that starts with its name")
+            raise WireError("a message must be a JSON array that starts with the message name")
         return message
 
     @staticmethod
     def _require_values(message: _Message, count: int) -> None:
         if len(message) < count:
-            raise WireError(f"{message[0]} needs {count - 1} values, {len(message) - 1} came")
+            raise WireError(f"{message[0]} needs {count - 1} values, got {len(message) - 1}")
 
     def _receive_message(self, message: _Message) -> None:
         name = message[0]
@@ -321,7 +321,7 @@
             return
         balancer = self._balancers.get(instance)
         if balancer is None:
-            raise WireError(f"{name} for {instance!r:.60}, which has not begun")
+            raise WireError(f"{name} for instance {instance!r:.60}, which has not begun")
         if name == "EXIT":
             del self._balancers[instance]
         elif name == "TARGETS":
@@ -346,18 +346,18 @@
             raise WireError(f"settings: {error}") from None
 
     def _endpoint_list(self, message: _Message) -> EndpointListReceived:
-        kind = _word(message[2], _LIST_KINDS)
+        kind = _enum_member(message[2], _LIST_KINDS)
         if kind is EndpointListKind.FAILED:
             return EndpointListReceived(kind)
         page = self._pages.get(_integer(message[3]))
         if page is None:
-            raise WireError(f"TARGETS names list {message[3]}, which was not given")
+            raise WireError(f"TARGETS refers to list {message[3]}, which no PAGE has defined")
         return EndpointListReceived(kind, page, _integer(message[4]))
 
     def _handle(self, instance: str, balancer: Balancer, event: Event) -> None:
         try:
             actions = balancer.handle(self._now, event)
-        except Exception as error:  # the wire has a message for a defect of the balancer
+        except Exception as error:  # the protocol reports defects of the balancer as INTERNAL_ERROR
             text = f"{type(error).__name__}: {error}"[:MAX_ERROR_LENGTH]
             self._reply.append(json.dumps(["INTERNAL_ERROR", instance, text]))
             return
@@ -366,7 +366,7 @@
 
 
 def run(lines: Iterable[str], out: TextIO, err: TextIO) -> int:
-    """Play all lines; return the exit code."""
+    """Process all lines; return the exit code."""
     adapter = SimulatorAdapter()
     for number, text in enumerate(lines, 1):
         try:
@@ -381,7 +381,7 @@
 
 
 def main() -> int:
-    """Play standard input to standard output; return the exit code."""
+    """Process standard input and reply on standard output; return the exit code."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     return run(sys.stdin, sys.stdout, sys.stderr)
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: an endpoint that has just started gets no more than a budget allows.
+"""Slow start: limits the requests to an endpoint that has just started by a budget.
 
-A server that is still warming up fails under a load that a warm one bears, so the budgets of all balancers
-together must stay below the load that would push it over.
+A server that is still warming up fails under a load that a warm server can handle, so the budgets of all
+balancers together must stay below the overload limit of the server.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from balancer.moving_average import DecayingRate
 from balancer.subset_size import subset_size
 
-# Fraction of the load that would push a server over at which its budget fills.
+# Rate at which the budget of a server fills, as a fraction of its overload limit.
 BUDGET_FILL_FRACTION = 0.5
-# Fraction of that load, over the overload window, that may be sent at once.
+# Maximum of the budget, as a fraction of the load of one overload window at the overload limit.
 BUDGET_BURST_FRACTION = 0.18
-# Rates are averaged over this many overload windows.
+# Averaging time of rates, in overload windows.
 RATE_WINDOWS = 2.0
 
 
 class SlowStart:
-    """Budgets of endpoints that are warming up, in requests of mean cost."""
+    """Keeps the budgets of endpoints that are warming up, in requests of mean cost."""
 
     def __init__(
         self, context: DecisionContext, endpoints: EndpointTable, in_flight: InFlightTracker
@@ -35,43 +35,45 @@
         self._arrivals = DecayingRate(window_us)
         self._warm_responses = DecayingRate(window_us)
         self._first_attempts = DecayingRate(window_us)
-        self._warm_capacity = 0.0  # requests for each microsecond, as of `_warm_capacity_at`
+        self._warm_capacity = 0.0  # requests per microsecond, as of `_warm_capacity_at`
         self._mean_nominal_capacity = 1.0
         self._warm_capacity_at = -1
 
     def record_arrival(self) -> None:
-        """Count a request of a client."""
+        """Count a client request."""
         self._arrivals.add(self._context.now, 1.0)
 
     def record_response(self, endpoint: Endpoint) -> None:
-        """Count a response, if a warm server sent it."""
+        """Count a response if the endpoint is not warming up."""
         if not self.is_warming_up(endpoint):
             self._warm_responses.add(self._context.now, 1.0)
 
     def record_attempt(self, endpoint: Endpoint, relative_cost: float, *, is_first: bool) -> None:
-        """Take a sent attempt from the endpoint's budget.
+        """Subtract a sent attempt from the endpoint's budget, and count it if it is a first attempt.
 
-        Retries are no evidence of capacity: they would make budgets of what servers reject.
+        Only first attempts count towards the estimate of capacity: with retries included, requests that
+        servers reject would increase the budgets.
         """
         endpoint.slow_start_budget -= relative_cost
         self._first_attempts.add(self._context.now, float(is_first))
 
     def begin(self, endpoint: Endpoint, since: int) -> None:
-        """Let an endpoint warm up from clock time `since` on.
+        """Start the warming up of an endpoint at clock time `since`.
 
-        The budget begins at random: from zero, those of all balancers would be full at the same time.
+        The initial budget is random; if it were zero, the budgets of all balancers would be full at the same
+        time.
         """
         endpoint.slow_start_since = since
         endpoint.slow_start_budget = self._context.random_stream.random()
         endpoint.slow_start_budget_at = self._context.now
 
     def is_warming_up(self, endpoint: Endpoint) -> bool:
-        """Whether the endpoint may still be unable to bear its full share."""
+        """Whether the endpoint may still be unable to handle its full share of the load."""
         since = endpoint.slow_start_since
         return since is not None and self._context.now < since + self._duration_us
 
     def capacity_fraction(self, endpoint: Endpoint) -> float:
-        """The least fraction of its capacity that the endpoint has by now."""
+        """Return the guaranteed fraction of its capacity that the endpoint has at the current time."""
         since = endpoint.slow_start_since
         if since is None or not self.is_warming_up(endpoint):
             return 1.0
@@ -80,10 +82,11 @@
         return initial + (1.0 - initial) * age_us / self._duration_us
 
     def has_budget(self, endpoint: Endpoint, relative_cost: float) -> bool:
-        """Whether a request of this cost may be sent; always so for a warm endpoint.
+        """Whether a request of this cost may be sent to the endpoint; always true unless it is warming up.
 
-        The budget fills with a fraction of what would push the server over, judged by what this balancer's
-        warm servers serve for it.  All balancers doing so stay below the limit.
+        The budget fills at a fraction of the overload limit, estimated by the rate at which warm servers
+        answer requests of this balancer.  As every balancer uses only its own rate, their sum stays below the
+        limit.
         """
         if not self.is_warming_up(endpoint):
             return True
@@ -100,7 +103,7 @@
         return endpoint.slow_start_budget >= min(relative_cost, max_budget)
 
     def _warm_endpoints(self) -> list[Endpoint]:
-        """The available endpoints that are not warming up; walks the complete list, so it computes little."""
+        """Return the available endpoints that are not warming up; cheap, as it walks the complete list."""
         warm_if_since = self._context.now - self._duration_us
         return [
             endpoint
@@ -109,20 +112,22 @@
         ]
 
     def _estimate_warm_capacity(self) -> float:
-        """What a warm server serves for this balancer; computed once for each clock time."""
+        """Return the rate at which one warm server answers this balancer; computed once per clock time."""
         now = self._context.now
         if self._warm_capacity_at != now:
             self._warm_capacity_at = now
             available = self._endpoints.available
             warm = self._warm_endpoints()
-            peers = warm or available  # ejected ones too: they served a part of what is counted
+            # Includes ejected endpoints, which sent a part of the counted responses.
+            counted_endpoints = warm or available
             served = self._warm_responses if warm else self._arrivals
             size = subset_size(self._in_flight.mean)
-            per_server = served.per_us(now) / max(min(len(peers), size), 1)
-            # Overloaded warm servers serve little, and a new balancer has seen none serve: an even part of
-            # what is sent is bearable too, or the warming up would starve while the warm are overloaded.
-            even_part = self._first_attempts.per_us(now) / max(min(len(available), size), 1)
-            self._warm_capacity = max(per_server, even_part)
-            total_nominal = sum(endpoint.nominal_capacity for endpoint in peers)
-            self._mean_nominal_capacity = total_nominal / max(len(peers), 1)
+            per_server = served.per_us(now) / max(min(len(counted_endpoints), size), 1)
+            # Overloaded warm servers answer few requests, and a new balancer has seen no responses yet.  So
+            # an even share of the first attempts is used as a lower limit; without it, servers that are
+            # warming up would stay idle while the warm ones are overloaded.
+            even_share = self._first_attempts.per_us(now) / max(min(len(available), size), 1)
+            self._warm_capacity = max(per_server, even_share)
+            total_nominal = sum(endpoint.nominal_capacity for endpoint in counted_endpoints)
+            self._mean_nominal_capacity = total_nominal / max(len(counted_endpoints), 1)
         return self._warm_capacity
--- a/balancer/subset_size.py
+++ b/balancer/subset_size.py
@@ -1,15 +1,16 @@
-"""How many endpoints a balancer selects from.
+"""The number of endpoints that a balancer selects from.
 
-Guards against a large fleet seen from many small balancers: each would hold a connection to every server and
-learn next to nothing of any.  A busy balancer reaches all endpoints.
+Without a limit, each of many small balancers in front of a large fleet would hold a connection to every
+server, and would get too few responses from each to learn anything about it.  The subset grows with the
+number of requests in flight, so a busy balancer uses all endpoints.
 """
 
 from __future__ import annotations
 
 SUBSET_SIZE_AT_REST = 4.0
-SUBSET_SIZE_PER_IN_FLIGHT = 1.0  # as many endpoints again as there are busy ones
+SUBSET_SIZE_PER_IN_FLIGHT = 1.0
 
 
 def subset_size(mean_in_flight: float) -> int:
-    """The number of endpoints for this many requests in flight on average."""
+    """Return the subset size for a mean number of requests in flight."""
     return int(SUBSET_SIZE_AT_REST + SUBSET_SIZE_PER_IN_FLIGHT * mean_in_flight)
