--- a/balancer/discovery_polling.py
+++ b/balancer/discovery_polling.py
@@ -12,16 +12,16 @@
 from balancer.settings import DiscoveryMode
 
 # Changes of the endpoint list must be known at most this long after discovery can be reached again.
-RECOVERY_US = 6_000_000
+MAX_RECOVERY_US = 6_000_000
 # Upper limit of the first backoff, as a fraction of the longest time allowed between polls ...
-MIN_BACKOFF = 0.05
+INITIAL_BACKOFF_FRACTION = 0.05
 # ... or this fraction times the number of balancers in the cluster, if that is more.
-MIN_BACKOFF_PER_BALANCER = 0.01
+INITIAL_BACKOFF_FRACTION_PER_BALANCER = 0.01
 # The longest backoff in a small cluster, as such a fraction; leaves time for three failed calls in a row.
-MAX_BACKOFF = 0.25
-# The longest backoff in a large cluster, as a fraction of RECOVERY_US; the rest is for the call and its time
-# in the queue of discovery.
-MAX_BACKOFF_OF_RECOVERY = 0.6
+MAX_BACKOFF_FRACTION = 0.25
+# The longest backoff in a large cluster, as a fraction of MAX_RECOVERY_US; the rest is for the call and its
+# time in the queue of discovery.
+MAX_BACKOFF_RECOVERY_FRACTION = 0.6
 MAX_COUNTED_FAILURES = 8
 # The lower limit of the random factor of later backoffs; close to 1, so that calls that the first, fully
 # random backoff has spread out stay spread out.
@@ -42,7 +42,7 @@
         settings = self._context.settings
         if settings.discovery is DiscoveryMode.ON_REQUEST:
             self._context.actions.append(WatchEndpoints(is_enabled=True))
-            self._schedule(MAX_BACKOFF * settings.guarantees.max_poll_interval_us)
+            self._schedule(MAX_BACKOFF_FRACTION * settings.guarantees.max_poll_interval_us)
 
     def poll_if_due(self) -> None:
         """Poll if the scheduled time has come and no list was received meanwhile."""
@@ -67,10 +67,11 @@
         """
         context = self._context
         present = context.settings.cluster_size * context.cluster_presence
-        first = max(MIN_BACKOFF, MIN_BACKOFF_PER_BALANCER * present)
-        backoff = min(first * 2**self._consecutive_failures, max(MAX_BACKOFF, 2.0 * first))
+        initial = max(INITIAL_BACKOFF_FRACTION, INITIAL_BACKOFF_FRACTION_PER_BALANCER * present)
+        backoff = min(initial * 2**self._consecutive_failures, max(MAX_BACKOFF_FRACTION, 2.0 * initial))
         backoff_us = min(
-            backoff * context.settings.guarantees.max_poll_interval_us, MAX_BACKOFF_OF_RECOVERY * RECOVERY_US
+            backoff * context.settings.guarantees.max_poll_interval_us,
+            MAX_BACKOFF_RECOVERY_FRACTION * MAX_RECOVERY_US,
         )
         min_jitter = MIN_LATER_JITTER if self._consecutive_failures else 0.0
         self._schedule(backoff_us * context.random_stream.uniform(min_jitter, 1.0))
--- a/balancer/subset_size.py
+++ b/balancer/subset_size.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
-SUBSET_SIZE_AT_REST = 4.0
+MIN_SUBSET_SIZE = 4.0
 SUBSET_SIZE_PER_IN_FLIGHT = 1.0
 
 
 def subset_size(mean_in_flight: float) -> int:
     """Return the subset size for a mean number of requests in flight."""
-    return int(SUBSET_SIZE_AT_REST + SUBSET_SIZE_PER_IN_FLIGHT * mean_in_flight)
+    return int(MIN_SUBSET_SIZE + SUBSET_SIZE_PER_IN_FLIGHT * mean_in_flight)
--- a/testbed/experiment/variants.py
+++ b/testbed/experiment/variants.py
@@ -27,7 +27,7 @@
 
 # The mechanisms that can be switched off.
 PARTS: dict[str, tuple[Constant, ...]] = {
-    "reach": (Constant("subset_size", "SUBSET_SIZE_AT_REST", NEVER),),
+    "reach": (Constant("subset_size", "MIN_SUBSET_SIZE", NEVER),),
     "ejection": (Constant("outlier_detection", "MAX_CONSECUTIVE_FAILURES", NEVER),),
     "window": (Constant("concurrency_window", "FREE_UTILIZATION", NEVER),),
     "cold-budget": (
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -442,7 +442,7 @@
 def test_retry_delays_end_before_changes_count_as_notified() -> None:
     # From when it can be reached on, the longest way to the first call that it hears.  The rest of
     # the 6 s is for its line: it serves the calls of the whole tier one after another.
-    waits_s = discovery_polling.MAX_BACKOFF_OF_RECOVERY * discovery_polling.RECOVERY_US / 1e6
+    waits_s = discovery_polling.MAX_BACKOFF_RECOVERY_FRACTION * discovery_polling.MAX_RECOVERY_US / 1e6
     last_asked_s = hedged_poll.POLL_OVERDUE_S + hedged_poll.HEDGE_OVERDUE_S
     ways = {
         "a wait had just begun": waits_s,
@@ -451,4 +451,4 @@
         "so was the last one beside it": hedged_poll.POLL_TIMEOUT_S - last_asked_s + waits_s,
     }
     assert hedged_poll.MAX_CONNECTIONS == 3  # what is counted here: a call and two beside it
-    assert max(ways.values()) <= discovery_polling.RECOVERY_US / 1e6 - 1.2
+    assert max(ways.values()) <= discovery_polling.MAX_RECOVERY_US / 1e6 - 1.2
