--- a/balancer/discovery_polling.py
+++ b/balancer/discovery_polling.py
@@ -1,7 +1,7 @@
 """Polling of service discovery, with backoff after failed calls.
 
 The balancer watches the endpoint list.  A call that fails or is never answered is repeated in time, because
-the platform requires a poll at least every `max_poll_interval_us`.
+no sidecar may be without an up-to-date list for longer than `max_poll_interval_us`.
 """
 
 from __future__ import annotations
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Plays scripted events to one balancer and records its actions."""
+"""Drives one balancer by scripted events in virtual time and records its actions."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
     guarantees: Mapping[str, Any] | None = None,
     **fields: Any,
 ) -> Settings:
-    """Settings of a permissive deployment; `limits` and `guarantees` change single fields of theirs."""
+    """Return settings of a permissive deployment; `limits` and `guarantees` override single fields."""
     return replace(
         Settings(classes=(IDEMPOTENT, NOT_IDEMPOTENT, WITH_KEY), zone="east", clock_resolution_us=5 * MS),
         limits=replace(LIMITS, **(limits or {})),
@@ -76,43 +76,50 @@
     )
 
 
-def names(count: int) -> list[str]:
+def server_names(count: int) -> list[str]:
     return [f"10.0.0.{number}:80" for number in range(1, count + 1)]
 
 
-class Stage:
-    """Plays events to one balancer; timers fire by themselves as time moves on."""
+class BalancerDriver:
+    """Passes events to one balancer and records its actions; timers fire as time is advanced by `wait`."""
 
-    def __init__(self, given: Settings | None = None, seed: int = 7, now: int = START) -> None:
+    def __init__(self, balancer_settings: Settings | None = None, seed: int = 7, now: int = START) -> None:
         self.now = now
-        self.balancer = Balancer(given or settings(), seed)
-        self.log: list[tuple[int, Action]] = []
-        self._timers: list[tuple[int, str]] = []
-        self._next = 1
+        self.balancer = Balancer(balancer_settings or settings(), seed)
+        self.actions: list[tuple[int, Action]] = []  # with the time of each
+        self._timers: list[tuple[int, str]] = []  # due time, token
+        self._next_request = 1
 
-    def play(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
         for action in actions:
-            self.log.append((self.now, action))
+            self.actions.append((self.now, action))
             if isinstance(action, SetTimer):
                 self._timers.append((self.now + action.delay_us, action.token))
         return actions
 
-    def servers(
+    def receive_list(
         self, listed: Iterable[str | EndpointEntry], kind: EndpointListKind = EndpointListKind.COMPLETE
     ) -> list[Action]:
+        """Receive an endpoint list; a name alone stands for a ready endpoint in the balancer's zone."""
         entries = [EndpointEntry(item, zone="east") if isinstance(item, str) else item for item in listed]
-        return self.play(EndpointListReceived(kind, entries, 1))
+        return self.handle(EndpointListReceived(kind, entries, 1))
 
-    def drain(self, server: str, state: EndpointState = EndpointState.DRAINING) -> list[Action]:
-        return self.servers([EndpointEntry(server, zone="east", state=state)], EndpointListKind.CHANGES)
+    def drain(self, server: str) -> list[Action]:
+        return self.set_state(server, EndpointState.DRAINING)
 
-    def request(self, name: str = "look", remaining_us: int = 2 * S, cost_us: int | None = None) -> int:
-        number, self._next = self._next, self._next + 1
-        self.play(RequestArrived(number, name, None, None, remaining_us, cost_us))
+    def set_state(self, server: str, state: EndpointState) -> list[Action]:
+        return self.receive_list([EndpointEntry(server, zone="east", state=state)], EndpointListKind.CHANGES)
+
+    def start_request(
+        self, class_name: str = "look", remaining_us: int = 2 * S, cost_us: int | None = None
+    ) -> int:
+        """Let a request arrive; return its number."""
+        number, self._next_request = self._next_request, self._next_request + 1
+        self.handle(RequestArrived(number, class_name, None, None, remaining_us, cost_us))
         return number
 
-    def end(
+    def end_attempt(
         self,
         request: int,
         outcome: Outcome = Outcome.DELIVERED,
@@ -120,15 +127,18 @@
         answered: bool | None = None,
         report: dict[str, float] | None = None,
     ) -> list[Action]:
-        sends = self.sends(request)
-        index = len(sends) - 1 if attempt is None else attempt
-        sent_at, send = sends[index]
-        done = outcome is Outcome.DELIVERED if answered is None else answered
-        took = self.now - sent_at
-        return self.play(AttemptEnded(request, index, send.server, outcome, took, done, report))
+        """End an attempt of a request, by default the last one."""
+        sent = self.sent_attempts(request)
+        index = len(sent) - 1 if attempt is None else attempt
+        sent_at, action = sent[index]
+        is_answered = outcome is Outcome.DELIVERED if answered is None else answered
+        elapsed_us = self.now - sent_at
+        return self.handle(
+            AttemptEnded(request, index, action.server, outcome, elapsed_us, is_answered, report)
+        )
 
     def wait(self, span_us: int) -> None:
-        """Let time pass; due timers fire on the way."""
+        """Advance the time; timers fire when they are due."""
         until = self.now + span_us
         while True:
             due = sorted(timer for timer in self._timers if timer[0] <= until)
@@ -136,53 +146,57 @@
                 break
             self._timers.remove(due[0])
             self.now = max(self.now, due[0][0])
-            self.play(TimerFired(due[0][1]))
+            self.handle(TimerFired(due[0][1]))
         self.now = until
 
-    def sends(self, request: int | None = None) -> list[tuple[int, SendAttempt]]:
+    def sent_attempts(self, request: int | None = None) -> list[tuple[int, SendAttempt]]:
+        """Return the attempts of all requests, or of one request, with the time of sending."""
         return [
             (at, action)
-            for at, action in self.log
+            for at, action in self.actions
             if isinstance(action, SendAttempt) and (request is None or action.request == request)
         ]
 
     def targets(self, request: int | None = None) -> list[str]:
-        """The endpoints of all attempts, or of one request's, in the order they were sent."""
-        return [attempt.server for _, attempt in self.sends(request)]
+        """Return the endpoints of all attempts, or of one request's attempts, in the order of sending."""
+        return [attempt.server for _, attempt in self.sent_attempts(request)]
 
     def target(self, request: int) -> str:
-        return self.sends(request)[-1][1].server
+        """Return the endpoint of a request's last attempt."""
+        return self.sent_attempts(request)[-1][1].server
 
-    def said(self, kind: type[_Action]) -> list[_Action]:
-        return [action for _, action in self.log if isinstance(action, kind)]
+    def actions_of(self, kind: type[_Action]) -> list[_Action]:
+        return [action for _, action in self.actions if isinstance(action, kind)]
 
-    def serve(
-        self, count: int, every_us: int = 20 * MS, taking_us: int = 50 * MS, name: str = "look"
+    def serve_traffic(
+        self, count: int, every_us: int = 20 * MS, taking_us: int = 50 * MS, class_name: str = "look"
     ) -> None:
-        """Healthy traffic: requests at even intervals, all answered after the same time."""
+        """Play healthy traffic: requests at even intervals, all answered after the same time."""
         pending: list[tuple[int, int]] = []
         for _ in range(count):
             self.wait(every_us)
-            pending.append((self.now + taking_us, self.request(name)))
+            pending.append((self.now + taking_us, self.start_request(class_name)))
             while pending and pending[0][0] <= self.now:
-                done = pending.pop(0)[1]
-                if self.sends(done):
-                    self.end(done)
-        for _, done in pending:
+                request = pending.pop(0)[1]
+                if self.sent_attempts(request):
+                    self.end_attempt(request)
+        for _, request in pending:
             self.wait(every_us)
-            if self.sends(done):
-                self.end(done)
+            if self.sent_attempts(request):
+                self.end_attempt(request)
 
 
-def serve_singly(stage: Stage, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS) -> None:
-    """Traffic of a small balancer: every request is answered before the next arrives."""
+def serve_singly(
+    driver: BalancerDriver, count: int, taking_us: int = 50 * MS, every_us: int = 400 * MS
+) -> None:
+    """Play traffic of a small balancer: every request is answered before the next one arrives."""
     for _ in range(count):
-        request = stage.request()
-        stage.wait(taking_us)
-        if stage.sends(request):
-            stage.end(request)
-        stage.wait(every_us - taking_us)
+        request = driver.start_request()
+        driver.wait(taking_us)
+        if driver.sent_attempts(request):
+            driver.end_attempt(request)
+        driver.wait(every_us - taking_us)
 
 
-def cells() -> list[EndpointEntry]:
-    return [EndpointEntry(name, zone="east", cell=index % 2) for index, name in enumerate(names(8))]
+def endpoints_in_two_cells() -> list[EndpointEntry]:
+    return [EndpointEntry(name, zone="east", cell=index % 2) for index, name in enumerate(server_names(8))]
--- a/tests/mechanisms.py
+++ b/tests/mechanisms.py
@@ -1,4 +1,4 @@
-"""What a mechanism of the balancer needs around it when it is tested by itself."""
+"""Makes the objects that unit tests of single components of the balancer need."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from balancer.settings import ServiceClass, Settings
 
 
-def make_context(given: Settings | None = None, seed: int = 7) -> DecisionContext:
-    context = DecisionContext(given or settings(), seed)
+def make_context(balancer_settings: Settings | None = None, seed: int = 7) -> DecisionContext:
+    context = DecisionContext(balancer_settings or settings(), seed)
     context.begin_event(START)
     return context
 
--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -5,7 +5,17 @@
 import random
 
 import pytest
-from helpers import IDEMPOTENT, MS, NOT_IDEMPOTENT, START, S, Stage, names, serve_singly, settings
+from helpers import (
+    IDEMPOTENT,
+    MS,
+    NOT_IDEMPOTENT,
+    START,
+    BalancerDriver,
+    S,
+    serve_singly,
+    server_names,
+    settings,
+)
 from mechanisms import make_context, make_endpoint
 
 from balancer.actions import CancelAttempt, Reject
@@ -17,99 +27,103 @@
 from balancer.settings import Tenant
 
 
-def _overload(stage: Stage, spans: int) -> None:
+def _overload(driver: BalancerDriver, spans: int) -> None:
     """Servers that answer ever later as more is in flight, under far more requests than they can serve."""
-    stage.servers(names(4))
+    driver.receive_list(server_names(4))
     out: list[int] = []
     for tick in range(spans):
-        stage.wait(10 * MS)
+        driver.wait(10 * MS)
         for name in ("look", "pay"):
-            request = stage.request(name)
-            if stage.sends(request):
+            request = driver.start_request(name)
+            if driver.sent_attempts(request):
                 out.append(request)
         if tick % 2 and out:  # one answer for four requests, oldest first
             request = out.pop(0)
-            if request in stage.balancer._requests and not stage.balancer._requests[request].is_answered:
-                stage.end(request, attempt=0)
+            if request in driver.balancer._requests and not driver.balancer._requests[request].is_answered:
+                driver.end_attempt(request, attempt=0)
 
 
 def test_surge_is_rejected_early_and_low_priority_more() -> None:
-    stage = Stage()
-    stage.servers(names(4))
-    stage.serve(200)
-    _overload(stage, 600)
-    rejected = {rejection.request for rejection in stage.said(Reject)}
+    driver = BalancerDriver()
+    driver.receive_list(server_names(4))
+    driver.serve_traffic(200)
+    _overload(driver, 600)
+    rejected = {rejection.request for rejection in driver.actions_of(Reject)}
     low_priority = sum(number % 2 for number in rejected)  # every other request
     assert len(rejected) > 300 and low_priority > 0.5 * len(rejected)
-    unsent = [rejection.request for rejection in stage.said(Reject) if not stage.sends(rejection.request)]
-    assert len(unsent) > 0.5 * len(stage.said(Reject))
+    unsent = [
+        rejection.request
+        for rejection in driver.actions_of(Reject)
+        if not driver.sent_attempts(rejection.request)
+    ]
+    assert len(unsent) > 0.5 * len(driver.actions_of(Reject))
 
 
 def test_window_admits_all_again_once_the_load_falls() -> None:
-    stage = Stage()
-    stage.serve(1)
-    _overload(stage, 400)
-    stage.wait(10 * S)
-    for request in list(stage.balancer._requests.values()):
+    driver = BalancerDriver()
+    driver.serve_traffic(1)
+    _overload(driver, 400)
+    driver.wait(10 * S)
+    for request in list(driver.balancer._requests.values()):
         for attempt in request.attempts:
             if attempt.is_pending:
-                stage.end(request.request_id, Outcome.CANCELLED, attempt.index, answered=True)
-    stage.wait(15 * S)  # what was abandoned, up to 14 s old, counts for as long again
-    stage.serve(300)  # a small window takes some aims to grow
-    rejected = len(stage.said(Reject))
-    stage.serve(300)
-    assert len(stage.said(Reject)) == rejected
+                driver.end_attempt(request.request_id, Outcome.CANCELLED, attempt.index, answered=True)
+    driver.wait(15 * S)  # what was abandoned, up to 14 s old, counts for as long again
+    driver.serve_traffic(300)  # a small window takes some aims to grow
+    rejected = len(driver.actions_of(Reject))
+    driver.serve_traffic(300)
+    assert len(driver.actions_of(Reject)) == rejected
 
 
 def test_quiet_fleet_gets_no_rejection() -> None:
-    stage = Stage()
-    stage.servers(names(4))
-    stage.serve(800)
-    assert stage.said(Reject) == [] and stage.said(CancelAttempt) == []
+    driver = BalancerDriver()
+    driver.receive_list(server_names(4))
+    driver.serve_traffic(800)
+    assert driver.actions_of(Reject) == [] and driver.actions_of(CancelAttempt) == []
 
 
 def test_small_balancer_rejects_a_part_while_every_response_is_late() -> None:
-    stage = Stage()
-    stage.servers(names(8))
+    driver = BalancerDriver()
+    driver.receive_list(server_names(8))
     for _ in range(120):  # hardly ever two in flight, so a window of two would never refuse
-        stage.wait(900 * MS)
-        request = stage.request()
-        if stage.sends(request):
-            stage.wait(700 * MS)
-            stage.end(request)
-    rejected = len(stage.said(Reject))
+        driver.wait(900 * MS)
+        request = driver.start_request()
+        if driver.sent_attempts(request):
+            driver.wait(700 * MS)
+            driver.end_attempt(request)
+    rejected = len(driver.actions_of(Reject))
     assert 20 <= rejected < 120
-    stage.wait(10 * S)
-    serve_singly(stage, 60)
-    rejected = len(stage.said(Reject))
-    serve_singly(stage, 60)
-    assert len(stage.said(Reject)) == rejected
+    driver.wait(10 * S)
+    serve_singly(driver, 60)
+    rejected = len(driver.actions_of(Reject))
+    serve_singly(driver, 60)
+    assert len(driver.actions_of(Reject)) == rejected
 
 
 def test_two_requests_at_once_are_no_overload_of_a_small_balancer() -> None:
-    stage = Stage()
-    stage.servers(names(8))
-    stage.balancer._window.size = 1.0
-    stage.balancer._window._sized_at = stage.now
+    driver = BalancerDriver()
+    driver.receive_list(server_names(8))
+    driver.balancer._window.size = 1.0
+    driver.balancer._window._sized_at = driver.now
     for _ in range(10):
-        pair = (stage.request(), stage.request())
-        stage.wait(50 * MS)
+        pair = (driver.start_request(), driver.start_request())
+        driver.wait(50 * MS)
         for request in pair:
-            stage.end(request)
-        stage.wait(900 * MS)
-    assert not stage.said(Reject)
+            driver.end_attempt(request)
+        driver.wait(900 * MS)
+    assert not driver.actions_of(Reject)
 
 
 def _late_with_reports(cores: float, seed: int) -> int:
-    stage = Stage(seed=seed)
-    stage.servers(names(8))
+    driver = BalancerDriver(seed=seed)
+    driver.receive_list(server_names(8))
     rejected = 0
     for _ in range(300):
-        stage.wait(60 * MS)
-        request = stage.request()
-        if stage.sends(request):
-            stage.wait(550 * MS)
-            stage.end(request, attempt=0, report={"util": cores})
+        driver.wait(60 * MS)
+        request = driver.start_request()
+        if driver.sent_attempts(request):
+            driver.wait(550 * MS)
+            driver.end_attempt(request, attempt=0, report={"util": cores})
         else:
             rejected += 1
     return rejected
@@ -122,56 +136,58 @@
 
 
 def test_load_reports_do_not_hold_the_window_open_where_many_are_in_flight() -> None:
-    stage = Stage()
-    stage.servers(names(8))
+    driver = BalancerDriver()
+    driver.receive_list(server_names(8))
     out: list[tuple[int, int]] = []
     for _ in range(600):
-        stage.wait(10 * MS)
-        request = stage.request()
-        if stage.sends(request):
-            out.append((stage.now, request))
-        while out and stage.now - out[0][0] >= (550 if out[0][1] % 8 == 0 else 300) * MS:  # one in eight late
-            stage.end(out.pop(0)[1], attempt=0, report={"util": 0.5})
-    assert len(stage.said(Reject)) > 50
+        driver.wait(10 * MS)
+        request = driver.start_request()
+        if driver.sent_attempts(request):
+            out.append((driver.now, request))
+        while (
+            out and driver.now - out[0][0] >= (550 if out[0][1] % 8 == 0 else 300) * MS
+        ):  # one in eight late
+            driver.end_attempt(out.pop(0)[1], attempt=0, report={"util": 0.5})
+    assert len(driver.actions_of(Reject)) > 50
 
 
 def test_missing_responses_outweigh_the_last_load_report() -> None:
-    stage = Stage()
-    stage.servers(names(8))
+    driver = BalancerDriver()
+    driver.receive_list(server_names(8))
     for _ in range(20):
-        stage.wait(50 * MS)
-        request = stage.request()
-        stage.wait(50 * MS)
-        stage.end(request, attempt=0, report={"util": 0.3})
+        driver.wait(50 * MS)
+        request = driver.start_request()
+        driver.wait(50 * MS)
+        driver.end_attempt(request, attempt=0, report={"util": 0.3})
     for _ in range(400):
-        stage.wait(20 * MS)
-        stage.request("pay")  # none of these is ever answered
-    assert len(stage.said(Reject)) > 100
+        driver.wait(20 * MS)
+        driver.start_request("pay")  # none of these is ever answered
+    assert len(driver.actions_of(Reject)) > 100
 
 
 def test_full_responses_that_a_retry_makes_good_are_no_overload() -> None:
-    stage = Stage()
-    stage.servers(names(12))
+    driver = BalancerDriver()
+    driver.receive_list(server_names(12))
     for _ in range(200):
-        stage.wait(400 * MS)
-        request = stage.request()
-        stage.end(request, Outcome.FULL)
-        stage.wait(50 * MS)
-        stage.end(request)
-    assert stage.said(Reject) == []
+        driver.wait(400 * MS)
+        request = driver.start_request()
+        driver.end_attempt(request, Outcome.FULL)
+        driver.wait(50 * MS)
+        driver.end_attempt(request)
+    assert driver.actions_of(Reject) == []
 
 
 def test_full_responses_that_no_retry_makes_good_are_overload() -> None:
-    stage = Stage(settings(limits={"max_attempts": 3}))
-    stage.servers(names(12))
+    driver = BalancerDriver(settings(limits={"max_attempts": 3}))
+    driver.receive_list(server_names(12))
     unsent = 0
     for _ in range(100):
-        stage.wait(400 * MS)
-        request = stage.request()
-        unsent += not stage.sends(request)
-        while stage.balancer._requests.get(request) is not None:
-            stage.wait(100 * MS)
-            stage.end(request, Outcome.FULL)
+        driver.wait(400 * MS)
+        request = driver.start_request()
+        unsent += not driver.sent_attempts(request)
+        while driver.balancer._requests.get(request) is not None:
+            driver.wait(100 * MS)
+            driver.end_attempt(request, Outcome.FULL)
     assert unsent > 20
 
 
@@ -179,15 +195,15 @@
     rejected = 0
     for seed in range(4):
         chance = random.Random(seed)
-        stage = Stage(seed=seed)
-        stage.servers(names(12))
+        driver = BalancerDriver(seed=seed)
+        driver.receive_list(server_names(12))
         for _ in range(300):
-            stage.wait(600 * MS)
-            request = stage.request()
-            if stage.sends(request):  # typically a tenth of the aim, one in forty beyond it
-                stage.wait(min(int(50 * MS * chance.lognormvariate(0.0, 1.2)), 900 * MS))
-                stage.end(request, attempt=0)
-        rejected += len(stage.said(Reject))
+            driver.wait(600 * MS)
+            request = driver.start_request()
+            if driver.sent_attempts(request):  # typically a tenth of the aim, one in forty beyond it
+                driver.wait(min(int(50 * MS * chance.lognormvariate(0.0, 1.2)), 900 * MS))
+                driver.end_attempt(request, attempt=0)
+        rejected += len(driver.actions_of(Reject))
     assert rejected < 0.01 * 4 * 300
 
 
@@ -195,20 +211,20 @@
     """The part that is rejected while one server in three responds late."""
     rejected = 0
     for seed in range(8):
-        stage = Stage(seed=seed)
-        stage.servers(names(60))
-        late = set(names(60)[::3])
+        driver = BalancerDriver(seed=seed)
+        driver.receive_list(server_names(60))
+        late = set(server_names(60)[::3])
         due: list[tuple[int, int]] = []
         for _ in range(count):
-            stage.wait(every_us)
-            request = stage.request("pay")
-            if stage.sends(request):
-                took = 800 * MS if stage.target(request) in late else 100 * MS
-                due.append((stage.now + took, request))
-            for end in sorted(response for response in due if response[0] <= stage.now):
+            driver.wait(every_us)
+            request = driver.start_request("pay")
+            if driver.sent_attempts(request):
+                took = 800 * MS if driver.target(request) in late else 100 * MS
+                due.append((driver.now + took, request))
+            for end in sorted(response for response in due if response[0] <= driver.now):
                 due.remove(end)
-                stage.end(end[1])
-        rejected += len(stage.said(Reject))
+                driver.end_attempt(end[1])
+        rejected += len(driver.actions_of(Reject))
     return rejected / (8 * count)
 
 
@@ -223,11 +239,11 @@
 @pytest.mark.parametrize("advised", [True, False])
 def test_rejected_clients_get_a_jittered_retry_after_where_settings_allow_it(advised: bool) -> None:
     # Guards against clients that ask again at once and keep an overloaded fleet so.
-    stage = Stage(settings(limits={"retry_after": advised, "max_retry_after_us": 400 * MS}))
+    driver = BalancerDriver(settings(limits={"retry_after": advised, "max_retry_after_us": 400 * MS}))
     for _ in range(20):
-        stage.request()  # no server is known
-    rejected = stage.said(Reject)
-    assert len(rejected) == 20 and stage.now == START  # none is held
+        driver.start_request()  # no server is known
+    rejected = driver.actions_of(Reject)
+    assert len(rejected) == 20 and driver.now == START  # none is held
     waits = {item.retry_after_us for item in rejected}
     if advised:
         assert len(waits) > 10  # they do not all come back together
--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from helpers import IDEMPOTENT, MS, NOT_IDEMPOTENT, START, WITH_KEY, S, names, settings
+from helpers import IDEMPOTENT, MS, NOT_IDEMPOTENT, START, WITH_KEY, S, server_names, settings
 from hypothesis import HealthCheck, given
 from hypothesis import settings as how
 from hypothesis import strategies as st
@@ -28,7 +28,7 @@
 )
 from balancer.settings import Costs, Idempotency, IdempotencyScope, ServiceClass
 
-SERVERS = names(7)
+SERVERS = server_names(7)
 ZONES = ("east", "west")
 TICK = 5 * MS
 CLOSE_WITHIN = 500 * MS
--- a/tests/test_cluster_size.py
+++ b/tests/test_cluster_size.py
@@ -4,7 +4,7 @@
 
 import itertools
 
-from helpers import MS, Stage, names, settings
+from helpers import MS, BalancerDriver, server_names, settings
 
 from balancer.actions import WatchEndpoints
 from balancer.events import ClusterSizeChanged, EndpointEntry, EndpointListKind, EndpointListReceived, Outcome
@@ -16,17 +16,17 @@
     """The mean time between failing calls to discovery, over many balancers."""
     backoffs: list[int] = []
     for seed in range(30):
-        stage = Stage(settings(cluster_size=CLUSTER_SIZE), seed=seed)
+        driver = BalancerDriver(settings(cluster_size=CLUSTER_SIZE), seed=seed)
         if event is not None:
-            stage.play(event)
-        stage.servers(names(3))
+            driver.handle(event)
+        driver.receive_list(server_names(3))
         polled_at = []
         for _ in range(5):
-            stage.play(EndpointListReceived(EndpointListKind.FAILED))
-            before = len(stage.said(WatchEndpoints))
-            while len(stage.said(WatchEndpoints)) == before:
-                stage.wait(50 * MS)
-            polled_at.append(stage.now)
+            driver.handle(EndpointListReceived(EndpointListKind.FAILED))
+            before = len(driver.actions_of(WatchEndpoints))
+            while len(driver.actions_of(WatchEndpoints)) == before:
+                driver.wait(50 * MS)
+            polled_at.append(driver.now)
         backoffs += [later - earlier for earlier, later in itertools.pairwise(polled_at)]
     return sum(backoffs) / len(backoffs)
 
@@ -35,16 +35,18 @@
     """How much a server that has just started gets of steady traffic."""
     total = 0
     for seed in range(8):
-        stage = Stage(settings(), seed=seed)
-        stage.servers(names(5))
-        stage.serve(300)
+        driver = BalancerDriver(settings(), seed=seed)
+        driver.receive_list(server_names(5))
+        driver.serve_traffic(300)
         if event is not None:
-            stage.play(event)
-        warming_up = EndpointEntry(names(5)[0], zone="east", started_at=stage.now)
-        stage.servers([warming_up], EndpointListKind.CHANGES)
-        before = len(stage.log)
-        stage.serve(100)
-        total += sum(getattr(action, "server", None) == warming_up.server for _, action in stage.log[before:])
+            driver.handle(event)
+        warming_up = EndpointEntry(server_names(5)[0], zone="east", started_at=driver.now)
+        driver.receive_list([warming_up], EndpointListKind.CHANGES)
+        before = len(driver.actions)
+        driver.serve_traffic(100)
+        total += sum(
+            getattr(action, "server", None) == warming_up.server for _, action in driver.actions[before:]
+        )
     return total
 
 
@@ -52,22 +54,22 @@
     """How many requests try servers that are ejected and stay lost."""
     total = 0
     for seed in range(6):
-        stage = Stage(settings(), seed=seed)
-        lost = names(12)[:6]
+        driver = BalancerDriver(settings(), seed=seed)
+        lost = server_names(12)[:6]
         if event is not None:
-            stage.play(event)
-        stage.servers(names(12))
+            driver.handle(event)
+        driver.receive_list(server_names(12))
         for _ in range(400):
-            stage.wait(50 * MS)
-            number = stage.request()
-            while stage.sends(number):
-                if stage.target(number) not in lost:
-                    stage.end(number)
+            driver.wait(50 * MS)
+            number = driver.start_request()
+            while driver.sent_attempts(number):
+                if driver.target(number) not in lost:
+                    driver.end_attempt(number)
                     break
                 total += 1
-                before = len(stage.sends(number))
-                stage.end(number, Outcome.CONNECT_FAILED)
-                if len(stage.sends(number)) == before:
+                before = len(driver.sent_attempts(number))
+                driver.end_attempt(number, Outcome.CONNECT_FAILED)
+                if len(driver.sent_attempts(number)) == before:
                     break
     return total
 
--- a/tests/test_discovery_polling.py
+++ b/tests/test_discovery_polling.py
@@ -5,7 +5,7 @@
 import itertools
 
 import pytest
-from helpers import MS, START, S, Stage, names, settings
+from helpers import MS, START, BalancerDriver, S, server_names, settings
 from mechanisms import make_context
 
 from balancer.actions import PollEndpoints, WatchEndpoints
@@ -16,28 +16,28 @@
 
 
 def test_list_is_watched_from_the_first_event() -> None:
-    stage = Stage()
-    stage.servers(names(2), EndpointListKind.CACHED)
-    assert stage.said(WatchEndpoints) == [WatchEndpoints(True)]
+    driver = BalancerDriver()
+    driver.receive_list(server_names(2), EndpointListKind.CACHED)
+    assert driver.actions_of(WatchEndpoints) == [WatchEndpoints(True)]
 
 
 def test_list_is_not_polled_where_changes_are_pushed() -> None:
-    stage = Stage(settings(discovery=DiscoveryMode.PUSHED))
-    stage.servers(names(2), EndpointListKind.CACHED)
-    stage.wait(60 * S)
-    assert stage.said(WatchEndpoints) == [] and stage.said(PollEndpoints) == []
+    driver = BalancerDriver(settings(discovery=DiscoveryMode.PUSHED))
+    driver.receive_list(server_names(2), EndpointListKind.CACHED)
+    driver.wait(60 * S)
+    assert driver.actions_of(WatchEndpoints) == [] and driver.actions_of(PollEndpoints) == []
 
 
 def test_failed_calls_are_repeated_with_backoff_and_never_given_up() -> None:
-    stage = Stage()
+    driver = BalancerDriver()
     polled_at = []
-    stage.servers(names(2), EndpointListKind.CACHED)
+    driver.receive_list(server_names(2), EndpointListKind.CACHED)
     for _ in range(12):
-        polled_at.append(stage.now)
-        count = len(stage.said(WatchEndpoints))
-        stage.play(EndpointListReceived(EndpointListKind.FAILED))
-        while len(stage.said(WatchEndpoints)) == count:
-            stage.wait(5 * MS)
+        polled_at.append(driver.now)
+        count = len(driver.actions_of(WatchEndpoints))
+        driver.handle(EndpointListReceived(EndpointListKind.FAILED))
+        while len(driver.actions_of(WatchEndpoints)) == count:
+            driver.wait(5 * MS)
     waits = [later - earlier for earlier, later in itertools.pairwise(polled_at)]
     assert max(waits) < 10 * S / 2
     assert waits[-1] > 2 * waits[0]
@@ -49,17 +49,17 @@
     """When each balancer of a cluster polls after a failure of all at once, while every call fails."""
     calls = []
     for seed in range(cluster_size):
-        stage = Stage(
+        driver = BalancerDriver(
             settings(cluster_size=cluster_size, guarantees={"max_poll_interval_us": allowed_us}), seed=seed
         )
-        stage.servers(names(2), EndpointListKind.CACHED)
+        driver.receive_list(server_names(2), EndpointListKind.CACHED)
         own: list[int] = []
-        while stage.now < START + within_us:
-            count = len(stage.said(WatchEndpoints))
-            stage.play(EndpointListReceived(EndpointListKind.FAILED))
-            while len(stage.said(WatchEndpoints)) == count:
-                stage.wait(20 * MS)
-            own.append(stage.now - START)
+        while driver.now < START + within_us:
+            count = len(driver.actions_of(WatchEndpoints))
+            driver.handle(EndpointListReceived(EndpointListKind.FAILED))
+            while len(driver.actions_of(WatchEndpoints)) == count:
+                driver.wait(20 * MS)
+            own.append(driver.now - START)
         calls.append(own)
     return calls
 
@@ -88,10 +88,10 @@
 
 
 def test_call_without_an_answer_is_made_again_in_time() -> None:
-    stage = Stage()
-    stage.servers(names(2), EndpointListKind.CACHED)
-    stage.wait(10 * S)
-    times = [at for at, action in stage.log if isinstance(action, WatchEndpoints)]
+    driver = BalancerDriver()
+    driver.receive_list(server_names(2), EndpointListKind.CACHED)
+    driver.wait(10 * S)
+    times = [at for at, action in driver.actions if isinstance(action, WatchEndpoints)]
     assert len(times) > 1
     assert all(later - earlier < 10 * S for earlier, later in itertools.pairwise(times))
 
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from helpers import MS, START, S, Stage, names, settings
+from helpers import MS, START, BalancerDriver, S, server_names, settings
 from loopback import OK, Heard, line, play, stage, until
 
 from balancer.actions import CloseIdleConnections, Reject
@@ -19,133 +19,133 @@
     Outcome,
 )
 
-SMALL = names(4)
+SMALL = server_names(4)
 OUT = SMALL[0]
 
 
-def used_after(stage: Stage, since: int) -> set[str]:
-    return {send.server for at, send in stage.sends() if at >= since}
+def used_after(driver: BalancerDriver, since: int) -> set[str]:
+    return {send.server for at, send in driver.sent_attempts() if at >= since}
 
 
-def trickle(stage: Stage, count: int) -> None:
+def trickle(driver: BalancerDriver, count: int) -> None:
     """A request a second, each answered in 50 ms."""
     for _ in range(count):
-        request = stage.request()
-        stage.wait(50 * MS)
-        stage.end(request)
-        stage.wait(950 * MS)
+        request = driver.start_request()
+        driver.wait(50 * MS)
+        driver.end_attempt(request)
+        driver.wait(950 * MS)
 
 
 def test_nothing_goes_to_an_excluded_server_whatever_is_listed() -> None:
-    stage = Stage()
-    stage.servers(SMALL)
-    stage.serve(40)
-    assert OUT in used_after(stage, START)
-    stage.play(EndpointExcluded(OUT))
-    out_since = stage.now
-    stage.serve(40)
+    driver = BalancerDriver()
+    driver.receive_list(SMALL)
+    driver.serve_traffic(40)
+    assert OUT in used_after(driver, START)
+    driver.handle(EndpointExcluded(OUT))
+    out_since = driver.now
+    driver.serve_traffic(40)
     for kind in (EndpointListKind.COMPLETE, EndpointListKind.CHANGES, EndpointListKind.CACHED):
-        stage.servers([EndpointEntry(name, zone="east", started_at=stage.now) for name in SMALL], kind)
-        stage.serve(20)
-    stage.drain(OUT, EndpointState.GONE)
-    stage.servers([OUT], EndpointListKind.CHANGES)
-    stage.serve(40)
-    assert used_after(stage, out_since) == set(SMALL[1:])
+        driver.receive_list([EndpointEntry(name, zone="east", started_at=driver.now) for name in SMALL], kind)
+        driver.serve_traffic(20)
+    driver.set_state(OUT, EndpointState.GONE)
+    driver.receive_list([OUT], EndpointListKind.CHANGES)
+    driver.serve_traffic(40)
+    assert used_after(driver, out_since) == set(SMALL[1:])
 
 
 def test_retries_second_copies_and_trials_keep_off_an_excluded_server() -> None:
-    stage = Stage(settings(limits={"max_attempts": 9}))
-    stage.servers(SMALL[:2])
+    driver = BalancerDriver(settings(limits={"max_attempts": 9}))
+    driver.receive_list(SMALL[:2])
     for _ in range(2):  # ejected, so that its trial would come
-        request = stage.request()
-        while stage.target(request) != OUT:
-            stage.end(request, Outcome.FULL)
-        stage.end(request, Outcome.CONNECT_FAILED)
-        stage.end(request)
-    stage.wait(MS)
-    stage.play(EndpointExcluded(OUT))
-    out_since = stage.now
-    stage.wait(60 * S)
+        request = driver.start_request()
+        while driver.target(request) != OUT:
+            driver.end_attempt(request, Outcome.FULL)
+        driver.end_attempt(request, Outcome.CONNECT_FAILED)
+        driver.end_attempt(request)
+    driver.wait(MS)
+    driver.handle(EndpointExcluded(OUT))
+    out_since = driver.now
+    driver.wait(60 * S)
     for _ in range(20):
-        request = stage.request()
-        stage.wait(300 * MS)
-        stage.end(request, Outcome.CONNECT_FAILED, attempt=0)
-        for index in range(1, len(stage.sends(request))):
-            stage.end(request, attempt=index)
-    assert used_after(stage, out_since) == {SMALL[1]}
+        request = driver.start_request()
+        driver.wait(300 * MS)
+        driver.end_attempt(request, Outcome.CONNECT_FAILED, attempt=0)
+        for index in range(1, len(driver.sent_attempts(request))):
+            driver.end_attempt(request, attempt=index)
+    assert used_after(driver, out_since) == {SMALL[1]}
 
 
 def test_what_an_excluded_server_holds_ends_normally() -> None:
-    stage = Stage()
-    stage.servers([OUT])
-    request = stage.request("pay")
-    stage.play(EndpointExcluded(OUT))
-    stage.wait(100 * MS)
-    assert stage.end(request) == [] and stage.sends(request)[0][1].server == OUT
+    driver = BalancerDriver()
+    driver.receive_list([OUT])
+    request = driver.start_request("pay")
+    driver.handle(EndpointExcluded(OUT))
+    driver.wait(100 * MS)
+    assert driver.end_attempt(request) == [] and driver.sent_attempts(request)[0][1].server == OUT
 
 
 def test_with_all_servers_excluded_requests_are_refused_at_once() -> None:
-    stage = Stage()
-    stage.servers(SMALL)
+    driver = BalancerDriver()
+    driver.receive_list(SMALL)
     for name in SMALL:
-        stage.play(EndpointExcluded(name))
-    request = stage.request("pay")
-    assert [action.request for action in stage.said(Reject)] == [request]
+        driver.handle(EndpointExcluded(name))
+    request = driver.start_request("pay")
+    assert [action.request for action in driver.actions_of(Reject)] == [request]
 
 
 def test_one_call_back_ends_any_number_of_calls_out_and_it_is_used_soon() -> None:
     # Guards small balancers: one request a second, of which chance may leave one server out for long.
     for seed in range(20):
-        stage = Stage(seed=seed)
-        stage.servers(names(30))
-        trickle(stage, 30)
-        out = stage.sends()[-1][1].server
+        driver = BalancerDriver(seed=seed)
+        driver.receive_list(server_names(30))
+        trickle(driver, 30)
+        out = driver.sent_attempts()[-1][1].server
         for _ in range(3):
-            stage.play(EndpointExcluded(out))
-        stage.wait(5 * S)
-        stage.play(EndpointIncluded(out))
-        back = stage.now
-        stage.play(EndpointIncluded(out))
-        trickle(stage, 5)
-        assert out in used_after(stage, back), seed
+            driver.handle(EndpointExcluded(out))
+        driver.wait(5 * S)
+        driver.handle(EndpointIncluded(out))
+        back = driver.now
+        driver.handle(EndpointIncluded(out))
+        trickle(driver, 5)
+        assert out in used_after(driver, back), seed
 
 
 def test_a_server_restarted_while_excluded_returns_cold() -> None:
     def sent_to_it(restarted: bool) -> int:
-        stage = Stage()
-        stage.servers(SMALL)
-        stage.serve(400, every_us=5 * MS)
-        stage.play(EndpointExcluded(OUT))
+        driver = BalancerDriver()
+        driver.receive_list(SMALL)
+        driver.serve_traffic(400, every_us=5 * MS)
+        driver.handle(EndpointExcluded(OUT))
         if restarted:
-            started = EndpointEntry(OUT, zone="east", started_at=stage.now)
-            stage.servers([started], EndpointListKind.CHANGES)
-        stage.play(EndpointIncluded(OUT))
-        back = stage.now
-        stage.serve(200, every_us=5 * MS)
-        return sum(send.server == OUT for at, send in stage.sends() if at >= back)
+            started = EndpointEntry(OUT, zone="east", started_at=driver.now)
+            driver.receive_list([started], EndpointListKind.CHANGES)
+        driver.handle(EndpointIncluded(OUT))
+        back = driver.now
+        driver.serve_traffic(200, every_us=5 * MS)
+        return sum(send.server == OUT for at, send in driver.sent_attempts() if at >= back)
 
     warm, warming_up = sent_to_it(False), sent_to_it(True)
     assert 0 < warming_up < warm / 2
 
 
 def test_counts_of_members_and_of_those_avoided() -> None:
-    stage = Stage()
-    stage.servers(SMALL)
-    assert stage.balancer.endpoint_counts() == EndpointCounts(4, 0)
-    stage.play(EndpointExcluded(OUT))
-    stage.play(EndpointExcluded(OUT))
-    assert stage.balancer.endpoint_counts() == EndpointCounts(4, 1)
-    stage.drain(SMALL[1])
-    assert stage.balancer.endpoint_counts() == EndpointCounts(4, 2)
-    stage.drain(OUT, EndpointState.GONE)
-    assert stage.balancer.endpoint_counts() == EndpointCounts(3, 1)
-    assert stage.balancer.knows_endpoint(OUT) and not stage.balancer.knows_endpoint("unheard-of")
+    driver = BalancerDriver()
+    driver.receive_list(SMALL)
+    assert driver.balancer.endpoint_counts() == EndpointCounts(4, 0)
+    driver.handle(EndpointExcluded(OUT))
+    driver.handle(EndpointExcluded(OUT))
+    assert driver.balancer.endpoint_counts() == EndpointCounts(4, 1)
+    driver.drain(SMALL[1])
+    assert driver.balancer.endpoint_counts() == EndpointCounts(4, 2)
+    driver.set_state(OUT, EndpointState.GONE)
+    assert driver.balancer.endpoint_counts() == EndpointCounts(3, 1)
+    assert driver.balancer.knows_endpoint(OUT) and not driver.balancer.knows_endpoint("unheard-of")
 
 
 def test_idle_connections_to_it_are_closed_where_a_rule_asks_for_it() -> None:
-    stage = Stage(settings(guarantees={"close_idle_within_us": 500 * MS}))
-    stage.servers(SMALL)
-    assert stage.play(EndpointExcluded(OUT))[0] == CloseIdleConnections(OUT)
+    driver = BalancerDriver(settings(guarantees={"close_idle_within_us": 500 * MS}))
+    driver.receive_list(SMALL)
+    assert driver.handle(EndpointExcluded(OUT))[0] == CloseIdleConnections(OUT)
 
 
 def test_calls_out_and_back_over_sockets() -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from helpers import MS, START, S, Stage, names
+from helpers import MS, START, BalancerDriver, S, server_names
 from mechanisms import make_context, make_endpoint
 
 from balancer.endpoints import EndpointTable
@@ -14,20 +14,20 @@
 
 @pytest.mark.parametrize(("every_us", "burst"), [(10 * MS, 1), (200 * MS, 20), (500 * MS, 1)])
 def test_warming_up_endpoint_gets_no_more_than_its_budget(every_us: int, burst: int) -> None:
-    stage = Stage()
-    stage.servers(names(6))
-    stage.serve(300, every_us=10 * MS)
+    driver = BalancerDriver()
+    driver.receive_list(server_names(6))
+    driver.serve_traffic(300, every_us=10 * MS)
     warm_per_s = 100 / 6
-    began = stage.now
+    began = driver.now
     warming_up = EndpointEntry("10.0.0.6:80", zone="east", started_at=began)
-    stage.servers([warming_up], EndpointListKind.CHANGES)
-    while stage.now < began + 10 * S:
-        requests = [stage.request() for _ in range(burst)]
-        stage.wait(every_us)
+    driver.receive_list([warming_up], EndpointListKind.CHANGES)
+    while driver.now < began + 10 * S:
+        requests = [driver.start_request() for _ in range(burst)]
+        driver.wait(every_us)
         for request in requests:
-            if stage.sends(request):
-                stage.end(request)
-    times = [at for at, attempt in stage.sends() if attempt.server == "10.0.0.6:80" and at >= began]
+            if driver.sent_attempts(request):
+                driver.end_attempt(request)
+    times = [at for at, attempt in driver.sent_attempts() if attempt.server == "10.0.0.6:80" and at >= began]
     for end in times:
         warmth = 0.2 + 0.8 * max(end - 2 * S - began, 0) / (10 * S)
         inside = sum(1 for at in times if end - 2 * S < at <= end)
@@ -37,15 +37,15 @@
 
 def test_warming_up_endpoint_gets_what_it_can_surely_bear() -> None:
     # Guards against warming-up servers that stand idle while the warm ones are overloaded.
-    stage = Stage()
-    stage.servers(names(4))
-    stage.serve(300, every_us=10 * MS, taking_us=100 * MS)
-    began = stage.now - 2 * S
-    warming_up = EndpointEntry(names(4)[0], zone="east", started_at=began)
-    stage.servers([warming_up], EndpointListKind.CHANGES)
-    before = len(stage.sends())
-    stage.serve(200, every_us=10 * MS, taking_us=100 * MS)
-    sent = [attempt for _, attempt in stage.sends()[before:]]
+    driver = BalancerDriver()
+    driver.receive_list(server_names(4))
+    driver.serve_traffic(300, every_us=10 * MS, taking_us=100 * MS)
+    began = driver.now - 2 * S
+    warming_up = EndpointEntry(server_names(4)[0], zone="east", started_at=began)
+    driver.receive_list([warming_up], EndpointListKind.CHANGES)
+    before = len(driver.sent_attempts())
+    driver.serve_traffic(200, every_us=10 * MS, taking_us=100 * MS)
+    sent = [attempt for _, attempt in driver.sent_attempts()[before:]]
     received = sum(attempt.server == warming_up.server for attempt in sent)
     warm = (len(sent) - received) / 3  # what a warm server served meanwhile
     warmth = 0.2 + 0.8 * 3 / 10  # on average, at least
@@ -54,45 +54,47 @@
 
 def test_warming_up_endpoints_do_not_starve_while_the_warm_ones_are_overloaded() -> None:
     # A new balancer, or one whose warm servers are too late for all, has seen no warm server serve anything.
-    stage = Stage()
-    began = stage.now - 5 * S
-    warm, warming_up = names(4)[:2], names(4)[2:]
-    stage.servers([*warm, *(EndpointEntry(name, zone="east", started_at=began) for name in warming_up)])
+    driver = BalancerDriver()
+    began = driver.now - 5 * S
+    warm, warming_up = server_names(4)[:2], server_names(4)[2:]
+    driver.receive_list([*warm, *(EndpointEntry(name, zone="east", started_at=began) for name in warming_up)])
     requests: list[int] = []
     for _ in range(300):
-        stage.wait(10 * MS)
-        requests.append(stage.request("pay", remaining_us=400 * MS))
+        driver.wait(10 * MS)
+        requests.append(driver.start_request("pay", remaining_us=400 * MS))
         for request in requests[-6:-5]:
-            if stage.sends(request) and stage.target(request) in warming_up:
-                stage.end(request)
+            if driver.sent_attempts(request) and driver.target(request) in warming_up:
+                driver.end_attempt(request)
         for request in requests[-40:-39]:
-            if stage.sends(request) and stage.target(request) in warm:
-                stage.end(request, Outcome.TIMED_OUT, answered=False)
-    received = sum(server in warming_up for server in stage.targets())
+            if driver.sent_attempts(request) and driver.target(request) in warm:
+                driver.end_attempt(request, Outcome.TIMED_OUT, answered=False)
+    received = sum(server in warming_up for server in driver.targets())
     assert received >= 5  # the window is nearly shut; without this they get none
 
 
 def test_warm_endpoint_has_no_budget() -> None:
-    stage = Stage()
-    stage.servers(names(2))
+    driver = BalancerDriver()
+    driver.receive_list(server_names(2))
     for _ in range(50):
-        stage.request()
-    assert len(set(stage.targets())) == 2
+        driver.start_request()
+    assert len(set(driver.targets())) == 2
 
 
 def test_small_balancers_send_to_a_warming_up_endpoint_at_different_times() -> None:
     first: list[int] = []
     for seed in range(120):
-        stage = Stage(seed=seed)
-        stage.servers(names(2))
-        stage.serve(20, every_us=200 * MS)
-        began = stage.now
-        warming_up = [EndpointEntry(name, zone="east", started_at=began) for name in names(2)[:1]]
-        stage.servers(warming_up, EndpointListKind.CHANGES)
-        while stage.now < began + 4 * S and not first[seed:]:
-            stage.serve(1, every_us=200 * MS)
+        driver = BalancerDriver(seed=seed)
+        driver.receive_list(server_names(2))
+        driver.serve_traffic(20, every_us=200 * MS)
+        began = driver.now
+        warming_up = [EndpointEntry(name, zone="east", started_at=began) for name in server_names(2)[:1]]
+        driver.receive_list(warming_up, EndpointListKind.CHANGES)
+        while driver.now < began + 4 * S and not first[seed:]:
+            driver.serve_traffic(1, every_us=200 * MS)
             first += [
-                at - began for at, attempt in stage.sends()[-1:] if attempt.server == warming_up[0].server
+                at - began
+                for at, attempt in driver.sent_attempts()[-1:]
+                if attempt.server == warming_up[0].server
             ]
         first += [] if first[seed:] else [4 * S]
     early = sum(1 for delay_us in first if delay_us < 1 * S)
