--- a/tests/test_any_sequence.py
+++ b/tests/test_any_sequence.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal sequences of events, checked from outside by the actions alone."""
+"""Arbitrary legal sequences of events; the balancer's actions are checked against the rules."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 from helpers import IDEMPOTENT, MS, NOT_IDEMPOTENT, START, WITH_KEY, S, server_names, settings
 from hypothesis import HealthCheck, given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from balancer import Balancer
@@ -41,7 +41,7 @@
 
 @dataclass
 class SentAttempt:
-    """An attempt as its server and the endpoint list know it."""
+    """An attempt, as its server and the endpoint list see it."""
 
     entry: EndpointEntry  # as listed when it was sent
     sent_at: int
@@ -54,7 +54,7 @@
 
 @dataclass
 class ClientRequest:
-    """A request as its client knows it."""
+    """A request, as its client sees it."""
 
     service_class: ServiceClass
     deadline: int
@@ -64,7 +64,7 @@
 
 
 class Referee:
-    """Knows what a client, the servers and the endpoint list know, and checks every action by that."""
+    """Simulates clients, servers and discovery around one balancer and checks all of its actions."""
 
     def __init__(self, may_hedge: bool, max_attempts: int, seed: int, is_strict: bool) -> None:
         strict = {"full_may_have_executed": True, "close_idle_within_us": CLOSE_WITHIN}
@@ -77,7 +77,7 @@
         self.not_executed = [Outcome.CONNECT_FAILED, Outcome.NOT_SENT]
         if not is_strict:
             self.not_executed.append(Outcome.FULL)
-        self.close_by: dict[str, int] = {}  # when idle connections to a draining endpoint must be closed
+        self.close_by: dict[str, int] = {}  # latest time to close idle connections, by draining endpoint
         self.balancer = Balancer(self.settings, seed)
         self.classes = {service_class.name: service_class for service_class in self.settings.classes}
         self.now = START
@@ -135,7 +135,7 @@
         self.play(AttemptEnded(number, index, server, outcome, self.now - attempt.sent_at, request.is_over))
 
     def note_use(self, server: str) -> None:
-        """A connection may be idle from now on, or its endpoint has changed its state."""
+        """Note that a connection may be idle from now on, or that its endpoint changed its state."""
         is_required = self.settings.guarantees.close_idle_within_us is not None
         if is_required and self.listed[server].state is not EndpointState.READY:
             self.close_by[server] = self.now + CLOSE_WITHIN
@@ -143,10 +143,10 @@
             self.close_by.pop(server, None)
 
     def disconnect(self, choice: int) -> None:
-        """Disconnect the client of one of the open requests."""
-        waiting = [number for number, request in self.requests.items() if not request.is_over]
-        if waiting:
-            number = waiting[choice % len(waiting)]
+        """Disconnect the client of one of the requests without a final response."""
+        open_requests = [number for number, request in self.requests.items() if not request.is_over]
+        if open_requests:
+            number = open_requests[choice % len(open_requests)]
             self.requests[number].is_over = True
             self.play(ClientDisconnected(number))
 
@@ -218,13 +218,13 @@
         request.is_over = True
 
     def check_deadlines(self) -> None:
-        for server, by in self.close_by.items():
-            assert self.now <= by, f"idle connections to {server} are still open"
+        for server, latest in self.close_by.items():
+            assert self.now <= latest, f"idle connections to {server} are still open"
         for request in self.requests.values():
             assert request.is_over or self.now < request.deadline, "a request was left unanswered"
 
     def check_counts(self) -> None:
-        """The count of attempts in flight is right for every endpoint."""
+        """Check the count of attempts in flight of every endpoint."""
         in_flight = dict.fromkeys(SERVERS, 0)
         for request in self.requests.values():
             for attempt in request.attempts:
@@ -233,7 +233,7 @@
             assert endpoint.in_flight == in_flight[name]
 
     def check_zone_latency(self) -> None:
-        """The kept sums of the zones' latency are the sums of their endpoints' own."""
+        """Check the cached sums of relative latency by zone against the endpoints' values."""
         endpoints = self.balancer._endpoints
         zones = endpoints._zone_latency
         if zones is None:
@@ -283,7 +283,9 @@
 )
 
 
-@how(max_examples=500, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
+@hypothesis_settings(
+    max_examples=500, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
+)
 @given(
     st.booleans(),
     st.booleans(),
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""The life cycle of requests and the two gates, by scripted events."""
+"""The life cycle of requests in the balancer, by scripted events."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from balancer.events import AttemptEnded, ClientDisconnected, EndpointListKind, EndpointState, Outcome
 
 
-def test_request_without_a_response_gets_its_final_one_before_the_deadline() -> None:
+def test_request_without_a_response_fails_before_its_deadline() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(5))
     request = driver.start_request("pay", remaining_us=900 * MS)
@@ -21,20 +21,20 @@
     assert [action.request for action in driver.actions_of(Fail)] == [request]
 
 
-def test_request_is_neither_sent_nor_answered_after_its_final_response() -> None:
+def test_request_is_neither_sent_nor_answered_again_after_its_final_response() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(5))
     request = driver.start_request("look", remaining_us=300 * MS)
     driver.wait(300 * MS)
-    answers = len(driver.actions_of(Reject))
+    rejections = len(driver.actions_of(Reject))
     driver.end_attempt(request, Outcome.CANCELLED, answered=True)
     driver.wait(5 * S)
-    assert answers == 1
+    assert rejections == 1
     assert len(driver.actions_of(Reject)) == 1
     assert len([1 for at, _ in driver.sent_attempts(request) if at > START + 300 * MS]) == 0
 
 
-def test_request_past_its_deadline_on_arrival_is_rejected_unsent() -> None:
+def test_request_past_its_deadline_on_arrival_is_rejected_without_an_attempt() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(3))
     request = driver.start_request("pay", remaining_us=0)
@@ -69,7 +69,7 @@
     assert len(driver.actions) == before
 
 
-def test_disconnected_client_is_owed_nothing_and_its_attempt_is_cancelled() -> None:
+def test_disconnect_cancels_the_attempt_and_gets_no_final_response() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(3))
     request = driver.start_request("pay")
@@ -79,7 +79,7 @@
     assert driver.actions_of(Fail) == [] and driver.actions_of(Reject) == []
 
 
-def test_draining_or_unlisted_endpoint_gets_nothing_more() -> None:
+def test_draining_or_unlisted_endpoint_gets_no_requests() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(4))
     driver.drain("10.0.0.1:80")
@@ -99,7 +99,7 @@
     assert len(driver.sent_attempts(driver.start_request())) == 1
 
 
-def test_send_gate_stops_attempts_to_a_draining_or_gone_endpoint() -> None:
+def test_send_refuses_attempts_to_a_draining_or_gone_endpoint() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(3))
     request = driver.balancer._requests[driver.start_request()]
@@ -115,7 +115,7 @@
     assert driver.balancer._send(request, server)
 
 
-def test_send_gate_stops_hedged_requests_where_they_are_not_allowed() -> None:
+def test_send_refuses_hedged_requests_if_they_are_not_allowed() -> None:
     for allowed in (False, True):
         driver = BalancerDriver(settings(limits={"hedged_requests": allowed}))
         driver.receive_list(server_names(3))
@@ -142,8 +142,10 @@
 """
 
 
-def test_timer_that_fires_on_its_microsecond_ends_where_the_objective_is_odd() -> None:
-    # In a process of its own: a decision that never ends can't be stopped from within.
+def test_silence_check_ends_for_a_latency_objective_of_odd_microseconds() -> None:
+    # Guards against a silence threshold that is rounded down: its timer fires too early and is set again for
+    # the same time, without end.  Runs in a subprocess, because an endless loop cannot be stopped from
+    # within.
     path = os.pathsep.join([str(Path(__file__).parent), *(folder for folder in sys.path if folder)])
     environment = {**os.environ, "PYTHONPATH": path}
     subprocess.run([sys.executable, "-P", "-c", ODD_OBJECTIVES], env=environment, check=True, timeout=90)
--- a/tests/test_cluster_size.py
+++ b/tests/test_cluster_size.py
@@ -1,4 +1,4 @@
-"""The size of the cluster: its effect on the balancer is bounded, and none where it is not known."""
+"""Effects of the reported cluster size on the balancer: they are bounded, and absent without a report."""
 
 from __future__ import annotations
 
@@ -9,11 +9,13 @@
 from balancer.actions import WatchEndpoints
 from balancer.events import ClusterSizeChanged, EndpointEntry, EndpointListKind, EndpointListReceived, Outcome
 
-CLUSTER_SIZE = 16  # from twice as many on, backoffs are as long as the time to recover allows
+CLUSTER_SIZE = (
+    16  # small enough that the recovery time does not limit backoffs; it would from twice this size
+)
 
 
 def mean_backoff(event: ClusterSizeChanged | None) -> float:
-    """The mean time between failing calls to discovery, over many balancers."""
+    """Return the mean time between failing calls to discovery, over many balancers."""
     backoffs: list[int] = []
     for seed in range(30):
         driver = BalancerDriver(settings(cluster_size=CLUSTER_SIZE), seed=seed)
@@ -32,7 +34,7 @@
 
 
 def sent_to_warming_up(event: ClusterSizeChanged | None) -> int:
-    """How much a server that has just started gets of steady traffic."""
+    """Return how many requests of steady traffic go to a server that has just started."""
     total = 0
     for seed in range(8):
         driver = BalancerDriver(settings(), seed=seed)
@@ -51,7 +53,7 @@
 
 
 def trial_requests(event: ClusterSizeChanged | None) -> int:
-    """How many requests try servers that are ejected and stay lost."""
+    """Return how many requests are sent to servers that are down throughout."""
     total = 0
     for seed in range(6):
         driver = BalancerDriver(settings(), seed=seed)
@@ -74,23 +76,23 @@
     return total
 
 
-def test_unknown_cluster_size_has_the_effect_of_a_complete_cluster() -> None:
+def test_unreported_cluster_size_counts_as_a_complete_cluster() -> None:
     complete = ClusterSizeChanged(CLUSTER_SIZE, CLUSTER_SIZE, CLUSTER_SIZE)
     assert mean_backoff(None) == mean_backoff(complete)
     assert sent_to_warming_up(None) == sent_to_warming_up(complete)
 
 
-def test_fewer_present_poll_sooner_and_try_more_but_send_no_more_while_warming_up() -> None:
+def test_fewer_balancers_poll_sooner_and_send_more_trials_but_keep_slow_start_budgets() -> None:
     few = ClusterSizeChanged(CLUSTER_SIZE, CLUSTER_SIZE * 3 // 4, CLUSTER_SIZE * 3 // 4)
     assert mean_backoff(few) < 0.9 * mean_backoff(None)
-    # Slow-start budgets are a part of what a balancer sends itself: absent ones take nothing of that.
+    # Slow-start budgets depend on a balancer's own rate of responses and not on the number of balancers.
     assert sent_to_warming_up(few) == sent_to_warming_up(None)
     assert trial_requests(few) >= trial_requests(None)
 
 
-def test_wrong_cluster_size_costs_at_most_a_factor_of_one_and_a_half() -> None:
-    nobody = ClusterSizeChanged(CLUSTER_SIZE, 1, 1, in_minority=True)
-    assert mean_backoff(nobody) >= mean_backoff(None) / 1.6
-    assert sent_to_warming_up(nobody) == sent_to_warming_up(None)
+def test_wrong_cluster_size_shortens_backoff_by_at_most_a_factor_of_one_and_a_half() -> None:
+    only_itself = ClusterSizeChanged(CLUSTER_SIZE, 1, 1, in_minority=True)
+    assert mean_backoff(only_itself) >= mean_backoff(None) / 1.6
+    assert sent_to_warming_up(only_itself) == sent_to_warming_up(None)
     assert mean_backoff(ClusterSizeChanged(0, 0, 0)) >= mean_backoff(None) / 1.6
     assert mean_backoff(ClusterSizeChanged(CLUSTER_SIZE, 10 * CLUSTER_SIZE, 0)) == mean_backoff(None)
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Idle connections: which are reused, and which are closed."""
+"""Reuse and closing of idle connections."""
 
 from __future__ import annotations
 
@@ -12,32 +12,33 @@
 from balancer.requests import Attempt
 
 
-def _with_reaped_connections(driver: BalancerDriver, count: int) -> list[int]:
-    """Connections unused for a second are dead: what is sent on one is lost; gives what was."""
+def _run_with_stale_connections(driver: BalancerDriver, count: int) -> list[int]:
+    """Send requests while connections become stale after one second; return the requests that were lost."""
     driver.receive_list(server_names(12))
-    used: dict[str, int] = {}
+    last_used: dict[str, int] = {}
     lost: list[int] = []
     for _ in range(count):
         driver.wait(350 * MS)
-        seen = len(driver.actions)
+        action_count = len(driver.actions)
         request = driver.start_request("pay")
         for close in [
-            action for _, action in driver.actions[seen:] if isinstance(action, CloseIdleConnections)
+            action for _, action in driver.actions[action_count:] if isinstance(action, CloseIdleConnections)
         ]:
-            used.pop(close.server, None)
-        for old in lost:  # abandoned at its deadline, and so cancelled
-            if driver.balancer._requests.get(old) is not None and driver.balancer._requests[old].is_answered:
-                driver.end_attempt(old, Outcome.CANCELLED, answered=True)
+            last_used.pop(close.server, None)
+        for lost_request in lost:  # cancelled at their deadline
+            state = driver.balancer._requests.get(lost_request)
+            if state is not None and state.is_answered:
+                driver.end_attempt(lost_request, Outcome.CANCELLED, answered=True)
         if not driver.sent_attempts(request):
             continue
         target = driver.target(request)
-        if driver.now - used.get(target, driver.now) > S:
+        if driver.now - last_used.get(target, driver.now) > S:
             lost.append(request)
-            used.pop(target)
+            last_used.pop(target)
             continue
         driver.wait(50 * MS)
         driver.end_attempt(request, attempt=0)
-        used[target] = driver.now
+        last_used[target] = driver.now
     return lost
 
 
@@ -45,7 +46,7 @@
     lost = closed = 0
     for seed in range(4):
         driver = BalancerDriver(seed=seed)
-        lost += len(_with_reaped_connections(driver, 300))
+        lost += len(_run_with_stale_connections(driver, 300))
         closed += len(driver.actions_of(CloseIdleConnections))
         assert not any("ejected" in action.text for action in driver.actions_of(Log))
     assert lost < 20 and closed > 20
@@ -64,7 +65,7 @@
     request = driver.start_request("pay")
     driver.drain("10.0.0.1:80")
     assert driver.actions_of(CloseIdleConnections) == [CloseIdleConnections("10.0.0.1:80")]
-    driver.drain("10.0.0.1:80")  # heard before: nothing was used since
+    driver.drain("10.0.0.1:80")  # repeated: no connection was used since
     assert len(driver.actions_of(CloseIdleConnections)) == 1
     driver.set_state("10.0.0.1:80", EndpointState.GONE)
     assert len(driver.actions_of(CloseIdleConnections)) == 2
@@ -89,17 +90,17 @@
     assert len(driver.actions_of(CloseIdleConnections)) == 1
 
 
-def test_idle_connections_are_kept_where_no_guarantee_asks_for_closing() -> None:
+def test_idle_connections_are_kept_if_no_guarantee_requires_closing() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(2))
     driver.drain("10.0.0.1:80")
     assert driver.actions_of(CloseIdleConnections) == []
 
 
-# The mechanism by itself
+# Unit tests of `ConnectionReuse`
 
 
-def test_connection_reuse_closes_idle_connections_once_one_was_stale() -> None:
+def test_connection_reuse_closes_idle_connections_after_a_stale_one() -> None:
     context = make_context()
     connections = ConnectionReuse(context)
     attempt = Attempt(0, make_endpoint(), START, 0)
@@ -112,7 +113,7 @@
     assert context.actions[1:] == [CloseIdleConnections("10.0.0.2:80")]
 
 
-def test_connection_reuse_does_not_blame_a_connection_in_steady_use() -> None:
+def test_connection_reuse_does_not_count_a_connection_in_steady_use_as_stale() -> None:
     context = make_context()
     connections = ConnectionReuse(context)
     assert not connections.record_silence(Attempt(0, make_endpoint(), START, 0))
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -1,4 +1,4 @@
-"""Servers that the operators take out and give back: the decisions, and the sockets."""
+"""Exclusion and inclusion of endpoints by operators, in the balancer and over sockets."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
     Outcome,
 )
 
-SMALL = server_names(4)
-OUT = SMALL[0]
+SERVERS = server_names(4)
+EXCLUDED = SERVERS[0]
 
 
 def used_after(driver: BalancerDriver, since: int) -> set[str]:
-    return {send.server for at, send in driver.sent_attempts() if at >= since}
+    return {attempt.server for at, attempt in driver.sent_attempts() if at >= since}
 
 
 def trickle(driver: BalancerDriver, count: int) -> None:
-    """A request a second, each answered in 50 ms."""
+    """Play one request per second, each answered after 50 ms."""
     for _ in range(count):
         request = driver.start_request()
         driver.wait(50 * MS)
@@ -38,33 +38,35 @@
 
 def test_nothing_goes_to_an_excluded_server_whatever_is_listed() -> None:
     driver = BalancerDriver()
-    driver.receive_list(SMALL)
+    driver.receive_list(SERVERS)
     driver.serve_traffic(40)
-    assert OUT in used_after(driver, START)
-    driver.handle(EndpointExcluded(OUT))
-    out_since = driver.now
+    assert EXCLUDED in used_after(driver, START)
+    driver.handle(EndpointExcluded(EXCLUDED))
+    excluded_at = driver.now
     driver.serve_traffic(40)
     for kind in (EndpointListKind.COMPLETE, EndpointListKind.CHANGES, EndpointListKind.CACHED):
-        driver.receive_list([EndpointEntry(name, zone="east", started_at=driver.now) for name in SMALL], kind)
+        driver.receive_list(
+            [EndpointEntry(name, zone="east", started_at=driver.now) for name in SERVERS], kind
+        )
         driver.serve_traffic(20)
-    driver.set_state(OUT, EndpointState.GONE)
-    driver.receive_list([OUT], EndpointListKind.CHANGES)
+    driver.set_state(EXCLUDED, EndpointState.GONE)
+    driver.receive_list([EXCLUDED], EndpointListKind.CHANGES)
     driver.serve_traffic(40)
-    assert used_after(driver, out_since) == set(SMALL[1:])
+    assert used_after(driver, excluded_at) == set(SERVERS[1:])
 
 
-def test_retries_second_copies_and_trials_keep_off_an_excluded_server() -> None:
+def test_retries_hedged_requests_and_trials_avoid_an_excluded_server() -> None:
     driver = BalancerDriver(settings(limits={"max_attempts": 9}))
-    driver.receive_list(SMALL[:2])
-    for _ in range(2):  # ejected, so that its trial would come
+    driver.receive_list(SERVERS[:2])
+    for _ in range(2):  # ejected, so that a trial request would be due
         request = driver.start_request()
-        while driver.target(request) != OUT:
+        while driver.target(request) != EXCLUDED:
             driver.end_attempt(request, Outcome.FULL)
         driver.end_attempt(request, Outcome.CONNECT_FAILED)
         driver.end_attempt(request)
     driver.wait(MS)
-    driver.handle(EndpointExcluded(OUT))
-    out_since = driver.now
+    driver.handle(EndpointExcluded(EXCLUDED))
+    excluded_at = driver.now
     driver.wait(60 * S)
     for _ in range(20):
         request = driver.start_request()
@@ -72,83 +74,84 @@
         driver.end_attempt(request, Outcome.CONNECT_FAILED, attempt=0)
         for index in range(1, len(driver.sent_attempts(request))):
             driver.end_attempt(request, attempt=index)
-    assert used_after(driver, out_since) == {SMALL[1]}
+    assert used_after(driver, excluded_at) == {SERVERS[1]}
 
 
-def test_what_an_excluded_server_holds_ends_normally() -> None:
+def test_pending_attempts_of_an_excluded_server_end_normally() -> None:
     driver = BalancerDriver()
-    driver.receive_list([OUT])
+    driver.receive_list([EXCLUDED])
     request = driver.start_request("pay")
-    driver.handle(EndpointExcluded(OUT))
+    driver.handle(EndpointExcluded(EXCLUDED))
     driver.wait(100 * MS)
-    assert driver.end_attempt(request) == [] and driver.sent_attempts(request)[0][1].server == OUT
+    assert driver.end_attempt(request) == [] and driver.sent_attempts(request)[0][1].server == EXCLUDED
 
 
-def test_with_all_servers_excluded_requests_are_refused_at_once() -> None:
+def test_requests_are_rejected_at_once_if_all_servers_are_excluded() -> None:
     driver = BalancerDriver()
-    driver.receive_list(SMALL)
-    for name in SMALL:
+    driver.receive_list(SERVERS)
+    for name in SERVERS:
         driver.handle(EndpointExcluded(name))
     request = driver.start_request("pay")
     assert [action.request for action in driver.actions_of(Reject)] == [request]
 
 
-def test_one_call_back_ends_any_number_of_calls_out_and_it_is_used_soon() -> None:
-    # Guards small balancers: one request a second, of which chance may leave one server out for long.
+def test_one_inclusion_ends_repeated_exclusions_and_the_server_is_used_soon() -> None:
+    # Guards against a small balancer that leaves the server unused: at one request per second, random
+    # selection may not choose it for long.
     for seed in range(20):
         driver = BalancerDriver(seed=seed)
         driver.receive_list(server_names(30))
         trickle(driver, 30)
-        out = driver.sent_attempts()[-1][1].server
+        excluded = driver.sent_attempts()[-1][1].server
         for _ in range(3):
-            driver.handle(EndpointExcluded(out))
+            driver.handle(EndpointExcluded(excluded))
         driver.wait(5 * S)
-        driver.handle(EndpointIncluded(out))
-        back = driver.now
-        driver.handle(EndpointIncluded(out))
+        driver.handle(EndpointIncluded(excluded))
+        included_at = driver.now
+        driver.handle(EndpointIncluded(excluded))
         trickle(driver, 5)
-        assert out in used_after(driver, back), seed
+        assert excluded in used_after(driver, included_at), seed
 
 
-def test_a_server_restarted_while_excluded_returns_cold() -> None:
-    def sent_to_it(restarted: bool) -> int:
+def test_server_restarted_while_excluded_is_in_slow_start_after_inclusion() -> None:
+    def attempts_after_inclusion(restarted: bool) -> int:
         driver = BalancerDriver()
-        driver.receive_list(SMALL)
+        driver.receive_list(SERVERS)
         driver.serve_traffic(400, every_us=5 * MS)
-        driver.handle(EndpointExcluded(OUT))
+        driver.handle(EndpointExcluded(EXCLUDED))
         if restarted:
-            started = EndpointEntry(OUT, zone="east", started_at=driver.now)
+            started = EndpointEntry(EXCLUDED, zone="east", started_at=driver.now)
             driver.receive_list([started], EndpointListKind.CHANGES)
-        driver.handle(EndpointIncluded(OUT))
-        back = driver.now
+        driver.handle(EndpointIncluded(EXCLUDED))
+        included_at = driver.now
         driver.serve_traffic(200, every_us=5 * MS)
-        return sum(send.server == OUT for at, send in driver.sent_attempts() if at >= back)
+        return sum(attempt.server == EXCLUDED for at, attempt in driver.sent_attempts() if at >= included_at)
 
-    warm, warming_up = sent_to_it(False), sent_to_it(True)
+    warm, warming_up = attempts_after_inclusion(False), attempts_after_inclusion(True)
     assert 0 < warming_up < warm / 2
 
 
-def test_counts_of_members_and_of_those_avoided() -> None:
+def test_endpoint_counts_include_excluded_and_draining_servers() -> None:
     driver = BalancerDriver()
-    driver.receive_list(SMALL)
+    driver.receive_list(SERVERS)
     assert driver.balancer.endpoint_counts() == EndpointCounts(4, 0)
-    driver.handle(EndpointExcluded(OUT))
-    driver.handle(EndpointExcluded(OUT))
+    driver.handle(EndpointExcluded(EXCLUDED))
+    driver.handle(EndpointExcluded(EXCLUDED))
     assert driver.balancer.endpoint_counts() == EndpointCounts(4, 1)
-    driver.drain(SMALL[1])
+    driver.drain(SERVERS[1])
     assert driver.balancer.endpoint_counts() == EndpointCounts(4, 2)
-    driver.set_state(OUT, EndpointState.GONE)
+    driver.set_state(EXCLUDED, EndpointState.GONE)
     assert driver.balancer.endpoint_counts() == EndpointCounts(3, 1)
-    assert driver.balancer.knows_endpoint(OUT) and not driver.balancer.knows_endpoint("unheard-of")
+    assert driver.balancer.knows_endpoint(EXCLUDED) and not driver.balancer.knows_endpoint("unheard-of")
 
 
-def test_idle_connections_to_it_are_closed_where_a_rule_asks_for_it() -> None:
+def test_exclusion_closes_idle_connections_if_the_platform_requires_it() -> None:
     driver = BalancerDriver(settings(guarantees={"close_idle_within_us": 500 * MS}))
-    driver.receive_list(SMALL)
-    assert driver.handle(EndpointExcluded(OUT))[0] == CloseIdleConnections(OUT)
+    driver.receive_list(SERVERS)
+    assert driver.handle(EndpointExcluded(EXCLUDED))[0] == CloseIdleConnections(EXCLUDED)
 
 
-def test_calls_out_and_back_over_sockets() -> None:
+def test_exclusion_and_inclusion_by_the_admin_interface() -> None:
     async def work() -> None:
         async with stage(OK, OK, console=True) as scene:
             await scene.call("POST", "/api/exclude", b'{"member":"s-0"}')
@@ -157,7 +160,9 @@
             for _ in range(10):
                 assert (await scene.ask()).status == 200
             assert len(scene.servers[0].heard) == 0
-            assert (await scene.call("POST", "/api/include", b'{"member":"s-1"}'))[0] == 200  # never out
+            assert (await scene.call("POST", "/api/include", b'{"member":"s-1"}'))[
+                0
+            ] == 200  # was not excluded
             await scene.call("POST", "/api/exclude", b'{"member":"s-1"}')
             assert (await scene.ask("lodge")).status == 503
             assert (await scene.call("POST", "/api/include", b'{"member":"s-0"}'))[0] == 200
@@ -167,7 +172,7 @@
     play(work)
 
 
-def test_a_dial_under_way_when_its_server_is_excluded_carries_no_request() -> None:
+def test_connection_attempt_to_a_server_that_is_excluded_meanwhile_carries_no_request() -> None:
     async def work() -> None:
         async with stage(OK, console=True) as scene:
             client = await scene.client()
@@ -175,18 +180,18 @@
             pool = sidecar._upstream._pool
             connect = pool._connect
 
-            async def connect_late(*given: object) -> None:
+            async def exclude_then_connect(*arguments: object) -> None:
                 sidecar.administration.exclude("s-0")
-                await connect(*given)  # type: ignore[arg-type]
+                await connect(*arguments)  # type: ignore[arg-type]
 
-            pool._connect = connect_late  # type: ignore[assignment, method-assign]
+            pool._connect = exclude_then_connect  # type: ignore[assignment, method-assign]
             assert (await client.ask("lodge")).status == 503
             assert scene.heard == []
 
     play(work)
 
 
-def test_a_server_listed_anew_under_an_excluded_id_gets_nothing() -> None:
+def test_restarted_server_under_an_excluded_id_gets_no_requests() -> None:
     async def work() -> None:
         async def hold(heard: Heard) -> bytes:
             return OK
@@ -216,7 +221,7 @@
     ],
     ids=lambda value: repr(value)[:30],
 )
-def test_a_call_on_no_server_is_a_no(body: bytes, status: int) -> None:
+def test_admin_call_without_a_known_server_is_an_error(body: bytes, status: int) -> None:
     async def work() -> None:
         async with stage(OK, console=True) as scene:
             for path in ("/api/exclude", "/api/include"):
--- a/tests/test_in_flight.py
+++ b/tests/test_in_flight.py
@@ -1,4 +1,4 @@
-"""Counts of attempts in flight by themselves."""
+"""Unit tests of the counts of attempts in flight."""
 
 from __future__ import annotations
 
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -1,4 +1,4 @@
-"""Latency estimates by themselves."""
+"""Unit tests of latency estimates."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from balancer.latency import LatencyEstimator
 
 
-def test_latency_follows_an_endpoint_relative_to_the_usual() -> None:
+def test_relative_latency_is_higher_for_a_slower_endpoint() -> None:
     context = make_context()
     endpoints = EndpointTable(context)
     latency = LatencyEstimator(context, endpoints, InFlightTracker(context))
@@ -22,7 +22,7 @@
     assert slow.relative_latency > 2 * quick.relative_latency
 
 
-def test_latency_of_an_error_counts_as_slow() -> None:
+def test_relative_latency_rises_with_an_error() -> None:
     context = make_context()
     latency = LatencyEstimator(context, EndpointTable(context), InFlightTracker(context))
     endpoint = make_endpoint()
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("hint", [None, 0, -5])
-def test_latency_takes_a_request_without_a_cost_hint_for_one_of_mean_cost(hint: int | None) -> None:
+def test_relative_cost_is_one_without_a_valid_cost_hint(hint: int | None) -> None:
     context = make_context()
     latency = LatencyEstimator(context, EndpointTable(context), InFlightTracker(context))
     assert latency.relative_cost(IDEMPOTENT, hint) == 1.0
