--- a/tests/balancer_vocabulary.py
+++ b/tests/balancer_vocabulary.py
@@ -1,8 +1,8 @@
-"""The one place where the reference runs name the balancer's events, actions and enumerations.
+"""Translates between messages of the reference runs and the balancer's events and actions.
 
-Neutral messages are lists that start with a name, as on the simulator's wire; a few names stand for events
-that the wire does not carry: `COMPLETE`, `EXCLUDE`, `INCLUDE` and `TIER`.  Renaming an event or an action
-changes this module and nothing else of the reference runs.
+Messages are lists that start with a name, as on the simulator's wire.  The names `COMPLETE`, `EXCLUDE`,
+`INCLUDE` and `TIER` stand for events that the wire does not support.  Only this module of the reference runs
+depends on the names of events, actions and enumerations.
 """
 
 from __future__ import annotations
@@ -72,38 +72,42 @@
 
 
 def begin(seed: int, settings: dict[str, Any]) -> Balancer:
-    """Make a balancer of the wire's settings."""
+    """Create a balancer with settings in wire format."""
     return Balancer(settings_from_wire(settings), seed)
 
 
 def counts(balancer: Balancer) -> tuple[int, int]:
-    """How many servers are listed, and how many of these are unavailable."""
-    counts = balancer.endpoint_counts()
-    return counts.listed, counts.unavailable
+    """Return how many servers are listed, and how many of these are unavailable."""
+    endpoint_counts = balancer.endpoint_counts()
+    return endpoint_counts.listed, endpoint_counts.unavailable
 
 
-def _listed(line: Message) -> EndpointEntry:
-    server, zone, kind, cell, state, nominal, started_at = line
+def _endpoint_entry(entry: Message) -> EndpointEntry:
+    server, zone, kind, cell, state, nominal, started_at = entry
     return EndpointEntry(server, zone, kind, cell, _STATES[state], float(nominal), started_at)
 
 
-def _request(m: Message) -> Event:
-    _, _, request, kind, tenant, key, remaining_us, cost_us, flags, arriving = m
+def _request_arrived(m: Message) -> Event:
+    _, _, request, class_name, tenant, key, remaining_us, cost_us, flags, is_streaming = m
     cost_hint = cost_us if flags & _HINT_VALID else None
-    retry, write = bool(flags & _CLIENT_RETRY), bool(flags & _WRITE)
-    return RequestArrived(request, kind, tenant, key, remaining_us, cost_hint, retry, write, arriving)
+    is_retry, is_write = bool(flags & _CLIENT_RETRY), bool(flags & _WRITE)
+    return RequestArrived(
+        request, class_name, tenant, key, remaining_us, cost_hint, is_retry, is_write, is_streaming
+    )
 
 
-def _ended(m: Message) -> Event:
-    _, _, request, attempt, server, verdict, elapsed_us, answered, report, spent = m
-    return AttemptEnded(request, attempt, server, _OUTCOMES[verdict], elapsed_us, answered, report, spent)
+def _attempt_ended(m: Message) -> Event:
+    _, _, request, attempt, server, outcome, elapsed_us, is_answered, report, is_consumed = m
+    return AttemptEnded(
+        request, attempt, server, _OUTCOMES[outcome], elapsed_us, is_answered, report, is_consumed
+    )
 
 
 _EVENTS: dict[str, Callable[[Message], Event]] = {
-    "WORK_ITEM": _request,
+    "WORK_ITEM": _request_arrived,
     "COMPLETE": lambda m: RequestBodyCompleted(m[2], m[3]),
     "FIRST": lambda m: ResponseStarted(m[2], m[3], m[5], m[4]),
-    "ATTEMPT_END": _ended,
+    "ATTEMPT_END": _attempt_ended,
     "CLIENT_GONE": lambda m: ClientDisconnected(m[2]),
     "WAKE": lambda m: TimerFired(m[2]),
     "SAMPLED": lambda m: HealthCheckEnded(m[4], _OUTCOMES[m[3]], m[2], m[5]),
@@ -115,13 +119,13 @@
 
 
 def event(message: Message, pages: dict[int, list[Message]]) -> Event:
-    """Translate one neutral message; `pages` holds the numbered server lists."""
+    """Translate one message; `pages` holds the endpoint lists by number."""
     if message[0] != "TARGETS":
         return _EVENTS[message[0]](message)
     _, _, kind, page, version = message
     if kind == "failed":
         return EndpointListReceived(_LIST_KINDS[kind])
-    return EndpointListReceived(_LIST_KINDS[kind], [_listed(line) for line in pages[page]], version)
+    return EndpointListReceived(_LIST_KINDS[kind], [_endpoint_entry(entry) for entry in pages[page]], version)
 
 
 _ACTIONS: dict[type[Any], tuple[str, Callable[[Any], Message]]] = {
@@ -139,7 +143,7 @@
 }
 
 
-def rendered(who: str, action: Action) -> Message:
-    """Write one action as a neutral message."""
+def rendered(instance: str, action: Action) -> Message:
+    """Translate one action to a message."""
     name, values = _ACTIONS[type(action)]
-    return [name, who, *values(action)]
+    return [name, instance, *values(action)]
--- a/tests/simulator_driver.py
+++ b/tests/simulator_driver.py
@@ -1,13 +1,13 @@
-"""Reference runs: the digest of all replies of a scenario names every decision that was taken in it.
+"""Reference runs: digests of all replies of a scenario, which change with any decision of the balancer.
 
-A change of the code that changes no decision keeps the digests.  Log texts are left out of them.
+A change of the code that changes no decision keeps the digests.  Log texts are not included.
 
-Floating-point results are compared as they are, so the digests hold for one arithmetic: `sum` that adds from
+Floating-point results are compared exactly, so the digests hold only for one arithmetic: `sum` that adds from
 left to right, as up to Python 3.11, and a C library with the same last bit of `exp`, `log` and `pow`.
 
-`python tests/simulator_driver.py --record` writes `tests/data/simulator-replies.json` anew.  This is for an
-intended change of decisions only; say in the commit which decisions changed and why.
-`python tests/simulator_driver.py --replies SCENARIO` prints the replies of one scenario, for a comparison.
+`python tests/simulator_driver.py --record` rewrites `tests/data/simulator-replies.json`.  Use it only for an
+intended change of decisions, and state in the commit which decisions changed and why.
+`python tests/simulator_driver.py --replies SCENARIO` prints the replies of one scenario for comparison.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 
 
 def replies(scenario: Scenario) -> Iterator[str]:
-    """The lines of all replies of a scenario."""
+    """Yield the lines of all replies of a scenario."""
     return Simulation(scenario, DirectPort() if scenario.is_direct else WirePort()).replies()
 
 
 def digest(scenario: Scenario) -> dict[str, Any]:
-    """The SHA-256 of a scenario's replies, with the number of lines of each kind to read a difference by."""
+    """Return the SHA-256 of a scenario's replies, and the number of lines by kind to interpret differences."""
     total = hashlib.sha256()
     kinds: Counter[str] = Counter()
     for line in replies(scenario):
@@ -46,7 +46,7 @@
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     action = parser.add_mutually_exclusive_group(required=True)
-    action.add_argument("--record", action="store_true", help="write the digests anew")
+    action.add_argument("--record", action="store_true", help="rewrite the recorded digests")
     action.add_argument("--replies", metavar="SCENARIO", help="print the replies of one scenario")
     arguments = parser.parse_args()
     if arguments.record:
--- a/tests/simulator_ports.py
+++ b/tests/simulator_ports.py
@@ -1,4 +1,4 @@
-"""Ports of the reference runs: how a batch of events reaches the balancers, and what they reply."""
+"""Ports of the reference runs, which pass batches of events to balancers and return their replies."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Port(Protocol):
-    """Takes one batch of events and gives the lines of its reply."""
+    """Passes a batch of events to balancers and returns the lines of their replies."""
 
     def exchange(self, now: int, batch: list[Message]) -> list[str]: ...
 
 
 class WirePort:
-    """Plays batches through the adapter, as the simulator would."""
+    """Passes batches through the simulator adapter, as the simulator does."""
 
     def __init__(self) -> None:
         self._adapter = vocabulary.SimulatorAdapter()
@@ -31,7 +31,7 @@
 
 
 class DirectPort:
-    """Plays events to balancers without the wire, which does not carry all of them."""
+    """Passes events to balancers directly, since the wire protocol does not support all of them."""
 
     def __init__(self) -> None:
         self._balancers: dict[str, vocabulary.Balancer] = {}
@@ -40,16 +40,16 @@
     def exchange(self, now: int, batch: list[Message]) -> list[str]:
         replies: list[Message] = []
         for message in batch:
-            name, who = message[0], message[1]
+            name, instance = message[0], message[1]
             if name == "PAGE":
                 self._pages[message[1]] = message[2]
             elif name == "BEGIN":
-                self._balancers[who] = vocabulary.begin(message[2], message[3])
+                self._balancers[instance] = vocabulary.begin(message[2], message[3])
             elif name == "EXIT":
-                del self._balancers[who]
+                del self._balancers[instance]
             else:
-                balancer = self._balancers[who]
+                balancer = self._balancers[instance]
                 actions = balancer.handle(now, vocabulary.event(message, self._pages))
-                replies += [vocabulary.rendered(who, action) for action in actions]
-                replies.append(["COUNTS", who, *vocabulary.counts(balancer)])
+                replies += [vocabulary.rendered(instance, action) for action in actions]
+                replies.append(["COUNTS", instance, *vocabulary.counts(balancer)])
         return [json.dumps(reply, separators=(",", ":")) for reply in replies]
--- a/tests/simulator_scenarios.py
+++ b/tests/simulator_scenarios.py
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """Something that goes wrong, or changes, at a time after the start; `kind` is the driver's name of it."""
+    """A fault or change at a time after the start; `kind` names the handler in the simulation."""
 
     kind: str
     at_us: int
     for_us: int = 5 * S
-    servers: int = 0  # chosen by chance; 0: all
+    servers: int = 0  # number of randomly chosen servers; 0: all
     zone: str | None = None  # only servers of this zone
     verdict: str = "app_error"
     factor: float = 1.0
-    moves: bool = False  # the servers come back elsewhere: in the first zone, at twice the nominal size
+    moves: bool = False  # the servers return in the first zone, with twice the nominal capacity
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """One reference run."""
+    """The fleet, settings, load and faults of one reference run."""
 
     name: str
     seed: int
@@ -42,7 +42,7 @@
     lists_sizes: bool = False
     queue_per_size: float = 8.0
     work_us: int = 25 * MS
-    work_parts: tuple[float, ...] = (0.3, 0.6, 1.0, 1.0, 1.6, 6.0)  # of it, one of these a request
+    work_parts: tuple[float, ...] = (0.3, 0.6, 1.0, 1.0, 1.6, 6.0)  # factors on `work_us`, drawn by request
     hints: float = 0.7
     leaving: float = 0.01
     client_retries: float = 0.5
@@ -53,7 +53,7 @@
     call_failures: float = 0.0
     calls_lost: float = 0.0
     arriving: float = 0.0
-    is_direct: bool = False  # events go to the balancer without the wire
+    is_direct: bool = False  # events are passed to the balancer without the wire protocol
     faults: tuple[Fault, ...] = field(default=())
 
 
@@ -109,7 +109,7 @@
 
 
 def _boot(**changes: Any) -> dict[str, Any]:
-    """Settings of a permissive site; `bounds` and `guarantees` are merged, the rest is replaced."""
+    """Return permissive settings with changes; `bounds` and `guarantees` are merged, other keys replaced."""
     boot: dict[str, Any] = {
         "bounds": BOUNDS,
         "guarantees": GUARANTEES,
@@ -130,7 +130,7 @@
     return boot
 
 
-EVEN = (0.9, 1.0, 1.1)  # parts of the work
+EVEN = (0.9, 1.0, 1.1)  # factors on the work
 CAUTIOUS = {"secondCopies": False, "mayCancel": False, "retryAfter": False, "sendCap": 2}
 LATENCIES = {"source": "piggyback", "columns": ["latency_ms"]}
 CROSSINGS = {"crossZone": 0.03}
--- a/tests/test_cluster_size.py
+++ b/tests/test_cluster_size.py
@@ -9,9 +9,8 @@
 from balancer.actions import WatchEndpoints
 from balancer.events import ClusterSizeChanged, EndpointEntry, EndpointListKind, EndpointListReceived, Outcome
 
-CLUSTER_SIZE = (
-    16  # small enough that the recovery time does not limit backoffs; it would from twice this size
-)
+# Small enough that the recovery time does not limit backoffs; at twice this size it would.
+CLUSTER_SIZE = 16
 
 
 def mean_backoff(event: ClusterSizeChanged | None) -> float:
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -160,9 +160,8 @@
             for _ in range(10):
                 assert (await scene.ask()).status == 200
             assert len(scene.servers[0].heard) == 0
-            assert (await scene.call("POST", "/api/include", b'{"member":"s-1"}'))[
-                0
-            ] == 200  # was not excluded
+            # Including a server that is not excluded succeeds.
+            assert (await scene.call("POST", "/api/include", b'{"member":"s-1"}'))[0] == 200
             await scene.call("POST", "/api/exclude", b'{"member":"s-1"}')
             assert (await scene.ask("lodge")).status == 503
             assert (await scene.call("POST", "/api/include", b'{"member":"s-0"}'))[0] == 200
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejection of failing endpoints and their readmission."""
+"""Ejection and readmission of failing endpoints."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 from balancer.outlier_detection import EjectionReason
 
 
-def _with_one_silent(driver: BalancerDriver, rounds: int) -> tuple[str, list[int]]:
-    """Good traffic, except that one server answers nothing from some moment on."""
+def _serve_with_a_silent_endpoint(driver: BalancerDriver, count: int) -> tuple[str, list[int]]:
+    """Serve healthy traffic, then stop responses of one endpoint; return it and its pending requests."""
     driver.receive_list(server_names(6))
     driver.serve_traffic(120)
     first = driver.start_request()
     silent = driver.target(first)
-    stuck = [first]
-    for _ in range(rounds):
+    pending = [first]
+    for _ in range(count):
         driver.wait(10 * MS)
         request = driver.start_request()
         if driver.target(request) == silent:
-            stuck.append(request)
+            pending.append(request)
         else:
             driver.wait(30 * MS)
             driver.end_attempt(request)
-    return silent, stuck
+    return silent, pending
 
 
-def test_silent_endpoint_is_ejected_while_others_respond_and_its_idempotent_requests_are_hedged() -> None:
+def test_silent_endpoint_is_ejected_and_its_idempotent_requests_are_hedged() -> None:
     driver = BalancerDriver()
-    silent, stuck = _with_one_silent(driver, 20)
+    silent, pending = _serve_with_a_silent_endpoint(driver, 20)
     assert any(action.text.startswith(f"ejected {silent}") for action in driver.actions_of(Log))
-    copies = driver.targets(stuck[0])
-    assert len(copies) > 1 and silent not in copies[1:]
+    targets = driver.targets(pending[0])
+    assert len(targets) > 1 and silent not in targets[1:]
 
 
 def test_ejected_endpoint_is_readmitted_by_one_trial_at_a_time() -> None:
     driver = BalancerDriver()
-    silent, stuck = _with_one_silent(driver, 20)
+    silent, pending = _serve_with_a_silent_endpoint(driver, 20)
     before = driver.targets().count(silent)
-    for request in stuck:
+    for request in pending:
         driver.end_attempt(request, Outcome.TIMED_OUT, attempt=0, answered=False)
     for _ in range(60):
         driver.wait(60 * MS)
@@ -70,27 +70,27 @@
     assert len(ejected) <= 2
 
 
-def test_timeout_is_no_failure_of_an_endpoint_that_answered_others() -> None:
+def test_timeout_is_no_failure_if_the_endpoint_answered_others_meanwhile() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(1))
     for _ in range(6):
         driver.serve_traffic(60)
-        old = driver.start_request("pay", remaining_us=S)
+        timed_out = driver.start_request("pay", remaining_us=S)
         driver.wait(900 * MS)
-        new = driver.start_request("pay")
+        answered = driver.start_request("pay")
         driver.wait(50 * MS)
-        driver.end_attempt(new)
+        driver.end_attempt(answered)
         driver.wait(30 * MS)
-        driver.end_attempt(old, Outcome.TIMED_OUT, answered=False)
+        driver.end_attempt(timed_out, Outcome.TIMED_OUT, answered=False)
     assert not any("ejected" in action.text for action in driver.actions_of(Log))
 
 
-def test_endpoints_whose_connections_break_now_and_then_do_not_start_slowly() -> None:
-    # Guards against a flaky network that leaves no server to send to: all would pass for newly started.
+def test_occasional_connection_losses_do_not_cause_slow_start() -> None:
+    # Guards against slow start of all servers in an unreliable network, which would leave none with capacity.
     driver = BalancerDriver()
     driver.receive_list(server_names(4))
     driver.serve_traffic(300, every_us=10 * MS)
-    ends = {name: 5 * index for index, name in enumerate(server_names(4))}
+    attempt_counts = {name: 5 * index for index, name in enumerate(server_names(4))}
     for _ in range(600):
         driver.wait(10 * MS)
         request = driver.start_request()
@@ -98,36 +98,37 @@
             rejection.request == request for rejection in driver.actions_of(Reject)
         ):
             server = driver.target(request)
-            ends[server] += 1
-            if ends[server] % 20 > 1:  # of twenty in a row at a server, two break
+            attempt_counts[server] += 1
+            if attempt_counts[server] % 20 > 1:  # of twenty attempts at a server, two lose their connection
                 driver.end_attempt(request)
                 break
             driver.end_attempt(request, Outcome.CONNECTION_LOST)
-    assert len(driver.actions_of(Reject)) < 12  # of 600: by chance all four are ejected or tried
+    assert len(driver.actions_of(Reject)) < 12  # of 600: at times all four servers are ejected or on trial
     assert any("dropped" in action.text for action in driver.actions_of(Log))
 
 
-def test_endpoint_that_could_not_be_connected_to_starts_slowly() -> None:
-    # Its process died and is back before the list says so: a full share at once would push it over.
+def test_endpoint_with_failed_connects_is_in_slow_start_after_readmission() -> None:
+    # The process died and was restarted before the endpoint list shows it; a full share of the load at once
+    # would overload it.
     driver = BalancerDriver()
     driver.receive_list(server_names(4))
     driver.serve_traffic(300, every_us=10 * MS)
-    away = server_names(4)[0]
-    back_at = driver.now + 4 * S
+    down_server = server_names(4)[0]
+    restart_at = driver.now + 4 * S
 
     def traffic(count: int) -> int:
-        """Play a request every 10 ms, each answered after 50 ms; give how many `away` took."""
+        """Play a request every 10 ms, each answered after 50 ms; return how many `down_server` answered."""
         requests: list[int] = []
         for _ in range(count):
             driver.wait(10 * MS)
             requests.append(driver.start_request())
-            while driver.now < back_at and driver.target(requests[-1]) == away:
+            while driver.now < restart_at and driver.target(requests[-1]) == down_server:
                 driver.end_attempt(requests[-1], Outcome.CONNECT_FAILED)
             if len(requests) > 5:
                 driver.end_attempt(requests[-6])
         for request in requests[-5:]:
             driver.end_attempt(request)
-        return sum(driver.target(request) == away for request in requests)
+        return sum(driver.target(request) == down_server for request in requests)
 
     assert traffic(400) == 0
     while "readmitted" not in driver.actions_of(Log)[-1].text:
@@ -135,14 +136,15 @@
     assert 0 < traffic(200) < 30  # an even share is 50
 
 
-def test_ejected_endpoints_that_left_make_room_for_others_to_be_ejected() -> None:
-    # Guards against a deploy that replaces failing servers: the next one to fail could not be ejected.
+def test_ejected_endpoints_that_left_the_list_do_not_count_towards_the_limit() -> None:
+    # Guards against a deploy that replaces failing servers, after which the next failing one could not be
+    # ejected.
     driver = BalancerDriver()
     for generation in range(6):
         listed = [f"10.0.{generation}.{number}:80" for number in range(1, 5)]
         driver.receive_list(listed)
         for _ in range(4):
-            requests = [driver.start_request("pay") for _ in range(8)]  # two for each server
+            requests = [driver.start_request("pay") for _ in range(8)]  # two per server
             driver.wait(50 * MS)
             for request in requests:
                 driver.end_attempt(
@@ -153,16 +155,16 @@
         )
 
 
-def test_restarted_endpoint_is_readmitted_and_starts_slowly() -> None:
+def test_restarted_endpoint_is_readmitted_in_slow_start() -> None:
     driver = BalancerDriver()
-    silent, _ = _with_one_silent(driver, 20)
+    silent, _ = _serve_with_a_silent_endpoint(driver, 20)
     driver.receive_list([EndpointEntry(silent, "east", started_at=driver.now)], EndpointListKind.CHANGES)
     server = driver.balancer._endpoints.by_name[silent]
     assert server.ejected_until is None and driver.balancer._slow_start.is_warming_up(server)
 
 
-def _serve_among_dead(driver: BalancerDriver, dead: set[str], count: int) -> int:
-    """Singly served requests; nobody is at the dead servers.  Returns how many attempts went to them."""
+def _serve_with_dead_endpoints(driver: BalancerDriver, dead: set[str], count: int) -> int:
+    """Play requests one at a time; dead servers refuse connections.  Returns the attempts at dead servers."""
     before = len(driver.sent_attempts())
     for _ in range(count):
         driver.wait(200 * MS)
@@ -172,23 +174,23 @@
             driver.wait(2 * MS)
             driver.end_attempt(request, Outcome.CONNECT_FAILED)
             if len(driver.sent_attempts(request)) == sent:
-                break  # abandoned
+                break  # no further attempt
         else:
             driver.wait(40 * MS)
             driver.end_attempt(request)
     return sum(server in dead for server in driver.targets()[before:])
 
 
-def test_small_balancer_ejects_more_dead_endpoints_than_its_subset_holds() -> None:
+def test_small_balancer_can_eject_more_dead_endpoints_than_its_subset_size() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(60))
     dead = set(server_names(60)[::2])
-    _serve_among_dead(driver, dead, 100)
+    _serve_with_dead_endpoints(driver, dead, 100)
     ejected = [action.text for action in driver.actions_of(Log) if action.text.startswith("ejected")]
-    assert len(ejected) > 4  # what a balancer at rest draws from
+    assert len(ejected) > 4  # the subset size without requests in flight
 
 
-def test_trials_of_many_lost_endpoints_take_a_small_part_of_the_traffic() -> None:
+def test_trials_of_many_lost_endpoints_take_a_small_fraction_of_requests() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(60))
     lost = set(server_names(60)[::2])
@@ -196,8 +198,9 @@
         driver.balancer._outliers.eject(
             driver.balancer._endpoints.by_name[name], EjectionReason.CONNECT_FAILED
         )
-    driver.wait(20 * S)  # all have waited long enough
-    assert _serve_among_dead(driver, lost, 100) <= 0.1 * 100 + 4
-    _serve_among_dead(driver, set(), 100)  # they are back: a trial that is answered costs nothing
-    found = [action.text for action in driver.actions_of(Log) if action.text.startswith("readmitted")]
-    assert len(found) == len(lost)
+    driver.wait(20 * S)  # longer than any ejection
+    assert _serve_with_dead_endpoints(driver, lost, 100) <= 0.1 * 100 + 4
+    # All servers respond again.  A successful trial is refunded to the budget, so all can be tried in time.
+    _serve_with_dead_endpoints(driver, set(), 100)
+    readmitted = [action.text for action in driver.actions_of(Log) if action.text.startswith("readmitted")]
+    assert len(readmitted) == len(lost)
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries and hedged requests: never an effect twice, and never without bound."""
+"""Retries and hedged requests: no request takes effect twice, and retries are bounded."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from balancer.settings import IdempotencyScope, ServiceClass
 
 
-def test_retries_after_failures_are_bounded() -> None:
+def test_retries_after_failures_are_bounded_by_the_budget() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(40))
     for _ in range(400):
@@ -36,7 +36,7 @@
     assert len(driver.sent_attempts()) <= 400 * 1.25 + 10
 
 
-def test_retry_after_a_failed_connect_needs_no_budget() -> None:
+def test_retry_after_a_failed_connect_is_not_charged_to_the_budget() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(60))
     for _ in range(60):
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
-def test_request_that_is_not_idempotent_and_never_executed_is_retried_elsewhere(outcome: Outcome) -> None:
+def test_request_that_was_not_executed_is_retried_at_another_endpoint(outcome: Outcome) -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(5))
     request = driver.start_request("pay")
@@ -116,30 +116,30 @@
 
 
 def test_retry_names_the_time_by_which_its_first_byte_has_to_be_sent() -> None:
-    # Guards rule 2 where a dial lies between the decision and the write.
+    # Guards against a retry that is sent too late because connecting takes time after the decision.
     driver = BalancerDriver()
     driver.receive_list(endpoints_in_two_cells())
-    for kind, outcome, window in (
+    for class_name, outcome, window_us in (
         ("look", Outcome.CONNECTION_LOST, None),
         ("amend", Outcome.CONNECTION_LOST, 2 * S),
         ("amend", Outcome.CONNECT_FAILED, None),
         ("pay", Outcome.CONNECT_FAILED, None),
     ):
-        request = driver.start_request(kind)
+        request = driver.start_request(class_name)
         sent_at, first = driver.sent_attempts(request)[0]
-        assert first.send_by is not None and first.send_by >= first.deadline  # no limit of its own
+        assert first.send_by is not None and first.send_by >= first.deadline  # no limit besides the deadline
         driver.wait(100 * MS)
         driver.end_attempt(request, outcome)
-        _, repeat = driver.sent_attempts(request)[1]
-        assert repeat.send_by is not None
-        if window is None:
-            assert repeat.send_by >= repeat.deadline
+        _, retry = driver.sent_attempts(request)[1]
+        assert retry.send_by is not None
+        if window_us is None:
+            assert retry.send_by >= retry.deadline
         else:
-            assert repeat.send_by == sent_at + window - 5 * MS
+            assert retry.send_by == sent_at + window_us - 5 * MS
 
 
 def test_retry_with_a_key_stays_in_the_cell_that_the_first_attempt_was_sent_to() -> None:
-    # The list moves the first server into the other cell meanwhile: what it was sent to was the old one.
+    # A list moves the first server into the other cell after the attempt was sent; the old cell still counts.
     for seed in range(6):
         driver = BalancerDriver(seed=seed)
         driver.receive_list(endpoints_in_two_cells())
@@ -152,14 +152,14 @@
         assert cell_of[driver.target(request)] == cell_of[first] and driver.target(request) != first
 
 
-def full_is_no_proof() -> BalancerDriver:
+def driver_with_ambiguous_full_responses() -> BalancerDriver:
     driver = BalancerDriver(settings(guarantees={"full_may_have_executed": True}))
     driver.receive_list(endpoints_in_two_cells())
     return driver
 
 
-def test_full_response_that_proves_nothing_fails_a_request_that_is_not_idempotent() -> None:
-    driver = full_is_no_proof()
+def test_ambiguous_full_response_fails_a_request_that_is_not_idempotent() -> None:
+    driver = driver_with_ambiguous_full_responses()
     request = driver.start_request("pay")
     driver.end_attempt(request, Outcome.FULL)
     assert len(driver.sent_attempts(request)) == 1
@@ -168,7 +168,7 @@
     ) == []
 
 
-def test_full_response_that_proves_nothing_keeps_a_retry_with_a_key_in_its_cell_and_window() -> None:
+def test_ambiguous_full_response_keeps_a_retry_with_a_key_in_its_cell_and_window() -> None:
     cell_of = {entry.server: entry.cell for entry in endpoints_in_two_cells()}
     for seed in range(20):
         driver = BalancerDriver(settings(guarantees={"full_may_have_executed": True}), seed=seed)
@@ -182,14 +182,14 @@
         assert len(driver.sent_attempts(request)) == 2 and driver.actions_of(Reject) == []
 
 
-def test_full_response_that_proves_nothing_does_not_keep_an_idempotent_request_from_its_retry() -> None:
-    driver = full_is_no_proof()
+def test_ambiguous_full_response_allows_the_retry_of_an_idempotent_request() -> None:
+    driver = driver_with_ambiguous_full_responses()
     request = driver.start_request("look")
     driver.end_attempt(request, Outcome.FULL)
     assert len(driver.sent_attempts(request)) == 2
 
 
-# The mechanism by itself
+# Unit tests of `RetryPolicy`
 
 
 @pytest.mark.parametrize(
@@ -222,11 +222,11 @@
 def test_retry_policy_keeps_a_retry_with_a_key_in_its_scope(scope: IdempotencyScope, allowed: int) -> None:
     policy = RetryPolicy(make_context())
     request = make_request(replace(WITH_KEY, idempotency_scope=scope), make_endpoint(zone="east", cell=1))
-    others = [make_endpoint(zone="east", cell=1), make_endpoint(zone="east"), make_endpoint(zone="west")]
-    assert sum(policy.is_in_scope(request, endpoint) for endpoint in others) == allowed
+    endpoints = [make_endpoint(zone="east", cell=1), make_endpoint(zone="east"), make_endpoint(zone="west")]
+    assert sum(policy.is_in_scope(request, endpoint) for endpoint in endpoints) == allowed
 
 
-def test_retry_policy_budget_is_a_part_of_the_requests() -> None:
+def test_retry_policy_budget_is_a_fraction_of_the_requests() -> None:
     policy = RetryPolicy(make_context())
     while policy.has_budget():
         policy.spend()
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,11 +1,11 @@
-"""Pending deadlines and the one timer for the earliest of them."""
+"""The queue of deadlines and the timer for the earliest one."""
 
 from __future__ import annotations
 
 from balancer.scheduler import DeadlineKind, Scheduler
 
 
-def test_deadlines_fall_due_in_order_of_time_then_of_scheduling() -> None:
+def test_deadlines_are_due_in_order_of_time_then_of_scheduling() -> None:
     scheduler = Scheduler()
     scheduler.schedule_response(30, request_id=1)
     scheduler.schedule_attempt(10, request_id=2, attempt_index=0)
@@ -21,7 +21,7 @@
     assert scheduler.pop_due(9) is None and scheduler.pop_due(10) is not None
 
 
-def test_timer_is_set_anew_only_for_an_earlier_deadline() -> None:
+def test_timer_is_replaced_only_for_an_earlier_deadline() -> None:
     scheduler = Scheduler()
     scheduler.schedule_poll(100)
     assert scheduler.timer_to_set(0) == 100
@@ -35,7 +35,7 @@
     scheduler = Scheduler()
     scheduler.schedule_poll(100)
     scheduler.timer_to_set(0)
-    scheduler.record_timer(99)  # an earlier one that was replaced
+    scheduler.record_timer(99)  # an older timer, since replaced
     assert scheduler.timer_to_set(99) is None
     scheduler.record_timer(100)
     assert scheduler.timer_to_set(100) == 0
@@ -46,5 +46,5 @@
     scheduler.schedule_poll(1)
     scheduler.schedule_response(2, request_id=9)
     scheduler.drop_next()
-    following = scheduler.next()
-    assert following is not None and following.request_id == 9
+    next_deadline = scheduler.next()
+    assert next_deadline is not None and next_deadline.request_id == 9
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -17,13 +17,13 @@
 
 def test_selection_prefers_the_drawn_endpoint_with_the_fewest_in_flight() -> None:
     driver = BalancerDriver()
-    driver.receive_list(server_names(4))  # all are drawn
+    driver.receive_list(server_names(4))  # as many as are drawn
     for _ in range(40):
         driver.start_request()
     assert set(Counter(driver.targets()).values()) == {10}
 
 
-def test_selection_after_full_leaves_out_the_full_endpoints_until_all_were_tried() -> None:
+def test_selection_after_full_uses_every_other_endpoint_before_rejecting() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(5))
     request = driver.start_request("pay")
@@ -41,7 +41,7 @@
     assert driver.target(driver.start_request()) == server_names(1)[0]
 
 
-def test_selection_draws_slower_endpoints_less() -> None:
+def test_selection_uses_slower_endpoints_less() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(12))
     slow = server_names(12)[0]
@@ -53,7 +53,7 @@
     assert late[slow] < 0.6 * sum(late.values()) / 12
 
 
-def test_selection_weighs_by_nominal_capacity_until_responses_tell() -> None:
+def test_selection_weighs_endpoints_by_nominal_capacity_before_responses() -> None:
     driver = BalancerDriver()
     driver.receive_list(
         [
@@ -73,7 +73,7 @@
     driver.receive_list(server_names(2))
     request = driver.start_request("pay", remaining_us=400 * MS)
     silent = driver.target(request)
-    driver.wait(395 * MS)  # answered by then, and cancelled
+    driver.wait(395 * MS)  # the final response was sent and the attempt cancelled
     driver.end_attempt(request, Outcome.CANCELLED, answered=True)
     other = driver.start_request("pay")
     assert driver.target(other) != silent
@@ -98,14 +98,14 @@
     assert driver.targets().count(bad) < 300 / 6
 
 
-def zones() -> list[EndpointEntry]:
+def endpoints_in_two_zones() -> list[EndpointEntry]:
     return [
         EndpointEntry(name, "east" if index < 4 else "west") for index, name in enumerate(server_names(8))
     ]
 
 
-def _crossings(driver: BalancerDriver, local_us: int, remote_us: int) -> float:
-    driver.receive_list(zones())
+def _remote_fraction(driver: BalancerDriver, local_us: int, remote_us: int) -> float:
+    driver.receive_list(endpoints_in_two_zones())
     local = set(server_names(8)[:4])
     for _ in range(600):
         request = driver.start_request()
@@ -115,43 +115,43 @@
     return sum(server not in local for server in late) / len(late)
 
 
-def test_selection_prefers_the_own_zone_while_it_is_as_quick_and_crossing_has_a_cost() -> None:
-    spared = sum(
-        _crossings(BalancerDriver(settings(costs=Costs(cross_zone=0.03)), seed=seed), 40 * MS, 44 * MS)
+def test_selection_prefers_the_local_zone_if_it_is_as_fast_and_cross_zone_has_a_cost() -> None:
+    remote_fraction_sum = sum(
+        _remote_fraction(BalancerDriver(settings(costs=Costs(cross_zone=0.03)), seed=seed), 40 * MS, 44 * MS)
         for seed in range(5)
     )
-    assert spared < 5 * 0.3
+    assert remote_fraction_sum < 5 * 0.3
 
 
 class _CountingList(list[Endpoint]):
-    """A list that counts what is taken from it."""
+    """A list that counts the elements read by iteration."""
 
-    taken = 0
+    read_count = 0
 
     def __iter__(self) -> Iterator[Endpoint]:
         for endpoint in super().__iter__():
-            self.taken += 1
+            self.read_count += 1
             yield endpoint
 
 
-@pytest.mark.skipif(not balancer.__file__.endswith(".py"), reason="what is compiled can't be watched")
+@pytest.mark.skipif(not balancer.__file__.endswith(".py"), reason="compiled classes can't be patched")
 def test_selection_does_not_walk_the_complete_list() -> None:
     driver = BalancerDriver(settings(costs=Costs(cross_zone=0.03)))
     driver.receive_list(
         [EndpointEntry(name, "east" if index % 2 else "west") for index, name in enumerate(server_names(400))]
     )
     driver.serve_traffic(20)
-    walked = driver.balancer._endpoints.available = _CountingList(driver.balancer._endpoints.available)
+    watched_list = driver.balancer._endpoints.available = _CountingList(driver.balancer._endpoints.available)
     driver.serve_traffic(100)
-    assert walked.taken < 100 * 20
+    assert watched_list.read_count < 100 * 20
 
 
-def test_selection_leaves_a_slow_own_zone() -> None:
-    assert _crossings(BalancerDriver(settings(costs=Costs(cross_zone=0.03))), 90 * MS, 40 * MS) > 0.5
+def test_selection_prefers_other_zones_to_a_slow_local_zone() -> None:
+    assert _remote_fraction(BalancerDriver(settings(costs=Costs(cross_zone=0.03))), 90 * MS, 40 * MS) > 0.5
 
 
-@pytest.mark.skipif(not balancer.__file__.endswith(".py"), reason="what is compiled can't be watched")
-def test_selection_draws_slow_endpoints_less_for_heavy_requests(
+@pytest.mark.skipif(not balancer.__file__.endswith(".py"), reason="compiled classes can't be patched")
+def test_selection_gives_slow_endpoints_less_weight_for_requests_of_high_cost(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     driver = BalancerDriver()
@@ -161,20 +161,20 @@
             for name in server_names(5)
         ]
     )
-    seen: list[float] = []
-    drawn = driver.balancer._selector._draw
+    weight_ratios: list[float] = []
+    draw = driver.balancer._selector._draw
 
-    def watch(pool: list[Endpoint], odds: list[float], count: int) -> list[Endpoint]:
-        seen.append(odds[0] / odds[1])
-        return drawn(pool, odds, count)
+    def record_weights(pool: list[Endpoint], weights: list[float], count: int) -> list[Endpoint]:
+        weight_ratios.append(weights[0] / weights[1])
+        return draw(pool, weights, count)
 
-    monkeypatch.setattr(driver.balancer._selector, "_draw", watch)
+    monkeypatch.setattr(driver.balancer._selector, "_draw", record_weights)
     for cost in (20 * MS, 20 * MS, 100 * MS):
         driver.end_attempt(driver.start_request(cost_us=cost))
-    assert seen[2] < 0.5 * seen[0]
+    assert weight_ratios[2] < 0.5 * weight_ratios[0]
 
 
-def test_selection_draws_an_endpoint_with_an_error_for_every_other_request_less() -> None:
+def test_selection_uses_an_endpoint_with_every_other_response_an_error_less() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(12))
     bad = server_names(12)[3]
@@ -192,13 +192,13 @@
     driver = BalancerDriver()
     driver.receive_list(server_names(60))
     serve_singly(driver, 200)
-    met = set(driver.targets())
-    assert 2 <= len(met) <= 8
-    for gone in met:
-        driver.drain(gone)
+    first_targets = set(driver.targets())
+    assert 2 <= len(first_targets) <= 8
+    for server in first_targets:
+        driver.drain(server)
     serve_singly(driver, 50)
     later = set(driver.targets()[200:])
-    assert later and not later & met
+    assert later and not later & first_targets
 
 
 def test_subset_of_a_busy_balancer_is_the_complete_list() -> None:
@@ -209,13 +209,13 @@
 
 
 def test_subsets_of_small_balancers_differ() -> None:
-    first: set[str] = set()
+    targets: set[str] = set()
     for seed in range(12):
         driver = BalancerDriver(seed=seed)
         driver.receive_list(server_names(60))
         serve_singly(driver, 20)
-        first |= set(driver.targets())
-    assert len(first) > 25
+        targets |= set(driver.targets())
+    assert len(targets) > 25
 
 
 def test_relative_latency_moves_faster_where_responses_are_few() -> None:
@@ -236,11 +236,11 @@
     assert change(400 * MS, 60 * MS, True) > 2 * change(5 * MS, 60 * MS, False) > 0.0
 
 
-def _small_crossings(price: float, taking_us: int) -> float:
-    """The part of a small balancer's requests that leaves its zone; one server in four is in it."""
+def _remote_fraction_of_a_small_balancer(cross_zone_cost: float, taking_us: int) -> float:
+    """Return the fraction of requests sent to other zones, where a quarter of the servers is local."""
     remote = 0
     for seed in range(6):
-        driver = BalancerDriver(settings(costs=Costs(cross_zone=price)), seed=seed)
+        driver = BalancerDriver(settings(costs=Costs(cross_zone=cross_zone_cost)), seed=seed)
         driver.receive_list(
             [
                 EndpointEntry(name, "east" if index % 4 == 0 else "west")
@@ -253,39 +253,42 @@
     return remote / (6 * 100)
 
 
-def test_subset_of_a_small_balancer_is_mostly_in_its_own_zone_where_crossing_has_a_cost() -> None:
-    assert _small_crossings(0.05, 40 * MS) < 0.4
-    assert _small_crossings(0.0, 40 * MS) > 0.6
+def test_subset_of_a_small_balancer_is_mostly_local_if_cross_zone_has_a_cost() -> None:
+    assert _remote_fraction_of_a_small_balancer(0.05, 40 * MS) < 0.4
+    assert _remote_fraction_of_a_small_balancer(0.0, 40 * MS) > 0.6
 
 
-def test_zone_weights_even_out_as_the_typical_latency_ratio_rises() -> None:
-    assert _small_crossings(0.05, 180 * MS) > _small_crossings(0.05, 40 * MS) + 0.15
+def test_zone_weights_even_out_as_the_mean_latency_ratio_rises() -> None:
+    assert (
+        _remote_fraction_of_a_small_balancer(0.05, 180 * MS)
+        > _remote_fraction_of_a_small_balancer(0.05, 40 * MS) + 0.15
+    )
 
 
-def test_full_backoff_of_one_class_leaves_the_endpoint_to_others() -> None:
+def test_full_backoff_of_one_class_does_not_affect_other_classes() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(12))
     serve_singly(driver, 10)
     first = driver.start_request()
-    shunning = driver.target(first)
+    full_server = driver.target(first)
     driver.end_attempt(first)
-    tried = used = 0
+    rejected_count = used_count = 0
     for _ in range(200):
         driver.wait(200 * MS)
-        for kind in ("pay", "look"):
-            request = driver.start_request(kind)
-            rejected = kind == "pay" and driver.target(request) == shunning
-            tried += rejected
-            used += kind == "look" and driver.target(request) == shunning
-            if rejected:
+        for class_name in ("pay", "look"):
+            request = driver.start_request(class_name)
+            is_rejected = class_name == "pay" and driver.target(request) == full_server
+            rejected_count += is_rejected
+            used_count += class_name == "look" and driver.target(request) == full_server
+            if is_rejected:
                 driver.wait(10 * MS)
                 driver.end_attempt(request, Outcome.FULL)
             driver.wait(40 * MS)
             driver.end_attempt(request)
-    assert 1 <= tried < 30 and used > 30
+    assert 1 <= rejected_count < 30 and used_count > 30
 
 
-def test_full_backoff_gives_way_where_no_other_endpoint_is_left() -> None:
+def test_full_backoff_is_ignored_if_no_other_endpoint_is_left() -> None:
     driver = BalancerDriver(settings(limits={"max_attempts": 1}))
     driver.receive_list(server_names(1))
     driver.end_attempt(driver.start_request("pay"), Outcome.FULL)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings on the wire: what is skipped, what gets a default, and what is nonsense."""
+"""Settings on the wire: unknown keys, defaults and invalid values."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from balancer import Balancer
@@ -15,26 +15,26 @@
 from balancer.settings import DiscoveryMode, Idempotency, LoadReportSource
 from balancer.settings_wire import settings_from_wire
 
-LEAST = {"lanes": [{"name": "a", "giveUpUs": 1_000_000}]}
+MINIMAL = {"lanes": [{"name": "a", "giveUpUs": 1_000_000}]}
 
 
-def test_absent_keys_get_the_cautious_default() -> None:
-    given = settings_from_wire(LEAST)
-    assert given.classes[0].idempotency is Idempotency.NOT_IDEMPOTENT
-    assert given.classes[0].latency_objective_us == 1_000_000
-    assert given.discovery is DiscoveryMode.ON_REQUEST
-    assert not given.limits.hedged_requests and given.limits.max_attempts == 1
-    assert given.guarantees.drain_grace_us == 0
+def test_absent_keys_get_the_conservative_default() -> None:
+    settings = settings_from_wire(MINIMAL)
+    assert settings.classes[0].idempotency is Idempotency.NOT_IDEMPOTENT
+    assert settings.classes[0].latency_objective_us == 1_000_000
+    assert settings.discovery is DiscoveryMode.ON_REQUEST
+    assert not settings.limits.hedged_requests and settings.limits.max_attempts == 1
+    assert settings.guarantees.drain_grace_us == 0
 
 
-def test_unknown_keys_are_skipped_and_null_counts_as_absent() -> None:
+def test_unknown_keys_are_ignored_and_null_counts_as_absent() -> None:
     assert settings_from_wire(
-        {**LEAST, "news": 1, "bounds": {"x": 2}, "guarantees": None}
-    ) == settings_from_wire(LEAST)
+        {**MINIMAL, "news": 1, "bounds": {"x": 2}, "guarantees": None}
+    ) == settings_from_wire(MINIMAL)
 
 
 @pytest.mark.parametrize(
-    ("word", "idempotency"),
+    ("name", "idempotency"),
     [
         ("read_like", Idempotency.IDEMPOTENT),
         ("idempotency_key", Idempotency.WITH_KEY),
@@ -44,13 +44,13 @@
         ("unsafe", Idempotency.NOT_IDEMPOTENT),
     ],
 )
-def test_every_word_for_idempotency_is_accepted(word: str, idempotency: Idempotency) -> None:
-    given = settings_from_wire({"lanes": [{"name": "a", "giveUpUs": 9, "repeat": word}]})
-    assert given.classes[0].idempotency is idempotency
+def test_every_name_of_idempotency_is_accepted(name: str, idempotency: Idempotency) -> None:
+    settings = settings_from_wire({"lanes": [{"name": "a", "giveUpUs": 9, "repeat": name}]})
+    assert settings.classes[0].idempotency is idempotency
 
 
 @pytest.mark.parametrize(
-    ("word", "source"),
+    ("name", "source"),
     [
         ("piggyback", LoadReportSource.RESPONSES),
         ("pull", LoadReportSource.HEALTH_CHECKS),
@@ -59,12 +59,12 @@
         ("probes", LoadReportSource.HEALTH_CHECKS),
     ],
 )
-def test_every_word_for_the_source_of_load_reports_is_accepted(word: str, source: LoadReportSource) -> None:
-    assert settings_from_wire({**LEAST, "report": {"source": word}}).load_report_source is source
+def test_every_name_of_the_load_report_source_is_accepted(name: str, source: LoadReportSource) -> None:
+    assert settings_from_wire({**MINIMAL, "report": {"source": name}}).load_report_source is source
 
 
 @pytest.mark.parametrize(
-    ("given", "key"),
+    ("wire", "key"),
     [
         ({}, "lanes"),
         ({"lanes": 5}, "lanes"),
@@ -72,21 +72,21 @@
         ({"lanes": [{"name": "a", "giveUpUs": 0}]}, "lanes[0].giveUpUs"),
         ({"lanes": [{"name": "a", "giveUpUs": float("nan")}]}, "lanes[0].giveUpUs"),
         ({"lanes": [{"name": "a", "giveUpUs": 9, "repeat": "maybe"}]}, "lanes[0].repeat"),
-        ({"lanes": [*LEAST["lanes"], *LEAST["lanes"]]}, "lanes"),
-        ({**LEAST, "bounds": {"sendCap": -1}}, "bounds.sendCap"),
-        ({**LEAST, "bounds": {"secondCopies": 1}}, "bounds.secondCopies"),
-        ({**LEAST, "guarantees": {"coldFrom": 2}}, "guarantees.coldFrom"),
-        ({**LEAST, "guarantees": {"fallUs": "long"}}, "guarantees.fallUs"),
-        ({**LEAST, "report": {"columns": "util"}}, "report.columns"),
-        ({**LEAST, "realms": [3]}, "realms[0]"),
-        ({**LEAST, "groupSize": 0}, "groupSize"),
-        ({**LEAST, "prices": []}, "prices"),
+        ({"lanes": [*MINIMAL["lanes"], *MINIMAL["lanes"]]}, "lanes"),
+        ({**MINIMAL, "bounds": {"sendCap": -1}}, "bounds.sendCap"),
+        ({**MINIMAL, "bounds": {"secondCopies": 1}}, "bounds.secondCopies"),
+        ({**MINIMAL, "guarantees": {"coldFrom": 2}}, "guarantees.coldFrom"),
+        ({**MINIMAL, "guarantees": {"fallUs": "long"}}, "guarantees.fallUs"),
+        ({**MINIMAL, "report": {"columns": "util"}}, "report.columns"),
+        ({**MINIMAL, "realms": [3]}, "realms[0]"),
+        ({**MINIMAL, "groupSize": 0}, "groupSize"),
+        ({**MINIMAL, "prices": []}, "prices"),
         ([], "settings"),
     ],
 )
-def test_nonsense_is_named(given: Any, key: str) -> None:
+def test_invalid_value_is_reported_with_its_key(wire: Any, key: str) -> None:
     with pytest.raises(ValueError, match=rf"\A{re.escape(key)}:"):
-        settings_from_wire(given)
+        settings_from_wire(wire)
 
 
 values = (
@@ -98,7 +98,7 @@
 )
 
 
-@how(max_examples=200, deadline=None, derandomize=True)
+@hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
 @given(
     st.dictionaries(
         st.sampled_from(["giveUpUs", "promiseUs", "worth", "repeat", "group", "memorySpanUs", "streaming"]),
--- a/tests/test_simulator_replies.py
+++ b/tests/test_simulator_replies.py
@@ -1,4 +1,4 @@
-"""Every decision of the reference runs is the recorded one."""
+"""The decisions of the reference runs are the recorded ones."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
-def test_replies_are_the_recorded_ones(scenario: Scenario) -> None:
+def test_replies_have_the_recorded_digest(scenario: Scenario) -> None:
     assert digest(scenario) == _recorded()[scenario.name]
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Budgets of endpoints that are warming up."""
+"""Slow-start budgets of endpoints that are warming up."""
 
 from __future__ import annotations
 
@@ -18,46 +18,51 @@
     driver.receive_list(server_names(6))
     driver.serve_traffic(300, every_us=10 * MS)
     warm_per_s = 100 / 6
-    began = driver.now
-    warming_up = EndpointEntry("10.0.0.6:80", zone="east", started_at=began)
+    started_at = driver.now
+    warming_up = EndpointEntry("10.0.0.6:80", zone="east", started_at=started_at)
     driver.receive_list([warming_up], EndpointListKind.CHANGES)
-    while driver.now < began + 10 * S:
+    while driver.now < started_at + 10 * S:
         requests = [driver.start_request() for _ in range(burst)]
         driver.wait(every_us)
         for request in requests:
             if driver.sent_attempts(request):
                 driver.end_attempt(request)
-    times = [at for at, attempt in driver.sent_attempts() if attempt.server == "10.0.0.6:80" and at >= began]
+    times = [
+        at for at, attempt in driver.sent_attempts() if attempt.server == "10.0.0.6:80" and at >= started_at
+    ]
     for end in times:
-        warmth = 0.2 + 0.8 * max(end - 2 * S - began, 0) / (10 * S)
-        inside = sum(1 for at in times if end - 2 * S < at <= end)
-        assert inside <= max(1.0, 3 * warmth * warm_per_s * 2)
-    assert times or burst == 1  # singly, the quickest known server takes all
+        capacity_fraction = 0.2 + 0.8 * max(end - 2 * S - started_at, 0) / (10 * S)
+        attempts_in_window = sum(1 for at in times if end - 2 * S < at <= end)
+        assert attempts_in_window <= max(1.0, 3 * capacity_fraction * warm_per_s * 2)
+    assert times or burst == 1  # one at a time, the fastest known server may get all requests
 
 
-def test_warming_up_endpoint_gets_what_it_can_surely_bear() -> None:
-    # Guards against warming-up servers that stand idle while the warm ones are overloaded.
+def test_warming_up_endpoint_gets_at_least_the_load_that_it_can_handle() -> None:
+    # Guards against servers that stay idle while warming up although the warm ones are overloaded.
     driver = BalancerDriver()
     driver.receive_list(server_names(4))
     driver.serve_traffic(300, every_us=10 * MS, taking_us=100 * MS)
-    began = driver.now - 2 * S
-    warming_up = EndpointEntry(server_names(4)[0], zone="east", started_at=began)
+    started_at = driver.now - 2 * S
+    warming_up = EndpointEntry(server_names(4)[0], zone="east", started_at=started_at)
     driver.receive_list([warming_up], EndpointListKind.CHANGES)
     before = len(driver.sent_attempts())
     driver.serve_traffic(200, every_us=10 * MS, taking_us=100 * MS)
     sent = [attempt for _, attempt in driver.sent_attempts()[before:]]
     received = sum(attempt.server == warming_up.server for attempt in sent)
-    warm = (len(sent) - received) / 3  # what a warm server served meanwhile
-    warmth = 0.2 + 0.8 * 3 / 10  # on average, at least
-    assert warm * warmth < received < 3 * warm * warmth
+    warm = (len(sent) - received) / 3  # requests of each warm server meanwhile
+    capacity_fraction = 0.2 + 0.8 * 3 / 10  # on average, at least
+    assert warm * capacity_fraction < received < 3 * warm * capacity_fraction
 
 
 def test_warming_up_endpoints_do_not_starve_while_the_warm_ones_are_overloaded() -> None:
-    # A new balancer, or one whose warm servers are too late for all, has seen no warm server serve anything.
+    # Guards against an estimated capacity of 0: a new balancer, or one whose warm servers answer everything
+    # too late, has seen no response of a warm server.
     driver = BalancerDriver()
-    began = driver.now - 5 * S
+    started_at = driver.now - 5 * S
     warm, warming_up = server_names(4)[:2], server_names(4)[2:]
-    driver.receive_list([*warm, *(EndpointEntry(name, zone="east", started_at=began) for name in warming_up)])
+    driver.receive_list(
+        [*warm, *(EndpointEntry(name, zone="east", started_at=started_at) for name in warming_up)]
+    )
     requests: list[int] = []
     for _ in range(300):
         driver.wait(10 * MS)
@@ -69,10 +74,11 @@
             if driver.sent_attempts(request) and driver.target(request) in warm:
                 driver.end_attempt(request, Outcome.TIMED_OUT, answered=False)
     received = sum(server in warming_up for server in driver.targets())
-    assert received >= 5  # the window is nearly shut; without this they get none
+    # The concurrency window is nearly closed.  Without the estimate by first attempts they would get none.
+    assert received >= 5
 
 
-def test_warm_endpoint_has_no_budget() -> None:
+def test_warm_endpoint_is_not_limited_by_a_budget() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(2))
     for _ in range(50):
@@ -81,30 +87,30 @@
 
 
 def test_small_balancers_send_to_a_warming_up_endpoint_at_different_times() -> None:
-    first: list[int] = []
+    first_sent_after: list[int] = []
     for seed in range(120):
         driver = BalancerDriver(seed=seed)
         driver.receive_list(server_names(2))
         driver.serve_traffic(20, every_us=200 * MS)
-        began = driver.now
-        warming_up = [EndpointEntry(name, zone="east", started_at=began) for name in server_names(2)[:1]]
+        started_at = driver.now
+        warming_up = [EndpointEntry(name, zone="east", started_at=started_at) for name in server_names(2)[:1]]
         driver.receive_list(warming_up, EndpointListKind.CHANGES)
-        while driver.now < began + 4 * S and not first[seed:]:
+        while driver.now < started_at + 4 * S and not first_sent_after[seed:]:
             driver.serve_traffic(1, every_us=200 * MS)
-            first += [
-                at - began
+            first_sent_after += [
+                at - started_at
                 for at, attempt in driver.sent_attempts()[-1:]
                 if attempt.server == warming_up[0].server
             ]
-        first += [] if first[seed:] else [4 * S]
-    early = sum(1 for delay_us in first if delay_us < 1 * S)
-    assert 3 < early < 80  # some within the first second, and by no means all
+        first_sent_after += [] if first_sent_after[seed:] else [4 * S]
+    early = sum(1 for delay_us in first_sent_after if delay_us < 1 * S)
+    assert 3 < early < 80  # some, but by far not all, within the first second
 
 
-# The mechanism by itself
+# Unit test of `SlowStart`
 
 
-def test_slow_start_capacity_grows_from_its_first_part_to_all() -> None:
+def test_slow_start_capacity_grows_from_the_initial_fraction_to_one() -> None:
     context = make_context()
     endpoints = EndpointTable(context)
     slow_start = SlowStart(context, endpoints, InFlightTracker(context))
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""Servers that warm up under a complete cluster of balancers: the sum of what all send, in virtual time."""
+"""The load that all balancers of a cluster together send to warming-up servers, in virtual time."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 )
 from balancer.settings import Costs, Idempotency, ServiceClass
 
-WORK_US = 40 * MS  # of a mean request
+MEAN_WORK_US = 40 * MS  # per request
 SLOTS = 3
-PER_S = SLOTS * S / WORK_US  # requests of mean work that a warm server serves
-QUEUED = 60
+CAPACITY_PER_S = SLOTS * S / MEAN_WORK_US  # requests of mean work that a warm server serves
+MAX_QUEUE_LENGTH = 60
 DEADLINE_US = 750 * MS
 OVERLOAD_WINDOW_US = 1_500 * MS
 OVERLOAD_MULTIPLE = 3
@@ -43,18 +43,18 @@
     "overload_window_us": OVERLOAD_WINDOW_US,
 }
 
-Attempt = tuple[int, int, int]  # balancer, request, which attempt of it
+Attempt = tuple[int, int, int]  # balancer, request, index of the attempt
 
 
 @dataclass
 class QueueingServer:
-    """A server: some slots and a queue, slower while it is warming up."""
+    """A server with some slots and a queue, which is slower while it is warming up."""
 
     zone: str
     started_at: int | None = None
     busy: int = 0
     queue: list[tuple[Attempt, int]] = field(default_factory=list)
-    received: list[tuple[int, float]] = field(default_factory=list)  # at, amount in requests of mean work
+    received: list[tuple[int, float]] = field(default_factory=list)  # time, amount in requests of mean work
 
     def capacity_fraction(self, at: int) -> float:
         if self.started_at is None:
@@ -62,22 +62,27 @@
         return min(INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * (at - self.started_at) / SLOW_START_US, 1.0)
 
     def excess(self) -> float:
-        """The most received in any overload window beyond N + 2 x root of N + 2, in requests of mean work."""
+        """Return the largest excess of received work over N + 2 sqrt(N) + 2 in any overload window.
+
+        N is the overload limit of the window, in requests of mean work, as is the result.
+        """
         assert self.started_at is not None
-        largest, inside, first = -math.inf, 0.0, 0
+        largest, work_in_window, first = -math.inf, 0.0, 0
         for at, work in self.received:
-            inside += work
+            work_in_window += work
             while self.received[first][0] <= at - OVERLOAD_WINDOW_US:
-                inside -= self.received[first][1]
+                work_in_window -= self.received[first][1]
                 first += 1
             middle = (max(at - OVERLOAD_WINDOW_US, self.started_at) + at) // 2
-            budget = OVERLOAD_MULTIPLE * self.capacity_fraction(middle) * PER_S * OVERLOAD_WINDOW_US / S
-            largest = max(largest, inside - (budget + 2.0 * math.sqrt(budget) + 2.0))
+            limit = (
+                OVERLOAD_MULTIPLE * self.capacity_fraction(middle) * CAPACITY_PER_S * OVERLOAD_WINDOW_US / S
+            )
+            largest = max(largest, work_in_window - (limit + 2.0 * math.sqrt(limit) + 2.0))
         return largest
 
 
 class Fleet:
-    """Balancers that know nothing of each other, one list, and load in proportion to the servers."""
+    """Independent balancers with the same endpoint list, under a load in proportion to the servers."""
 
     def __init__(self, balancers: int, zones: list[str], load: float, seed: int) -> None:
         self.now = 50 * S
@@ -86,23 +91,23 @@
         self._random = random.Random(seed)
         self._queue: list[tuple[int, int, object, tuple[int, ...] | str]] = []
         self._order = count()
-        self._out: dict[Attempt, tuple[int, str]] = {}  # when it was sent, and where
+        self._pending: dict[Attempt, tuple[int, str]] = {}  # time of sending, server
         self._work: dict[tuple[int, int], int] = {}
         self._attempts: dict[tuple[int, int], int] = {}
         self.balancers = []
         for index in range(balancers):
-            given = settings(
+            balancer_settings = settings(
                 classes=(LOOK,),
                 zone=sorted(set(zones))[index % len(set(zones))],
                 costs=Costs(cross_zone=0.03 if len(set(zones)) > 1 else 0.0),
                 limits={"max_attempts": 4},
                 guarantees=GUARANTEES,
             )
-            self.balancers.append(Balancer(given, 1_000 * seed + index))
+            self.balancers.append(Balancer(balancer_settings, 1_000 * seed + index))
             self.handle(
                 index, EndpointListReceived(EndpointListKind.COMPLETE, self._entries(list(self.servers)), 1)
             )
-            self._arrive_later(index)
+            self._schedule_arrival(index)
 
     def _entries(self, names: list[str]) -> list[EndpointEntry]:
         return [
@@ -129,22 +134,22 @@
             elif isinstance(subject, Outcome):
                 self._end((args[0], args[1], args[2]), subject)
             elif isinstance(subject, QueueingServer):
-                self._worked(subject, (args[0], args[1], args[2]))
+                self._work_done(subject, (args[0], args[1], args[2]))
             else:
                 self._arrived(args[0])
         self.now = until
 
-    def _at(self, at: int, subject: object, args: tuple[int, ...] | str) -> None:
+    def _schedule(self, at: int, subject: object, args: tuple[int, ...] | str) -> None:
         heapq.heappush(self._queue, (at, next(self._order), subject, args))
 
-    def _arrive_later(self, index: int) -> None:
-        per_s = self.load * len(self.servers) * PER_S / len(self.balancers)
-        self._at(self.now + int(self._random.expovariate(per_s) * S), None, (index,))
+    def _schedule_arrival(self, index: int) -> None:
+        per_s = self.load * len(self.servers) * CAPACITY_PER_S / len(self.balancers)
+        self._schedule(self.now + int(self._random.expovariate(per_s) * S), None, (index,))
 
     def _arrived(self, index: int) -> None:
-        self._arrive_later(index)
-        sigma = math.sqrt(math.log(2.0))  # as much spread as its mean
-        work = int(WORK_US * math.exp(self._random.gauss(-sigma * sigma / 2, sigma)))
+        self._schedule_arrival(index)
+        sigma = math.sqrt(math.log(2.0))  # the standard deviation equals the mean
+        work = int(MEAN_WORK_US * math.exp(self._random.gauss(-sigma * sigma / 2, sigma)))
         request = next(self._order)
         self._work[index, request] = work
         self.handle(index, RequestArrived(request, "look", None, None, DEADLINE_US, work))
@@ -154,49 +159,52 @@
             if isinstance(action, SendAttempt):
                 self._send(index, action)
             elif isinstance(action, SetTimer):
-                self._at(self.now + action.delay_us, index, action.token)
+                self._schedule(self.now + action.delay_us, index, action.token)
             elif isinstance(action, CancelAttempt):
-                self._at(self.now, Outcome.CANCELLED, (index, action.request, action.attempt))
+                self._schedule(self.now, Outcome.CANCELLED, (index, action.request, action.attempt))
 
     def _send(self, index: int, action: SendAttempt) -> None:
         key = index, action.request
         number = self._attempts[key] = self._attempts.get(key, -1) + 1
         attempt, work = (*key, number), self._work[key]
-        self._out[attempt] = self.now, action.server
+        self._pending[attempt] = self.now, action.server
         server = self.servers[action.server]
-        server.received.append((self.now, work / WORK_US))  # rejected attempts count as well
-        self._at(action.deadline, Outcome.TIMED_OUT, attempt)
+        server.received.append((self.now, work / MEAN_WORK_US))  # including rejected attempts
+        self._schedule(action.deadline, Outcome.TIMED_OUT, attempt)
         if server.busy < SLOTS:
             self._begin(server, attempt, work)
-        elif len(server.queue) < QUEUED:
+        elif len(server.queue) < MAX_QUEUE_LENGTH:
             server.queue.append((attempt, work))
         else:
-            self._at(self.now, Outcome.FULL, attempt)
+            self._schedule(self.now, Outcome.FULL, attempt)
 
     def _begin(self, server: QueueingServer, attempt: Attempt, work: int) -> None:
         server.busy += 1
-        self._at(self.now + int(work / server.capacity_fraction(self.now)), server, attempt)
+        self._schedule(self.now + int(work / server.capacity_fraction(self.now)), server, attempt)
 
-    def _worked(self, server: QueueingServer, attempt: Attempt) -> None:
+    def _work_done(self, server: QueueingServer, attempt: Attempt) -> None:
         server.busy -= 1
-        if server is self.servers[self._out[attempt][1]] if attempt in self._out else False:
+        if server is self.servers[self._pending[attempt][1]] if attempt in self._pending else False:
             self._end(attempt, Outcome.DELIVERED)
         while server.queue and server.busy < SLOTS:
             following, work = server.queue.pop(0)
-            if following in self._out:  # else nobody waits for it
+            if following in self._pending:  # else it has timed out or was cancelled
                 self._begin(server, following, work)
 
     def _end(self, attempt: Attempt, outcome: Outcome) -> None:
-        sent_at, server = self._out.pop(attempt, (0, ""))
+        sent_at, server = self._pending.pop(attempt, (0, ""))
         if server:
-            took, done = self.now - sent_at, outcome is Outcome.DELIVERED
-            self.handle(attempt[0], AttemptEnded(attempt[1], attempt[2], server, outcome, took, done, None))
+            balancer, request, index = attempt
+            elapsed_us, is_answered = self.now - sent_at, outcome is Outcome.DELIVERED
+            self.handle(
+                balancer, AttemptEnded(request, index, server, outcome, elapsed_us, is_answered, None)
+            )
 
 
 def excess(
     fleet: Fleet, warming_up: list[str], load: float, *, cluster_size: ClusterSizeChanged | None = None
 ) -> float:
-    """Restart servers after some seconds; the largest excess of any, in requests of mean work."""
+    """Restart servers after four seconds; return their largest excess, in requests of mean work."""
     fleet.run(4 * S)
     if cluster_size is not None:
         for index in range(len(fleet.balancers)):
@@ -213,7 +221,7 @@
 
 
 @pytest.mark.parametrize("balancers", [2, 30, 750])
-def test_one_warming_up_server_can_bear_what_all_send(balancers: int) -> None:
+def test_one_warming_up_server_is_not_overloaded(balancers: int) -> None:
     fleet = Fleet(balancers, ["a"] * 16, 0.6, seed=1)
     fleet.run(4 * S)
     fleet.restart(server_names(0, 1))
@@ -222,27 +230,28 @@
 
 
 @pytest.mark.parametrize("balancers", [30, 200])
-def test_zone_that_warms_up_can_bear_what_all_send(balancers: int) -> None:
-    # Its servers have no budget for most of the time: a balancer that looks for one must not find all.
+def test_zone_that_is_warming_up_is_not_overloaded(balancers: int) -> None:
+    # Its servers are out of budget most of the time.  Guards against balancers that pass over those without
+    # budget until they find one with budget, so that each balancer uses the budgets of all servers.
     fleet = Fleet(balancers, ["a"] * 20 + ["b"] * 20, 0.6, seed=1)
     assert excess(fleet, server_names(0, 20), 0.6) <= 0.0
 
 
 @pytest.mark.parametrize("balancers", [30, 300])
-def test_half_of_a_small_fleet_that_warms_up_can_bear_a_burst(balancers: int) -> None:
-    # The warm ones reject much: retries elsewhere add nothing to budgets.
+def test_half_of_a_small_fleet_that_is_warming_up_is_not_overloaded_by_a_burst(balancers: int) -> None:
+    # The warm servers reject many requests; their retries must not increase the budgets.
     fleet = Fleet(balancers, ["a"] * 8, 0.6, seed=1)
     assert excess(fleet, server_names(0, 4), 1.8) <= 0.0
 
 
 @pytest.mark.parametrize("balancers", [30, 300])
-def test_all_but_one_server_that_warm_up_can_bear_what_all_send(balancers: int) -> None:
-    # What the others served before is no measure of the one that is left.
+def test_all_but_one_server_that_are_warming_up_are_not_overloaded(balancers: int) -> None:
+    # The responses of the restarted servers before must not count as capacity of the one that is left.
     fleet = Fleet(balancers, ["a"] * 6, 1.2, seed=1)
     assert excess(fleet, server_names(0, 5), 1.2) <= 0.0
 
 
-def test_cluster_that_sees_half_of_itself_sends_no_more_to_warming_up_servers() -> None:
-    # A partition between the sidecars need not be one between them and the servers.
+def test_partitioned_cluster_does_not_overload_warming_up_servers() -> None:
+    # A partition between the sidecars may leave their connections to the servers intact.
     fleet = Fleet(200, ["a"] * 8, 0.6, seed=1)
     assert excess(fleet, server_names(0, 4), 1.8, cluster_size=ClusterSizeChanged(200, 100, 100)) <= 0.0
--- a/tests/test_streaming_decisions.py
+++ b/tests/test_streaming_decisions.py
@@ -1,4 +1,4 @@
-"""Streamed bodies and responses in the balancer's decisions."""
+"""Decisions on requests with streamed bodies and streamed responses."""
 
 from __future__ import annotations
 
@@ -25,40 +25,41 @@
     driver = BalancerDriver()
     driver.receive_list(server_names(3))
     request = arrive(driver)
-    driver.wait(30 * S)  # a slow body is no slow server
+    driver.wait(30 * S)  # a slow upload, longer than any deadline
     assert len(driver.sent_attempts(request)) == 1 and driver.actions_of(Fail) == []
     driver.handle(RequestBodyCompleted(request, 900 * MS))
     driver.wait(880 * MS)
     assert driver.actions_of(Fail) == []
     driver.wait(20 * MS)
-    assert [each.request for each in driver.actions_of(Fail)] == [request]
-    assert [each.request for each in driver.actions_of(CancelAttempt)] == [request]
+    assert [action.request for action in driver.actions_of(Fail)] == [request]
+    assert [action.request for action in driver.actions_of(CancelAttempt)] == [request]
 
 
 def test_consumed_body_is_never_retried() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(3))
-    kept, spent, ran = (arrive(driver, number, "look") for number in (901, 902, 903))
-    for number, outcome, is_spent in (
+    kept, consumed, executed = (arrive(driver, number, "look") for number in (901, 902, 903))
+    for number, outcome, is_body_consumed in (
         (kept, Outcome.CONNECT_FAILED, False),
-        (spent, Outcome.CONNECT_FAILED, True),
-        (ran, Outcome.CONNECTION_LOST, True),
+        (consumed, Outcome.CONNECT_FAILED, True),
+        (executed, Outcome.CONNECTION_LOST, True),
     ):
         server = driver.target(number)
-        driver.handle(AttemptEnded(number, 0, server, outcome, 0, False, None, is_spent))
+        driver.handle(AttemptEnded(number, 0, server, outcome, 0, False, None, is_body_consumed))
     assert len(driver.sent_attempts(kept)) == 2
-    assert len(driver.sent_attempts(spent)) == len(driver.sent_attempts(ran)) == 1
-    assert [each.request for each in driver.actions_of(Reject)] == [spent, ran]
+    assert len(driver.sent_attempts(consumed)) == len(driver.sent_attempts(executed)) == 1
+    assert [action.request for action in driver.actions_of(Reject)] == [consumed, executed]
 
 
-def test_consumed_request_that_may_have_run_fails_if_not_idempotent() -> None:
+def test_request_with_a_consumed_body_that_may_have_executed_fails_if_not_idempotent() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(3))
     request = arrive(driver, name="pay")
     driver.handle(
         AttemptEnded(request, 0, driver.target(request), Outcome.CONNECTION_LOST, 0, False, None, True)
     )
-    assert [each.request for each in driver.actions_of(Fail)] == [request] and driver.actions_of(Reject) == []
+    assert [action.request for action in driver.actions_of(Fail)] == [request]
+    assert driver.actions_of(Reject) == []
 
 
 def test_streamed_body_is_never_hedged() -> None:
@@ -72,7 +73,7 @@
 
 
 def test_streaming_affects_neither_endpoints_nor_concurrency_window() -> None:
-    # Guards against refusals and ejections for what only the client, or the size, makes slow.
+    # Guards against rejections and ejections due to slow clients or large bodies.
     driver = BalancerDriver()
     driver.receive_list(server_names(4))
     driver.serve_traffic(40)
@@ -104,17 +105,17 @@
     assert len(driver.sent_attempts(request)) >= 2
     driver.handle(ResponseStarted(request, 1, driver.target(request), 100))
     assert CancelAttempt(request, 0) in driver.actions_of(CancelAttempt)
-    count = len(driver.sent_attempts(request))
+    attempt_count = len(driver.sent_attempts(request))
     driver.end_attempt(request, Outcome.CONNECTION_LOST, attempt=0, answered=False)
     driver.wait(20 * S)
-    assert len(driver.sent_attempts(request)) == count
-    answered = [each.request for each in driver.actions_of(Reject)] + [
-        each.request for each in driver.actions_of(Fail)
+    assert len(driver.sent_attempts(request)) == attempt_count
+    answered = [action.request for action in driver.actions_of(Reject)] + [
+        action.request for action in driver.actions_of(Fail)
     ]
     assert request not in answered
 
 
-def test_disconnect_during_upload_is_not_held_against_endpoint() -> None:
+def test_disconnect_during_upload_is_no_failure_of_the_endpoint() -> None:
     driver = BalancerDriver()
     driver.receive_list(server_names(4))
     for number in range(900, 920):
