--- a/tests/simulator_driver.py
+++ b/tests/simulator_driver.py
@@ -34,7 +34,7 @@
 
 
 def digest(scenario: Scenario) -> dict[str, Any]:
-    """Return the SHA-256 of a scenario's replies, and the number of lines by kind to interpret differences."""
+    """Return the SHA-256 of the replies, and the number of lines by kind to interpret differences."""
     total = hashlib.sha256()
     kinds: Counter[str] = Counter()
     for line in replies(scenario):
