--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -37,7 +37,7 @@
         self._scenario = scenario
         self._port = port
         self._rng = random.Random(scenario.seed)
-        self._boot = scenario.boot
+        self._boot = scenario.settings
         self._tick_us: int = self._boot["quantumUs"]
         self._now = START_US
         self._agenda: list[tuple[int, int, Callable[[], None]]] = []
@@ -68,7 +68,7 @@
             self._at(0, lambda instance=instance: self._begin(instance))  # type: ignore[misc]
         for fault in self._scenario.faults:
             self._at(fault.at_us, lambda fault=fault: self._faulted(fault))  # type: ignore[misc]
-        end = START_US + self._scenario.span_us
+        end = START_US + self._scenario.duration_us
         while self._agenda and self._now < end:
             self._advance()
             for line in self._port.exchange(self._now, self._batch):
@@ -157,13 +157,13 @@
 
     def _followed(self, instance: SimulatedInstance, wanted: bool) -> None:
         def answer() -> None:
-            if not self._discovery_is_up or self._chance(self._scenario.call_failures):
+            if not self._discovery_is_up or self._chance(self._scenario.call_failure_rate):
                 self._batch.append(["TARGETS", instance.who, "failed", 0, 0])
                 return
             instance.is_subscribed = wanted
             self._list(instance, "delta" if self._chance(0.2) else "full", self._servers.values())
 
-        if not self._chance(self._scenario.calls_lost):
+        if not self._chance(self._scenario.lost_call_rate):
             self._in_life(instance, self._rng.uniform(2 * MS, 60 * MS), answer)
 
     # Clients
@@ -178,22 +178,22 @@
         kind = self._rng.choices(self._boot["lanes"], self._scenario.lane_weights)[0]
         tenants = self._boot.get("realms")
         tenant = self._rng.choices(tenants, self._scenario.tenant_weights)[0]["name"] if tenants else None
-        self._offer(instance, kind, tenant, flags=1 if self._chance(self._scenario.hints) else 0)
+        self._offer(instance, kind, tenant, flags=1 if self._chance(self._scenario.hint_rate) else 0)
         self._expect_arrival(instance, arrives_at)
 
     def _offer(
         self, instance: SimulatedInstance, kind: dict[str, Any], tenant: str | None, flags: int
     ) -> None:
-        work_us = int(self._scenario.work_us * self._rng.choice(self._scenario.work_parts))
+        work_us = int(self._scenario.work_us * self._rng.choice(self._scenario.work_factors))
         remaining_us = int(kind["giveUpUs"] * self._rng.uniform(0.6, 1.0))
-        arriving = self._chance(self._scenario.arriving)
+        arriving = self._chance(self._scenario.streamed_body_rate)
         number, self._next_request = self._next_request, self._next_request + 1
         deadline = self._now + (FOREVER_US if arriving else remaining_us)
         request = SimulatedRequest(number, kind, work_us, self._now, deadline, arriving)
         instance.requests[number] = request
         key = self._rng.randrange(40) if self._chance(0.5) else None
-        name = "unnamed" if self._chance(self._scenario.unnamed_classes) else kind["name"]
-        hint_us = -1 if self._chance(self._scenario.wrong_hints) else work_us
+        name = "unnamed" if self._chance(self._scenario.unnamed_class_rate) else kind["name"]
+        hint_us = -1 if self._chance(self._scenario.wrong_hint_rate) else work_us
         item = ["WORK_ITEM", instance.who, number, name, tenant, key, remaining_us, hint_us, flags]
         self._batch.append([*item, arriving] if self._scenario.is_direct else item)
         if arriving:
@@ -201,7 +201,7 @@
             self._in_life(instance, upload, lambda: self._uploaded(instance, request, remaining_us))
         else:
             self._in_life(instance, remaining_us, lambda: self._leave(instance, request))
-        if self._chance(self._scenario.leaving):
+        if self._chance(self._scenario.disconnect_rate):
             stay = self._rng.uniform(0, remaining_us)
             self._in_life(instance, stay, lambda: self._hang_up(instance, request))
 
@@ -229,7 +229,7 @@
     def _rejected(self, instance: SimulatedInstance, number: int, retry_in_us: int) -> None:
         kind = instance.requests[number].kind
         self._failed(instance, number)
-        if self._chance(self._scenario.client_retries):
+        if self._chance(self._scenario.client_retry_rate):
             wait = retry_in_us or self._rng.uniform(10 * MS, 300 * MS)
             self._in_life(instance, wait, lambda: self._offer(instance, kind, None, flags=3))
 
@@ -245,7 +245,7 @@
         index = len(request.attempts)
         request.attempts.append(SimulatedAttempt(server, self._now, until))
         server.in_flight += 1
-        if request.is_answered or self._chance(self._scenario.unsent):
+        if request.is_answered or self._chance(self._scenario.unsent_rate):
             self._play_out(instance, request, index, "unused", 0)
             return
         verdict, delay = self._fate(instance, server, request)
@@ -305,7 +305,7 @@
         attempt.is_started = True
         elapsed = self._now - attempt.sent_at
         first = ["FIRST", instance.who, request.number, index, elapsed, attempt.server.name]
-        self._batch += [first] * (2 if self._chance(self._scenario.repeated_ends) else 1)
+        self._batch += [first] * (2 if self._chance(self._scenario.repeated_end_rate) else 1)
         verdict = "dropped" if self._chance(0.1) else "delivered"
         self._at(self._rng.expovariate(1 / (300 * MS)), lambda: self._end(instance, request, index, verdict))
 
@@ -328,7 +328,7 @@
         if self._scenario.is_direct:
             spent = request.arriving and verdict in ("dropped", "shed") and self._chance(0.5)
             message.append(spent)
-        self._batch += [message] * (2 if self._chance(self._scenario.repeated_ends) else 1)
+        self._batch += [message] * (2 if self._chance(self._scenario.repeated_end_rate) else 1)
 
     @staticmethod
     def _is_void(instance: SimulatedInstance, request: SimulatedRequest) -> bool:
@@ -378,7 +378,7 @@
         servers = self._rng.sample(servers, min(fault.servers or len(servers), len(servers)))
         begin(servers, fault)
         if end is not None:
-            self._at(fault.for_us, lambda: end(servers, fault))
+            self._at(fault.duration_us, lambda: end(servers, fault))
 
     def _surge(self, servers: list[SimulatedServer], fault: Fault) -> None:
         self._arrival_factor = fault.factor
@@ -433,7 +433,7 @@
 
     def _misbehave(self, servers: list[SimulatedServer], fault: Fault) -> None:
         for server in servers:
-            server.behaviour = fault.verdict
+            server.behaviour = fault.behaviour
 
     def _slow(self, servers: list[SimulatedServer], fault: Fault) -> None:
         for server in servers:
@@ -467,7 +467,7 @@
     def _start_process(self, servers: list[SimulatedServer], fault: Fault) -> None:
         for server in servers:
             server.is_up, server.state, server.started_at = True, "ready", self._now
-            if fault.moves:
+            if fault.moves_servers:
                 server.nominal *= 2
                 server.zone = self._scenario.zones[0]
         self._changed(servers)
@@ -475,10 +475,10 @@
     def _drain(self, servers: list[SimulatedServer], fault: Fault) -> None:
         for server in servers:
             server.state = "draining"
-            if fault.moves:
+            if fault.moves_servers:
                 server.started_at = self._now
         self._changed(servers)
-        self._at(fault.for_us / 2, lambda: self._remove(servers, fault))
+        self._at(fault.duration_us / 2, lambda: self._remove(servers, fault))
 
     def _remove(self, servers: list[SimulatedServer], fault: Fault) -> None:
         for server in servers:
