--- a/bench/ground.py
+++ b/bench/ground.py
@@ -18,12 +18,12 @@
 from msgspec.structs import replace
 
 from testbed import events as log
-from testbed.checker import account, judge
-from testbed.checker.history import gather
+from testbed.checker import check_invariants, compute_account
+from testbed.checker.history import build_history
 from testbed.emulator.play import Ground, play
 from testbed.report import plots
-from testbed.scenario import Day, draw, read
-from testbed.scenario.read import parse
+from testbed.scenario import ScenarioRun, draw_run, read_scenario
+from testbed.scenario.read import parse_scenario
 from testbed.simulation.play import play as play_model
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -53,15 +53,15 @@
 
 def emulator(command: str | None, rate: int, processes: int) -> str:
     """One day at a rate; what came of it, and whether the ground itself was late."""
-    day = draw(parse(RATE.format(rate=rate), "rate"), 1)
+    day = draw_run(parse_scenario(RATE.format(rate=rate), "rate"), 1)
     with tempfile.TemporaryDirectory() as folder:
         ground = Ground(Path(folder) / "day", ROOT, command, shards=processes, workers=processes)
-        history = gather(log.load(asyncio.run(play(day, ground))))
-    verdict, told = judge(history), account(history)
-    worst_ms = max((each.by for each in history.late), default=0) / 1e3
+        history = build_history(log.load(asyncio.run(play(day, ground))))
+    verdict, told = check_invariants(history), compute_account(history)
+    worst_ms = max((each.late_us for each in history.writer_delays), default=0) / 1e3
     latency = ", ".join(f"{name} {value:.1f}" for name, value in told.latency_ms.items())
     return (
-        f"{rate} a second: {verdict.word}, served {told.served:.4f}, ms {latency};"
+        f"{rate} a second: {verdict.label}, served {told.served_fraction:.4f}, ms {latency};"
         f" the ground late by {worst_ms:.0f} ms at most"
     )
 
@@ -81,17 +81,18 @@
     return time.monotonic() - began
 
 
-def sized(count: int) -> Day:
+def sized(count: int) -> ScenarioRun:
     """The fleet without troubles, at so many copies and servers, 30 requests a second each, for 10 s."""
-    day = draw(read("fleet"), 1)
+    day = draw_run(read_scenario("fleet"), 1)
     pattern = day.servers
     return replace(
         day,
-        length_us=10_000_000,
-        troubles=(),
+        duration_us=10_000_000,
+        faults=(),
         servers=tuple(replace(pattern[each % len(pattern)], number=each) for each in range(count)),
-        copies=tuple(
-            replace(day.copies[each % len(day.copies)], number=each, share=1 / count) for each in range(count)
+        replicas=tuple(
+            replace(day.replicas[each % len(day.replicas)], number=each, share=1 / count)
+            for each in range(count)
         ),
         clients=replace(day.clients, rate_per_s=30.0 * count),
     )
@@ -100,12 +101,12 @@
 def cost_us(count: int) -> float:
     """Processor time a request, without what the copies' start costs."""
     spent = []
-    for day in (replace(sized(count), length_us=1_000_000), sized(count)):
+    for day in (replace(sized(count), duration_us=1_000_000), sized(count)):
         asked = 0
 
         def sink(event: log.Event) -> None:
             nonlocal asked
-            asked += isinstance(event, log.Taken)
+            asked += isinstance(event, log.RequestSent)
 
         began = time.process_time()
         play_model(day, "module", sink)
--- a/testbed/checker/__init__.py
+++ b/testbed/checker/__init__.py
@@ -1,7 +1,15 @@
-"""The judge: it reads one event log, of either engine, and nothing else."""
+"""The checker: it reads one event log, of either engine, and nothing else."""
 
-from testbed.checker.judge import Breach, Verdict, judge
-from testbed.checker.series import Series, series
-from testbed.checker.worth import Account, account
+from testbed.checker.account import Account, compute_account
+from testbed.checker.invariants import Verdict, Violation, check_invariants
+from testbed.checker.time_series import TimeSeries, compute_time_series
 
-__all__ = ["Account", "Breach", "Series", "Verdict", "account", "judge", "series"]
+__all__ = [
+    "Account",
+    "TimeSeries",
+    "Verdict",
+    "Violation",
+    "check_invariants",
+    "compute_account",
+    "compute_time_series",
+]
--- a/testbed/checker/worth.py
+++ b/testbed/checker/account.py
@@ -8,29 +8,29 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from testbed.checker.history import History, gather
+from testbed.checker.history import History, build_history
 from testbed.events import Event
-from testbed.scenario.day import US
+from testbed.scenario.scenario_run import US_PER_S
 
 PRICES = {"cross_zone": 0.03, "handshake": 0.05, "connection": 0.05, "waste": 0.05, "peer": 0.01}
 _PEER_BYTES = 256  # delivered for each first try, at which the whole price of peers is due
 _BACK = 0.95  # a day is back at this part of what was served before its first trouble
 _BACK_FOR = 2  # and stays there for so many seconds
-_LONGEST_US = 120 * US
+_LONGEST_US = 120 * US_PER_S
 
 
 @dataclass(frozen=True, slots=True)
 class Account:
     """The figures of one day.  Parts are of the worth asked for; times are seconds."""
 
-    asked: int  # first tries
-    served: float
+    client_requests: int  # first tries
+    served_fraction: float
     by_class: dict[str, float]
     by_zone: dict[str, float]
     by_second: list[float]  # served; of a second that asked for nothing, that of the one before
-    refused: float  # part of the first tries whose last answer was a refusal
-    failed: float
-    attempts: float  # a first try
+    rejected_fraction: float  # part of the first tries whose last answer was a refusal
+    failed_fraction: float
+    attempts_per_request: float  # a first try
     prices: dict[str, float]
     latency_ms: dict[str, float]  # of what was served, from when it was meant to leave
     recovery_s: list[
@@ -38,47 +38,52 @@
     ]  # a trouble's number, kind and time to be back; None: never
 
     @property
-    def worth(self) -> float:
+    def net_value_served(self) -> float:
         """What is left after prices."""
-        return max(self.served - sum(self.prices.values()), 0.0)
+        return max(self.served_fraction - sum(self.prices.values()), 0.0)
 
 
 @dataclass(slots=True)
 class _ClientRequest:
     """A first try with its retries."""
 
-    copy: int
+    replica: int
     service_class: int
-    meant: int
-    worth: float = 0.0
+    scheduled_at_us: int
+    value: float = 0.0
     last_status: int = 0
-    took_us: int | None = None
+    latency_us: int | None = None
 
 
-def account(events: Iterable[Event] | History) -> Account:
+def compute_account(events: Iterable[Event] | History) -> Account:
     """Count what was served on a day; raise LogError where the log is none of a day."""
-    history = events if isinstance(events, History) else gather(events)
+    history = events if isinstance(events, History) else build_history(events)
     requests = _client_requests(history)
-    day = history.day
-    worth_of = [kind.worth for kind in day.classes]
+    day = history.run
+    worth_of = [kind.priority_weight for kind in day.classes]
     by_second = _by_second(history, requests)
     return Account(
-        asked=len(requests),
-        served=_part(requests, worth_of),
+        client_requests=len(requests),
+        served_fraction=_part(requests, worth_of),
         by_class={
             kind.name: _part([request for request in requests if request.service_class == place], worth_of)
             for place, kind in enumerate(day.classes)
         },
         by_zone={
             zone.name: _part(
-                [request for request in requests if day.copies[request.copy].zone == zone.name], worth_of
+                [request for request in requests if day.replicas[request.replica].zone == zone.name], worth_of
             )
             for zone in day.zones
         },
         by_second=by_second,
-        refused=_share(requests, lambda request: request.worth == 0 and request.last_status in (429, 503)),
-        failed=_share(requests, lambda request: request.worth == 0 and request.last_status not in (429, 503)),
-        attempts=sum(len(request.attempts) for request in history.requests.values()) / max(len(requests), 1),
+        rejected_fraction=_share(
+            requests, lambda request: request.value == 0 and request.last_status in (429, 503)
+        ),
+        failed_fraction=_share(
+            requests, lambda request: request.value == 0 and request.last_status not in (429, 503)
+        ),
+        attempts_per_request=sum(len(request.attempts) for request in history.requests.values())
+        / max(len(requests), 1),
         prices=_prices(history, len(requests)),
         latency_ms=_latency(requests),
         recovery_s=_recovery(history, by_second),
@@ -87,35 +92,35 @@
 
 def _client_requests(history: History) -> list[_ClientRequest]:
     requests = []
-    for first, numbers in history.first_tries.items():
+    for first, numbers in history.client_requests.items():
         request = _first_attempt(history, first, numbers)
-        kind = history.day.classes[request.service_class]
+        kind = history.run.classes[request.service_class]
         for number in numbers:
-            answered = history.requests[number].answered
+            answered = history.requests[number].response
             if answered is None:
                 continue
             request.last_status = answered.status
-            took = answered.at - request.meant
-            if answered.status == 200 and took <= kind.deadline_us and request.took_us is None:
-                request.took_us = took
-                request.worth = kind.worth * (1.0 if took <= kind.aim_us else kind.late_worth)
+            took = answered.at_us - request.scheduled_at_us
+            if answered.status == 200 and took <= kind.deadline_us and request.latency_us is None:
+                request.latency_us = took
+                request.value = kind.priority_weight * (
+                    1.0 if took <= kind.latency_objective_us else kind.late_priority_weight
+                )
         requests.append(request)
     return requests
 
 
 def _first_attempt(history: History, first: int, numbers: list[int]) -> _ClientRequest:
-    taken = next(
-        (history.requests[number].taken for number in numbers if history.requests[number].taken), None
-    )
+    taken = next((history.requests[number].sent for number in numbers if history.requests[number].sent), None)
     if taken is not None:
-        return _ClientRequest(taken.copy, taken.service_class, taken.meant)
-    unreached = history.unreached[first]
-    return _ClientRequest(unreached.copy, unreached.service_class, unreached.meant)
+        return _ClientRequest(taken.replica, taken.service_class, taken.scheduled_at_us)
+    unreached = history.not_sent[first]
+    return _ClientRequest(unreached.replica, unreached.service_class, unreached.scheduled_at_us)
 
 
 def _part(requests: list[_ClientRequest], worth_of: list[float]) -> float:
     asked = sum(worth_of[request.service_class] for request in requests)
-    return sum(request.worth for request in requests) / asked if asked else 1.0
+    return sum(request.value for request in requests) / asked if asked else 1.0
 
 
 def _share(requests: list[_ClientRequest], is_such: Callable[[_ClientRequest], bool]) -> float:
@@ -123,12 +128,12 @@
 
 
 def _by_second(history: History, requests: list[_ClientRequest]) -> list[float]:
-    count = max(-(-history.day.length_us // US), 1)
+    count = max(-(-history.run.duration_us // US_PER_S), 1)
     asked, earned = np.zeros(count), np.zeros(count)
     for request in requests:
-        second = min(max(request.meant // US, 0), count - 1)
-        asked[second] += history.day.classes[request.service_class].worth
-        earned[second] += request.worth
+        second = min(max(request.scheduled_at_us // US_PER_S, 0), count - 1)
+        asked[second] += history.run.classes[request.service_class].priority_weight
+        earned[second] += request.value
     shares: list[float] = []
     for asked_worth, served_worth in zip(asked, earned, strict=True):
         shares.append(float(served_worth / asked_worth) if asked_worth else (shares[-1] if shares else 1.0))
@@ -138,36 +143,36 @@
 def _latency(requests: list[_ClientRequest]) -> dict[str, float]:
     histogram = HdrHistogram(1, _LONGEST_US, 3)
     for request in requests:
-        if request.took_us is not None:
-            histogram.record_value(min(max(request.took_us, 1), _LONGEST_US))
+        if request.latency_us is not None:
+            histogram.record_value(min(max(request.latency_us, 1), _LONGEST_US))
     if not histogram.get_total_count():
         return {}
     return {f"p{part:g}": histogram.get_value_at_percentile(part) / 1e3 for part in (50, 90, 99, 99.9)}
 
 
 def _prices(history: History, asked: int) -> dict[str, float]:
-    day = history.day
+    day = history.run
     attempts = [attempt for request in history.requests.values() for attempt in request.attempts]
     crossing = sum(
-        day.copies[attempt.arrived.copy].zone != day.servers[attempt.arrived.server].zone
+        day.replicas[attempt.received.replica].zone != day.servers[attempt.received.server].zone
         for attempt in attempts
     )
     useful = {
-        request.answered.attempt
+        request.response.attempt
         for request in history.requests.values()
-        if request.answered and request.answered.status == 200
+        if request.response and request.response.status == 200
     }
-    work = sum(attempt.arrived.work for attempt in attempts)
+    work = sum(attempt.received.work_us for attempt in attempts)
     wasted = sum(
-        attempt.arrived.work
+        attempt.received.work_us
         for attempt in attempts
-        if attempt.how != "full" and attempt.arrived.attempt not in useful
+        if attempt.outcome != "full" and attempt.received.attempt not in useful
     )
-    peer_bytes = sum(datagram.size for datagram in history.datagrams if datagram.passed)
+    peer_bytes = sum(datagram.size_bytes for datagram in history.datagrams if datagram.delivered)
     asked = max(asked, 1)
     shares = {
         "cross_zone": crossing / asked,
-        "handshake": sum(connection.opened for connection in history.connected) / asked,
+        "handshake": sum(connection.opened for connection in history.connection_changes) / asked,
         "connection": _mean_open(history) / (100 * len(day.servers)),
         "waste": wasted / work if work else 0.0,
         "peer": peer_bytes / (_PEER_BYTES * asked),
@@ -178,24 +183,24 @@
 def _mean_open(history: History) -> float:
     """Connections to servers that were open, on average over the day."""
     area, open_connections, before = 0, 0, 0
-    for connection in history.connected:
-        area += open_connections * (connection.at - before)
+    for connection in history.connection_changes:
+        area += open_connections * (connection.at_us - before)
         open_connections += 1 if connection.opened else -1
-        before = connection.at
-    area += open_connections * max(history.last_at - before, 0)
-    return area / max(history.last_at, 1)
+        before = connection.at_us
+    area += open_connections * max(history.last_at_us - before, 0)
+    return area / max(history.last_at_us, 1)
 
 
 def _recovery(history: History, by_second: list[float]) -> list[tuple[int, str, float | None]]:
     """For each trouble, from its end to the first of some seconds that are all as good as before any."""
-    faults = history.day.troubles
+    faults = history.run.faults
     if not faults:
         return []
-    before = by_second[: max(faults[0].at_us // US, 1)]
+    before = by_second[: max(faults[0].start_us // US_PER_S, 1)]
     wanted = _BACK * sum(before) / len(before)
     recoveries: list[tuple[int, str, float | None]] = []
     for fault in faults:
-        end = fault.until_us / US
+        end = fault.end_us / US_PER_S
         recovered_at = next(
             (
                 second
--- a/testbed/checker/history.py
+++ b/testbed/checker/history.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from testbed import events as log
-from testbed.scenario.day import Day
+from testbed.scenario.scenario_run import ScenarioRun
 
 _ENDS = ("killed", "ended")
 
@@ -16,174 +16,185 @@
 class Attempt:
     """One attempt as servers saw it."""
 
-    arrived: log.Arrived
-    how: str | None = None  # None: the log does not tell
-    ended_at: int | None = None
+    received: log.AttemptReceived
+    outcome: str | None = None  # None: the log does not tell
+    ended_at_us: int | None = None
 
 
 @dataclass(slots=True)
 class Request:
     """One try of a client."""
 
-    taken: log.Taken | None = None
-    unreached: bool = False
-    answered: log.Answered | None = None
-    answers: int = 0
+    sent: log.RequestSent | None = None
+    not_sent: bool = False
+    response: log.ResponseReceived | None = None
+    response_count: int = 0
     attempts: list[Attempt] = field(default_factory=list)  # in the order they left the copy
 
-    def may_have_run(self) -> list[Attempt]:
+    def may_have_executed(self) -> list[Attempt]:
         """The attempts that a server may have processed: all that it did not reject as full."""
-        return [attempt for attempt in self.attempts if attempt.how != "full"]
+        return [attempt for attempt in self.attempts if attempt.outcome != "full"]
 
 
 @dataclass(slots=True)
-class Life:
+class ProcessIncarnation:
     """A process of a copy, as far as the log goes; times that did not come are None."""
 
-    copy: int
-    life: int
-    ready: int | None = None
-    stopping: int | None = None
-    killed: int | None = None
-    ended: int | None = None
-    code: int | None = None
+    replica: int
+    incarnation: int
+    ready_at_us: int | None = None
+    stopping_at_us: int | None = None
+    killed_at_us: int | None = None
+    ended_at_us: int | None = None
+    exit_code: int | None = None
 
 
 @dataclass(slots=True)
 class History:
     """Everything of one day."""
 
-    day: Day
+    run: ScenarioRun
     engine: str
     variant: str
     requests: dict[int, Request]
-    first_tries: dict[int, list[int]]  # requests by the first try that they belong to, in order
-    unreached: dict[int, log.Unreached]  # by first try, where its first request was
-    lives: dict[tuple[int, int], Life]
+    client_requests: dict[int, list[int]]  # requests by the first try that they belong to, in order
+    not_sent: dict[int, log.RequestNotSent]  # by first try, where its first request was
+    incarnations: dict[tuple[int, int], ProcessIncarnation]
     pauses: dict[int, list[tuple[int, int]]]  # of copies
-    starts: dict[int, list[int]]  # of servers, after the day's beginning
-    told: dict[int, list[log.Told]]  # to copies, in order
-    late: list[log.Late]
-    connected: list[log.Connected]
-    datagrams: list[log.Datagram]
-    figures: list[log.Figures]
-    troubles: list[log.Trouble]
-    last_at: int
+    server_starts: dict[int, list[int]]  # of servers, after the day's beginning
+    delivered_lists: dict[int, list[log.EndpointListDelivered]]  # to copies, in order
+    writer_delays: list[log.WriterLate]
+    connection_changes: list[log.ConnectionChanged]
+    datagrams: list[log.DatagramSent]
+    metrics_reports: list[log.MetricsReported]
+    fault_changes: list[log.FaultChanged]
+    last_at_us: int
     is_complete: bool
 
 
-def gather(events: Iterable[log.Event]) -> History:
+def build_history(events: Iterable[log.Event]) -> History:
     """Read a log; raise LogError where it does not begin with its day."""
     own = iter(events)
     began = next(own, None)
-    if not isinstance(began, log.Began):
-        raise log.LogError("the log does not begin with its day")
-    return _Gathering(began).all(own)
+    if not isinstance(began, log.RunStarted):
+        raise log.EventLogError("the log does not begin with its day")
+    return _Gathering(began).build(own)
 
 
 class _Gathering:
     """The pass over a log.  A request's events may come in any order among writers."""
 
-    def __init__(self, began: log.Began) -> None:
+    def __init__(self, began: log.RunStarted) -> None:
         self._requests: defaultdict[int, Request] = defaultdict(Request)
         self._attempts: dict[int, Attempt] = {}
-        self._ends: dict[int, log.Ended] = {}
+        self._ends: dict[int, log.AttemptEnded] = {}
         self._paused: dict[int, int] = {}
         self._out = History(
-            day=began.day,
+            run=began.run,
             engine=began.engine,
             variant=began.variant,
             requests=self._requests,
-            first_tries=defaultdict(list),
-            unreached={},
-            lives={},
+            client_requests=defaultdict(list),
+            not_sent={},
+            incarnations={},
             pauses=defaultdict(list),
-            starts=defaultdict(list),
-            told=defaultdict(list),
-            late=[],
-            connected=[],
+            server_starts=defaultdict(list),
+            delivered_lists=defaultdict(list),
+            writer_delays=[],
+            connection_changes=[],
             datagrams=[],
-            figures=[],
-            troubles=[],
-            last_at=0,
+            metrics_reports=[],
+            fault_changes=[],
+            last_at_us=0,
             is_complete=False,
         )
 
-    def all(self, events: Iterable[log.Event]) -> History:
+    def build(self, events: Iterable[log.Event]) -> History:
         out = self._out
         for event in events:
-            out.last_at = max(out.last_at, event.at)
+            out.last_at_us = max(out.last_at_us, event.at_us)
             self._add(event)
         for copy, since in self._paused.items():
-            out.pauses[copy].append((since, out.last_at))
+            out.pauses[copy].append((since, out.last_at_us))
         for number, ended in self._ends.items():
             attempt = self._attempts.get(number)
             if attempt is not None:
-                attempt.how, attempt.ended_at = ended.how, ended.at
+                attempt.outcome, attempt.ended_at_us = ended.outcome, ended.at_us
         for request in self._requests.values():
-            request.attempts.sort(key=lambda attempt: (attempt.arrived.sent, attempt.arrived.attempt))
+            request.attempts.sort(key=lambda attempt: (attempt.received.sent_at_us, attempt.received.attempt))
         return out
 
     def _add(self, event: log.Event) -> None:
         out = self._out
         match event:
-            case log.Taken() | log.Unreached() | log.Arrived() | log.Ended() | log.Answered():
+            case (
+                log.RequestSent()
+                | log.RequestNotSent()
+                | log.AttemptReceived()
+                | log.AttemptEnded()
+                | log.ResponseReceived()
+            ):
                 self._add_request_event(event)
-            case log.Copy():
+            case log.ReplicaStateChanged():
                 self._add_replica_event(event)
-            case log.Server(what="up"):
-                out.starts[event.server].append(event.at)
-            case log.Told():
-                out.told[event.copy].append(event)
-            case log.Late():
-                out.late.append(event)
-            case log.Connected():
-                out.connected.append(event)
-            case log.Datagram():
+            case log.ServerStateChanged(state="up"):
+                out.server_starts[event.server].append(event.at_us)
+            case log.EndpointListDelivered():
+                out.delivered_lists[event.replica].append(event)
+            case log.WriterLate():
+                out.writer_delays.append(event)
+            case log.ConnectionChanged():
+                out.connection_changes.append(event)
+            case log.DatagramSent():
                 out.datagrams.append(event)
-            case log.Figures():
-                out.figures.append(event)
-            case log.Trouble():
-                out.troubles.append(event)
-            case log.Finished():
+            case log.MetricsReported():
+                out.metrics_reports.append(event)
+            case log.FaultChanged():
+                out.fault_changes.append(event)
+            case log.RunFinished():
                 out.is_complete = True
             case _:
                 pass
 
     def _add_request_event(
-        self, event: log.Taken | log.Unreached | log.Arrived | log.Ended | log.Answered
+        self,
+        event: log.RequestSent
+        | log.RequestNotSent
+        | log.AttemptReceived
+        | log.AttemptEnded
+        | log.ResponseReceived,
     ) -> None:
         out = self._out
         match event:
-            case log.Taken():
+            case log.RequestSent():
                 request = self._requests[event.request]
-                if request.taken is None:  # else it crossed a close, and was sent once more
-                    out.first_tries[event.first].append(event.request)
-                request.taken = event
-            case log.Unreached():
-                self._requests[event.request].unreached = True
-                out.unreached.setdefault(event.first, event)
-                out.first_tries[event.first].append(event.request)
-            case log.Arrived():
+                if request.sent is None:  # else it crossed a close, and was sent once more
+                    out.client_requests[event.client_request].append(event.request)
+                request.sent = event
+            case log.RequestNotSent():
+                self._requests[event.request].not_sent = True
+                out.not_sent.setdefault(event.client_request, event)
+                out.client_requests[event.client_request].append(event.request)
+            case log.AttemptReceived():
                 attempt = self._attempts[event.attempt] = Attempt(event)
                 self._requests[event.request].attempts.append(attempt)
-            case log.Ended():
+            case log.AttemptEnded():
                 self._ends.setdefault(event.attempt, event)
-            case log.Answered():
+            case log.ResponseReceived():
                 request = self._requests[event.request]
-                request.answers += 1
-                request.answered = request.answered or event
-
-    def _add_replica_event(self, event: log.Copy) -> None:
-        if event.what == "paused":
-            self._paused.setdefault(event.copy, event.at)
-        elif event.what == "resumed" or event.what in _ENDS:
-            since = self._paused.pop(event.copy, None)
+                request.response_count += 1
+                request.response = request.response or event
+
+    def _add_replica_event(self, event: log.ReplicaStateChanged) -> None:
+        if event.state == "paused":
+            self._paused.setdefault(event.replica, event.at_us)
+        elif event.state == "resumed" or event.state in _ENDS:
+            since = self._paused.pop(event.replica, None)
             if since is not None:
-                self._out.pauses[event.copy].append((since, event.at))
-        key = event.copy, event.life
-        life = self._out.lives.setdefault(key, Life(event.copy, event.life))
-        if event.what in ("ready", "stopping", "killed", "ended"):
-            setattr(life, event.what, event.at)
-        if event.what == "ended":
-            life.code = event.code
+                self._out.pauses[event.replica].append((since, event.at_us))
+        key = event.replica, event.incarnation
+        life = self._out.incarnations.setdefault(key, ProcessIncarnation(event.replica, event.incarnation))
+        if event.state in ("ready", "stopping", "killed", "ended"):
+            setattr(life, f"{event.state}_at_us", event.at_us)
+        if event.state == "ended":
+            life.exit_code = event.exit_code
--- a/testbed/checker/tier.py
+++ b/testbed/checker/membership.py
@@ -7,7 +7,7 @@
 from testbed.checker.history import History
 
 PRESENT, DEAD, LEFT = "p", "d", "l"
-BELIEFS = {
+MEMBER_STATES = {
     PRESENT: "present",
     "s": "suspected",
     "?": "unknown",
@@ -17,28 +17,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class MembershipView:
     """What one copy believed of all members at a time: a letter each."""
 
-    at: int
-    copy: int
-    view: str
+    at_us: int
+    replica: int
+    states: str
 
 
 @dataclass(frozen=True, slots=True)
 class Agreement:
     """How the views of a day ended."""
 
-    at: int | None  # from when on all looks of copies that lived at the end were equal; None: they never were
-    last_fault: int  # when the last trouble ended
+    agreed_at_us: (
+        int | None
+    )  # from when on all looks of copies that lived at the end were equal; None: they never were
+    last_fault_end_us: int  # when the last trouble ended
     wrongly_dead: tuple[tuple[int, int], ...]  # (by, of): at the end called dead or gone, though it lived
 
 
-def looks(history: History) -> list[Look]:
+def membership_views(history: History) -> list[MembershipView]:
     """All looks, in order of time."""
-    reports = sorted(history.figures, key=lambda figures: figures.at)
+    reports = sorted(history.metrics_reports, key=lambda figures: figures.at_us)
     return [
-        Look(figures.at, figures.copy, figures.tier["view"]) for figures in reports if "view" in figures.tier
+        MembershipView(figures.at_us, figures.replica, figures.membership["view"])
+        for figures in reports
+        if "view" in figures.membership
     ]
 
 
@@ -47,16 +51,16 @@
     alive = _alive_at_end(history)
     latest: dict[int, str] = {}
     at: int | None = None
-    for look in looks(history):
-        if look.copy not in alive:
+    for look in membership_views(history):
+        if look.replica not in alive:
             continue
-        latest[look.copy] = look.view
-        agreed = len(latest) == len(alive) and len(set(latest.values())) == 1 and _is_true(look.view, alive)
-        at = (at if at is not None else look.at) if agreed else None
+        latest[look.replica] = look.states
+        agreed = len(latest) == len(alive) and len(set(latest.values())) == 1 and _is_true(look.states, alive)
+        at = (at if at is not None else look.at_us) if agreed else None
     wrongly_dead = [
         (by, of) for by, view in sorted(latest.items()) for of in sorted(alive) if view[of] in (DEAD, LEFT)
     ]
-    ends = [max(fault.at_us, fault.until_us) for fault in history.day.troubles]
+    ends = [max(fault.start_us, fault.end_us) for fault in history.run.faults]
     return Agreement(at, max(ends, default=0), tuple(wrongly_dead))
 
 
@@ -67,10 +71,12 @@
 def _alive_at_end(history: History) -> set[int]:
     """Copies with a process that got ready and neither was killed nor ended, nor is paused."""
     running = {
-        life.copy
-        for life in history.lives.values()
-        if life.ready is not None and life.killed is None and life.ended is None
+        life.replica
+        for life in history.incarnations.values()
+        if life.ready_at_us is not None and life.killed_at_us is None and life.ended_at_us is None
     }
     return {
-        copy for copy in running if all(until < history.last_at for _, until in history.pauses.get(copy, ()))
+        copy
+        for copy in running
+        if all(until < history.last_at_us for _, until in history.pauses.get(copy, ()))
     }
--- a/testbed/checker/series.py
+++ b/testbed/checker/time_series.py
@@ -7,8 +7,8 @@
 import msgspec
 import numpy as np
 
-from testbed.checker.history import History, gather
-from testbed.checker.tier import looks
+from testbed.checker.history import History, build_history
+from testbed.checker.membership import membership_views
 from testbed.events import Event
 
 _MOST_BINS = 240
@@ -16,53 +16,61 @@
 _REJECTED = (429, 503)
 
 
-class Series(msgspec.Struct, frozen=True):
+class TimeSeries(msgspec.Struct, frozen=True):
     """Values by time; `bin_us` is the span of each.  Rates are a second, the rest are means over the span."""
 
     bin_us: int
-    asked: list[float]  # first tries a second, by when they were meant to leave
-    served: list[float]  # of these
-    refused: list[float]
-    failed: list[float]
-    warm: list[float]  # requests in flight at servers that are warm
-    cold: list[float]  # and at cold ones
-    unavailable: list[float]  # servers that a copy avoids, on average over copies that say so
-    members: dict[str, list[float]]  # servers listed, as each copy has it
-    tier: dict[str, list[tuple[float, str]]]  # by copy, what it believed of all members, as it changed
-    troubles: list[tuple[str, float, float]]  # kind, begin and end in seconds
-
-
-def series(events: Iterable[Event] | History) -> Series:
+    requested_per_s: list[float] = msgspec.field(
+        name="asked"
+    )  # first tries a second, by when they were meant to leave
+    served_per_s: list[float] = msgspec.field(name="served")  # of these
+    rejected_per_s: list[float] = msgspec.field(name="refused")
+    failed_per_s: list[float] = msgspec.field(name="failed")
+    in_flight_warm: list[float] = msgspec.field(name="warm")  # requests in flight at servers that are warm
+    in_flight_warming_up: list[float] = msgspec.field(name="cold")  # and at cold ones
+    unavailable_endpoints: list[float] = msgspec.field(
+        name="unavailable"
+    )  # servers that a copy avoids, on average over copies that say so
+    listed_endpoints: dict[str, list[float]] = msgspec.field(
+        name="members"
+    )  # servers listed, as each copy has it
+    membership_views: dict[str, list[tuple[float, str]]] = msgspec.field(
+        name="tier"
+    )  # by copy, what it believed of all members, as it changed
+    faults: list[tuple[str, float, float]] = msgspec.field(name="troubles")  # kind, begin and end in seconds
+
+
+def compute_time_series(events: Iterable[Event] | History) -> TimeSeries:
     """A day cut into at most 240 spans; raise LogError where the log is none of a day."""
-    history = events if isinstance(events, History) else gather(events)
-    length = history.day.length_us
+    history = events if isinstance(events, History) else build_history(events)
+    length = history.run.duration_us
     bin_us = max(-(-length // _MOST_BINS), _LEAST_BIN_US)
     count = max(-(-length // bin_us), 1)
     outcomes = _outcomes(history, bin_us, count)
     warm, cold = _in_flight(history, bin_us, count)
     unavailable, members = _figures(history, bin_us, count)
     per_s = 1e6 / bin_us
-    return Series(
+    return TimeSeries(
         bin_us=bin_us,
-        asked=_plain(sum(outcomes.values(), np.zeros(count)) * per_s),
-        served=_plain(outcomes["served"] * per_s),
-        refused=_plain(outcomes["refused"] * per_s),
-        failed=_plain(outcomes["failed"] * per_s),
-        warm=_plain(warm),
-        cold=_plain(cold),
-        unavailable=_plain(unavailable),
-        members=members,
-        tier=_tier(history),
-        troubles=[(fault.kind, fault.at_us / 1e6, fault.until_us / 1e6) for fault in history.day.troubles],
+        requested_per_s=_plain(sum(outcomes.values(), np.zeros(count)) * per_s),
+        served_per_s=_plain(outcomes["served"] * per_s),
+        rejected_per_s=_plain(outcomes["refused"] * per_s),
+        failed_per_s=_plain(outcomes["failed"] * per_s),
+        in_flight_warm=_plain(warm),
+        in_flight_warming_up=_plain(cold),
+        unavailable_endpoints=_plain(unavailable),
+        listed_endpoints=members,
+        membership_views=_tier(history),
+        faults=[(fault.kind, fault.start_us / 1e6, fault.end_us / 1e6) for fault in history.run.faults],
     )
 
 
 def _tier(history: History) -> dict[str, list[tuple[float, str]]]:
     out: dict[str, list[tuple[float, str]]] = {}
-    for look in looks(history):
-        own = out.setdefault(str(look.copy), [])
-        if not own or own[-1][1] != look.view:
-            own.append((look.at / 1e6, look.view))
+    for look in membership_views(history):
+        own = out.setdefault(str(look.replica), [])
+        if not own or own[-1][1] != look.states:
+            own.append((look.at_us / 1e6, look.states))
     return out
 
 
@@ -72,13 +80,13 @@
 
 def _outcomes(history: History, bin_us: int, count: int) -> dict[str, np.ndarray]:
     out = {name: np.zeros(count) for name in ("served", "refused", "failed")}
-    for first, numbers in history.first_tries.items():
-        responses = [history.requests[number].answered for number in numbers]
+    for first, numbers in history.client_requests.items():
+        responses = [history.requests[number].response for number in numbers]
         statuses = [response.status for response in responses if response is not None]
         taken = next(
-            (history.requests[number].taken for number in numbers if history.requests[number].taken), None
+            (history.requests[number].sent for number in numbers if history.requests[number].sent), None
         )
-        meant = taken.meant if taken is not None else history.unreached[first].meant
+        meant = taken.scheduled_at_us if taken is not None else history.not_sent[first].scheduled_at_us
         outcome = "served" if 200 in statuses else "failed"
         if outcome == "failed" and statuses and statuses[-1] in _REJECTED:
             outcome = "refused"
@@ -91,10 +99,10 @@
     warm, cold = np.zeros(count), np.zeros(count)
     for request in history.requests.values():
         for attempt in request.attempts:
-            server, at = attempt.arrived.server, attempt.arrived.at
-            cold_us = history.day.servers[server].cold_us
-            is_cold = any(start <= at < start + cold_us for start in history.starts.get(server, ()))
-            _spread(cold if is_cold else warm, at, attempt.ended_at or at, bin_us)
+            server, at = attempt.received.server, attempt.received.at_us
+            cold_us = history.run.servers[server].slow_start_us
+            is_cold = any(start <= at < start + cold_us for start in history.server_starts.get(server, ()))
+            _spread(cold if is_cold else warm, at, attempt.ended_at_us or at, bin_us)
     return warm / bin_us, cold / bin_us
 
 
@@ -115,11 +123,11 @@
     last: dict[int, tuple[int, int]] = {}
     unavailable = np.zeros(count)
     members: dict[str, list[float]] = {}
-    reports = iter([*sorted(history.figures, key=lambda figures: figures.at)])
+    reports = iter([*sorted(history.metrics_reports, key=lambda figures: figures.at_us)])
     report = next(reports, None)
     for place in range(count):
-        while report is not None and report.at < (place + 1) * bin_us:
-            last[report.copy] = report.unavailable, report.members
+        while report is not None and report.at_us < (place + 1) * bin_us:
+            last[report.replica] = report.unavailable_endpoints, report.listed_endpoints
             report = next(reports, None)
         if last:
             unavailable[place] = sum(avoided for avoided, _ in last.values()) / len(last)
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -23,8 +23,8 @@
 from rich.progress import Progress
 
 from testbed import events as log
-from testbed.checker import account, judge
-from testbed.checker.history import History, gather
+from testbed.checker import check_invariants, compute_account
+from testbed.checker.history import History, build_history
 from testbed.emulator.copies import PlayError, built, deployed
 from testbed.emulator.play import Ground
 from testbed.emulator.play import play as play_real
@@ -38,7 +38,14 @@
 from testbed.scale.keep import kept
 from testbed.scale.plan import Event, Plan, check, fitted
 from testbed.scale.play import play as play_scale
-from testbed.scenario import WorldError, draw, read, shipped, shipped_worlds, text_of
+from testbed.scenario import (
+    ScenarioError,
+    draw_run,
+    read_scenario,
+    scenario_text,
+    shipped_scenario,
+    shipped_scenarios,
+)
 from testbed.simulation.play import play as play_model
 from testbed.simulation.policies import POLICIES
 
@@ -70,11 +77,11 @@
     """The console script: no traceback for what a user can mend."""
     try:
         app()
-    except WorldError as fault:
-        for each in fault.faults:
+    except ScenarioError as fault:
+        for each in fault.errors:
             print(f"sidecar-testbed: {fault.source}: {each}", file=sys.stderr)
         sys.exit(USER_ERROR)
-    except (PlayError, StoreError, log.LogError) as fault:
+    except (PlayError, StoreError, log.EventLogError) as fault:
         print(f"sidecar-testbed: {fault}", file=sys.stderr)
         sys.exit(USER_ERROR)
     except KeyboardInterrupt:
@@ -96,14 +103,14 @@
     as_json: AsJson = False,
 ) -> None:
     """Play a day in real time with real copies of the sidecar, and judge it."""
-    day = draw(read(world), seed)
+    day = draw_run(read_scenario(world), seed)
     root = root.resolve()
     if build:
         built(root)
-    folder = out or root / "build" / "days" / f"{day.world}-{seed}-{datetime.now(UTC):%Y%m%dT%H%M%S}"
-    print(f"plays {day.length_us / 1e6:g} s with {len(day.copies)} copies in {folder}", file=sys.stderr)
+    folder = out or root / "build" / "days" / f"{day.scenario}-{seed}-{datetime.now(UTC):%Y%m%dT%H%M%S}"
+    print(f"plays {day.duration_us / 1e6:g} s with {len(day.replicas)} copies in {folder}", file=sys.stderr)
     path = asyncio.run(play_real(day, Ground(folder.resolve(), root, shards=shards, workers=workers)))
-    tell(gather(log.load(path)), path.with_name("report.html"), as_json=as_json)
+    tell(build_history(log.load(path)), path.with_name("report.html"), as_json=as_json)
 
 
 @app.command(epilog="Example: sidecar-testbed model zone-lost --seed 3 --policy best-of-2")
@@ -117,16 +124,16 @@
     """Play a day in virtual time, and judge it."""
     if policy not in POLICIES:
         raise PlayError(f"{policy}: no such policy: choose from {', '.join(POLICIES)}")
-    day = draw(read(world), seed)
+    day = draw_run(read_scenario(world), seed)
     events: list[log.Event] = []
     play_model(day, policy, events.append)
     if out is not None:
         out.parent.mkdir(parents=True, exist_ok=True)
         out.unlink(missing_ok=True)
-        with log.Writer(out) as writer:
+        with log.EventLogWriter(out) as writer:
             for event in events:
                 writer.write(event)
-    tell(gather(events), as_json=as_json)
+    tell(build_history(events), as_json=as_json)
 
 
 @app.command("judge", epilog="Example: sidecar-testbed judge build/days/three-copies-1-20261201T120000")
@@ -135,7 +142,7 @@
     as_json: AsJson = False,
 ) -> None:
     """Judge a log again, also one of a day that was cut off."""
-    tell(gather(log.load(played)), as_json=as_json)
+    tell(build_history(log.load(played)), as_json=as_json)
 
 
 Worlds = Annotated[list[str], typer.Argument(metavar="WORLD...", help="World files or shipped worlds.")]
@@ -213,7 +220,7 @@
 
 def _texts(names: list[str]) -> tuple[tuple[str, str], ...]:
     """Names and texts of worlds, each checked."""
-    return tuple((read(name).name, text_of(name)) for name in names)
+    return tuple((read_scenario(name).name, scenario_text(name)) for name in names)
 
 
 def _variants(words: list[str]) -> tuple[Variant, ...]:
@@ -327,22 +334,22 @@
 def worlds() -> None:
     """List the worlds that come with the package."""
     console = Console()
-    for name in shipped_worlds():
-        console.print(f"[bold]{name}[/]  {shipped(name).about}", highlight=False)
+    for name in shipped_scenarios():
+        console.print(f"[bold]{name}[/]  {shipped_scenario(name).about}", highlight=False)
 
 
 def tell(history: History, out: Path | None = None, *, as_json: bool) -> None:
     """Judge a day, print what it came to, write its page where one is wanted, and exit by the verdict."""
-    verdict, counted = judge(history), account(history)
+    verdict, counted = check_invariants(history), compute_account(history)
     if out is not None:
-        title = f"{history.day.world}, seed {history.day.seed}"
+        title = f"{history.run.scenario}, seed {history.run.seed}"
         out.write_text(page([of_one_day(history, verdict, counted)], title))
         print(f"its report: {out}", file=sys.stderr)
     if as_json:
         print(json.dumps(tables.plain(history, verdict, counted)))
     else:
         tables.show(Console(highlight=False), history, verdict, counted)
-    raise typer.Exit(EXIT_CODES.get(verdict.word, SAYS_NOTHING))
+    raise typer.Exit(EXIT_CODES.get(verdict.label, SAYS_NOTHING))
 
 
 if __name__ == "__main__":
--- a/testbed/clock.py
+++ b/testbed/clock.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from testbed.events import Late, Writer
+from testbed.events import EventLogWriter, WriterLate
 
 _AHEAD_NS = 3_600_000_000_000
 _LOOK_S = 0.05
@@ -36,7 +36,7 @@
         return (time.time_ns() + (at - self.now()) * 1_000) // 1_000_000
 
 
-async def watch_lateness(clock: DayClock, who: str, writer: Writer) -> None:
+async def watch_lateness(clock: DayClock, who: str, writer: EventLogWriter) -> None:
     """Write how late this process's event loop was, where it was; runs until it is cancelled."""
     due = clock.now()
     while True:
@@ -44,5 +44,5 @@
         await asyncio.sleep(clock.wait_s(due))
         now = clock.now()
         if now - due > _WORTH_TELLING_US:
-            writer.write(Late(at=now, who=who, by=now - due))
+            writer.write(WriterLate(at_us=now, writer=who, late_us=now - due))
             due = now
--- a/testbed/emulator/copies.py
+++ b/testbed/emulator/copies.py
@@ -20,8 +20,8 @@
 from testbed import events as log
 from testbed.clock import DayClock
 from testbed.emulator import program
-from testbed.scenario.day import Copy, Day
-from testbed.scenario.settings import killed_after_us, settings
+from testbed.scenario.scenario_run import Replica, ScenarioRun
+from testbed.scenario.settings import replica_settings, sigkill_delay_us
 
 _LOOK_S = 0.02
 _MOST_LOG = 4 << 20  # bytes kept of what one copy writes
@@ -152,13 +152,13 @@
 
     def __init__(
         self,
-        day: Day,
-        copy: Copy,
+        day: ScenarioRun,
+        copy: Replica,
         command: str,
         root: Path,
         folder: Path,
         clock: DayClock,
-        writer: log.Writer,
+        writer: log.EventLogWriter,
         rng: random.Random,
         ready_within_s: float,
     ) -> None:
@@ -189,19 +189,19 @@
             "discovery": discovery,
             "limits": {
                 "cores": 1.0,
-                "memory_mb": self._day.sidecars.memory_mb,
-                "sockets": self._day.sidecars.sockets,
+                "memory_mb": self._day.sidecars.memory_limit_mb,
+                "sockets": self._day.sidecars.socket_limit,
             },
-            "settings": settings(self._day, self.copy.number),
+            "settings": replica_settings(self._day, self.copy.number),
         }
-        if self._day.sidecars.datagrams:
+        if self._day.sidecars.may_message_peers:
             self.config |= {
                 "membership": self._day.sidecars.membership,
                 "peer_listen": _text(self.peer_listen),
                 "peers": peers,
                 "peers_all": everyone,
             }
-        if self._day.sidecars.operated:
+        if self._day.sidecars.has_inherited_listener:
             self._held = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             self._held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self._held.bind(self.listen)
@@ -212,7 +212,11 @@
     def tell(self, what: str, life: int, code: int | None = None) -> None:
         """Log a change of the replica's life cycle."""
         at = self._clock.now()
-        self._writer.write(log.Copy(at=at, copy=self.copy.number, life=life, what=what, code=code))
+        self._writer.write(
+            log.ReplicaStateChanged(
+                at_us=at, replica=self.copy.number, incarnation=life, state=what, exit_code=code
+            )
+        )
 
     async def start(self) -> Process:
         """Start a process; raise PlayError where it does not get ready."""
@@ -224,7 +228,7 @@
     def _launch(self) -> tuple[Process, int, tuple[str, int] | None]:
         self.life += 1
         life = self.life
-        if not self._day.sidecars.keeps_folder:
+        if not self._day.sidecars.keeps_temp_folder:
             for leftover in (self.folder / "tmp").iterdir():
                 leftover.unlink()
         path = self.folder / "config.json"
@@ -235,13 +239,13 @@
             environment[f"BALANCER_{key.upper()}"] = config[key]
         descriptors: tuple[int, ...] = ()
         door: tuple[str, int] | None = None
-        if self._day.sidecars.console:
+        if self._day.sidecars.has_admin_interface:
             door = (self.listen[0], _free_port(self.listen[0], socket.SOCK_STREAM))
             environment["BALANCER_CONSOLE"] = _text(door)
         if self._held is not None:
             descriptors = (self._held.fileno(),)
             environment["BALANCER_SOCKET_FD"] = str(descriptors[0])
-        is_unprivileged = any(fault.kind == "read_only" for fault in self._day.troubles)
+        is_unprivileged = any(fault.kind == "read_only" for fault in self._day.faults)
         process = Process(
             self._worded(),
             self._root,
@@ -302,14 +306,14 @@
         if told is not None:
             given = json.loads(told)
             self._writer.write(
-                log.Figures(
-                    at=self._clock.now(),
-                    copy=self.copy.number,
-                    life=life,
-                    pending=int(given["pending"]),
-                    members=int(given["members"]),
-                    unavailable=int(given["members_unavailable"]),
-                    tier=_plain(given.get("membership")),
+                log.MetricsReported(
+                    at_us=self._clock.now(),
+                    replica=self.copy.number,
+                    incarnation=life,
+                    pending_requests=int(given["pending"]),
+                    listed_endpoints=int(given["members"]),
+                    unavailable_endpoints=int(given["members_unavailable"]),
+                    membership=_plain(given.get("membership")),
                 )
             )
 
@@ -333,7 +337,7 @@
         self.tell("stopping", life)
         process.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(killed_after_us(self._day) / 1e6):
+            async with asyncio.timeout(sigkill_delay_us(self._day) / 1e6):
                 await process.ended.wait()
         except TimeoutError:
             process.killed = True
--- a/testbed/emulator/datagrams.py
+++ b/testbed/emulator/datagrams.py
@@ -17,7 +17,7 @@
 class Relay:
     """The switch's part for datagrams."""
 
-    def __init__(self, clock: DayClock, links: Links, writer: log.Writer, rng: random.Random) -> None:
+    def __init__(self, clock: DayClock, links: Links, writer: log.EventLogWriter, rng: random.Random) -> None:
         self._clock, self._links, self._writer, self._rng = clock, links, writer, rng
         self._places: list[_Place] = []
         self._everyone: _Place | None = None
@@ -81,7 +81,9 @@
     def _tell(self, sender: int, receiver: int, data: bytes, *, passed: bool) -> None:
         at = self._clock.now()
         self._writer.write(
-            log.Datagram(at=at, sender=sender, receiver=receiver, size=len(data), passed=passed)
+            log.DatagramSent(
+                at_us=at, sender=sender, receiver=receiver, size_bytes=len(data), delivered=passed
+            )
         )
 
     def close(self) -> None:
--- a/testbed/emulator/discovery.py
+++ b/testbed/emulator/discovery.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 
 from testbed import events as log
-from testbed.catalog import Catalog, Change
+from testbed.catalog import EndpointCatalog, EntryChange
 from testbed.clock import DayClock
 from testbed.emulator.message import MalformedRequestError, Requests, answer
 from testbed.emulator.switch import Handler, Passage
-from testbed.scenario.day import Day
+from testbed.scenario.scenario_run import ScenarioRun
 
 _WATCH = re.compile(rb"[?&]after=([0-9]+)&wait_ms=([0-9]+)")
 _LONGEST_MS = 60_000
@@ -25,27 +25,27 @@
 
     def __init__(
         self,
-        day: Day,
+        day: ScenarioRun,
         clock: DayClock,
-        writer: log.Writer,
+        writer: log.EventLogWriter,
         addresses: list[list[str]],
         rng: random.Random,
     ) -> None:
         """`addresses[copy][server]` is where a copy finds a server."""
-        self.catalog = Catalog(day)
-        self.told = [1] * len(day.copies)  # the newest version that reached each copy
+        self.catalog = EndpointCatalog(day)
+        self.told = [1] * len(day.replicas)  # the newest version that reached each copy
         self._day, self._clock, self._writer, self._rng = day, clock, writer, rng
         self._addresses = addresses
         self._free_at = 0
         self._watches: set[_Call] = set()
-        self._down = [fault for fault in day.troubles if fault.kind == "discovery_down"]
+        self._down = [fault for fault in day.faults if fault.kind == "discovery_down"]
 
     def start(self) -> None:
         """Plan every change and every trouble of the day."""
         for change in self.catalog.changes:
-            self._at(change.at, self._tell_watches)
+            self._at(change.at_us, self._tell_watches)
         for outage in self._down:
-            self._at(outage.at_us, self._end_watches)
+            self._at(outage.start_us, self._end_watches)
 
     def _at(self, at: int, act: Callable[[], None]) -> None:
         asyncio.get_running_loop().call_later(self._clock.wait_s(at) + 0.0005, act)
@@ -60,15 +60,15 @@
         """A call came whole: it waits for its turn, or fails at once where that would be too long."""
         now = self._clock.now()
         turn = max(self._free_at, now)
-        fails = self._is_down(now) or turn - now > self._day.discovery.wait_us
-        if fails or self._rng.random() < self._day.discovery.fail_rate:
+        fails = self._is_down(now) or turn - now > self._day.discovery.max_queueing_us
+        if fails or self._rng.random() < self._day.discovery.failure_rate:
             self._answered(call, DOWN, well=False)
             return
-        self._free_at = turn + self._day.discovery.call_us
+        self._free_at = turn + self._day.discovery.service_time_us
         self._at(self._free_at, lambda: self._handle(call, after, wait_ms))
 
     def _handle(self, call: _Call, after: int | None, wait_ms: int) -> None:
-        newest = self.catalog.version(self._clock.now())
+        newest = self.catalog.version_at(self._clock.now())
         if after is not None and after >= newest and wait_ms > 0:
             call.watches_from = after
             self._watches.add(call)
@@ -96,12 +96,14 @@
             call.passage.reset()
 
     def _is_down(self, now: int) -> bool:
-        return any(outage.at_us <= now < outage.until_us for outage in self._down)
+        return any(outage.start_us <= now < outage.end_us for outage in self._down)
 
     def _tell(self, call: _Call, after: int | None) -> None:
-        version = self.catalog.version(self._clock.now())
+        version = self.catalog.version_at(self._clock.now())
         full = not after or after > version  # at 0 nothing is held yet
-        changes = self.catalog.whole(version) if full else self.catalog.since(after or 1, version)
+        changes = (
+            self.catalog.full_list(version) if full else self.catalog.changes_between(after or 1, version)
+        )
         body = json.dumps(self.listing(call.copy, version, changes, full=full)).encode()
 
         def delivered() -> None:
@@ -113,27 +115,31 @@
     def _answered(
         self, call: _Call, message: bytes, delivered: Callable[[], None] | None = None, *, well: bool
     ) -> None:
-        self._writer.write(log.Called(at=self._clock.now(), copy=call.copy, well=well))
+        self._writer.write(log.DiscoveryPolled(at_us=self._clock.now(), replica=call.copy, succeeded=well))
         call.passage.send(message, delivered)
 
-    def _told(self, copy: int, version: int, changes: list[Change], *, full: bool) -> None:
+    def _told(self, copy: int, version: int, changes: list[EntryChange], *, full: bool) -> None:
         """Word reached a copy."""
-        lines = [(change.server, change.state, change.started) for change in changes]
+        lines = [(change.server, change.state, change.started_at_us) for change in changes]
         at = self._clock.now()
-        self._writer.write(log.Told(at=at, copy=copy, version=version, full=full, lines=lines))
+        self._writer.write(
+            log.EndpointListDelivered(at_us=at, replica=copy, version=version, is_full=full, entries=lines)
+        )
 
     def known(self, copy: int) -> dict[str, object]:
         """The list as a copy last had it, told to its next process at the start."""
         version = self.told[copy]
-        changes = self.catalog.whole(version)
+        changes = self.catalog.full_list(version)
         self._told(copy, version, changes, full=True)
         return self.listing(copy, version, changes, full=True)
 
-    def listing(self, copy: int, version: int, changes: list[Change], *, full: bool) -> dict[str, object]:
+    def listing(
+        self, copy: int, version: int, changes: list[EntryChange], *, full: bool
+    ) -> dict[str, object]:
         """Entries in discovery's form."""
         return {"version": version, "full": full, "servers": [self._line(copy, change) for change in changes]}
 
-    def _line(self, copy: int, change: Change) -> dict[str, object]:
+    def _line(self, copy: int, change: EntryChange) -> dict[str, object]:
         server = self._day.servers[change.server]
         return {
             "id": f"s-{change.server}",
@@ -143,7 +149,7 @@
             "cell": server.cell,
             "state": change.state,
             "weight": 1.0,
-            "started_ms": 0 if change.started is None else self._clock.unix_ms(change.started),
+            "started_ms": 0 if change.started_at_us is None else self._clock.unix_ms(change.started_at_us),
         }
 
 
--- a/testbed/emulator/play.py
+++ b/testbed/emulator/play.py
@@ -24,7 +24,7 @@
 from testbed.emulator.switch import Gate
 from testbed.links import Links
 from testbed.load import worker as loads
-from testbed.scenario.day import DISCOVERY, Copy, Day, Trouble
+from testbed.scenario.scenario_run import DISCOVERY, Fault, Replica, ScenarioRun
 from testbed.streams import MOST_LINE, seeded
 
 __all__ = ["Ground", "PlayError", "play"]
@@ -100,14 +100,16 @@
             await self._process.wait()
 
 
-async def play(day: Day, ground: Ground) -> Path:
+async def play(day: ScenarioRun, ground: Ground) -> Path:
     """Play a day with real copies; give its log.  Raise PlayError if it can't be played here."""
     _check(day)
     ground.folder.mkdir(parents=True, exist_ok=True)
-    for stale in (*log.parts(ground.folder), ground.folder / "log.jsonl"):
+    for stale in (*log.log_parts(ground.folder), ground.folder / "log.jsonl"):
         stale.unlink(missing_ok=True)
-    with log.Writer(ground.folder / "part-day.jsonl") as writer:
-        writer.write(log.Began(at=log.BEFORE, day=day, engine="emulator", variant=ground.variant))
+    with log.EventLogWriter(ground.folder / "part-day.jsonl") as writer:
+        writer.write(
+            log.RunStarted(at_us=log.BEFORE_RUN_US, run=day, engine="emulator", variant=ground.variant)
+        )
         writer.flush()
         played = _Play(day, ground, writer)
         try:
@@ -115,19 +117,19 @@
             await played.run()
         finally:
             await played.close()
-    return log.merge(ground.folder)
+    return log.merge_parts(ground.folder)
 
 
-def _check(day: Day) -> None:
+def _check(day: ScenarioRun) -> None:
     """Whether this machine can hold it; raise PlayError if not."""
-    links = len(day.copies) * len(day.servers)
-    if len(day.copies) > _MOST_COPIES or links > _MOST_LINKS:
+    links = len(day.replicas) * len(day.servers)
+    if len(day.replicas) > _MOST_COPIES or links > _MOST_LINKS:
         raise PlayError(
-            f"{len(day.copies)} copies and {len(day.servers)} servers are too many for real time"
+            f"{len(day.replicas)} copies and {len(day.servers)} servers are too many for real time"
             f" ({_MOST_COPIES} copies, {_MOST_LINKS} links at most): use the model"
         )
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    needed = 3 * links + 8 * len(day.copies) + _SPARE_DESCRIPTORS
+    needed = 3 * links + 8 * len(day.replicas) + _SPARE_DESCRIPTORS
     if hard != resource.RLIM_INFINITY and hard < needed:
         raise PlayError(f"the day needs {needed} descriptors, and this user may have {hard}")
     if soft != resource.RLIM_INFINITY and soft < needed:
@@ -137,7 +139,7 @@
 class _Play:
     """One day being played."""
 
-    def __init__(self, day: Day, ground: Ground, writer: log.Writer) -> None:
+    def __init__(self, day: ScenarioRun, ground: Ground, writer: log.EventLogWriter) -> None:
         self._day, self._ground, self._writer = day, ground, writer
         self._clock = DayClock()
         self._links = Links(day)
@@ -159,7 +161,7 @@
             plan = shards.Plan(self._day, number, count, self._part(f"servers-{number}"))
             child = await _Child.start("testbed.emulator.shard", plan, f"servers {number}")
             self._children.append(child)
-        addresses: list[list[str]] = [[""] * len(self._day.servers) for _ in self._day.copies]
+        addresses: list[list[str]] = [[""] * len(self._day.servers) for _ in self._day.replicas]
         for child in self._children:
             told = msgspec.json.decode(await child.hear(), type=dict[str, list[str]])
             for server, own in told.items():
@@ -169,7 +171,7 @@
             self._day, self._clock, self._writer, addresses, seeded(self._day.seed, DISCOVERY)
         )
         command = self._ground.command or deployed(self._ground.root)
-        self._copies = [self._sidecar(copy, command) for copy in self._day.copies]
+        self._copies = [self._sidecar(copy, command) for copy in self._day.replicas]
         await self._relay.start("127.15.0.1", [copy.peer_listen for copy in self._copies])
         for sidecar in self._copies:
             self._introduce(sidecar, self._discovery)
@@ -191,7 +193,7 @@
     def _part(self, name: str) -> str:
         return str(self._ground.folder / f"part-{name}.jsonl")
 
-    def _sidecar(self, copy: Copy, command: str) -> Sidecar:
+    def _sidecar(self, copy: Replica, command: str) -> Sidecar:
         folder = self._ground.folder / f"copy-{copy.number}"
         if folder.exists():
             raise PlayError(f"{folder} is there already: give an empty folder")
@@ -228,11 +230,11 @@
         self._failed = asyncio.get_running_loop().create_future()
         watch = asyncio.create_task(watch_lateness(self._clock, "discovery", self._writer))
         self._tasks = [watch, asyncio.create_task(self._ask_figures())]
-        self._tasks += [*(asyncio.create_task(self._trouble(trouble)) for trouble in self._day.troubles)]
+        self._tasks += [*(asyncio.create_task(self._trouble(trouble)) for trouble in self._day.faults)]
         for task in self._tasks:
             task.add_done_callback(self._complain)
         longest_s = max(kind.deadline_us for kind in self._day.classes) / 1e6
-        within_s = (self._day.length_us + self._ground.grace_us) / 1e6 + longest_s + _ANSWER_WITHIN_S
+        within_s = (self._day.duration_us + self._ground.grace_us) / 1e6 + longest_s + _ANSWER_WITHIN_S
         over = [asyncio.create_task(child.hear(within_s)) for child in self._loads]
         self._tasks += over
         whole = asyncio.gather(*over)
@@ -240,11 +242,11 @@
         if self._failed.done():
             self._failed.result()
         await whole
-        await asyncio.sleep(self._clock.wait_s(self._day.length_us))
-        self._writer.write(log.Finished(at=max(self._clock.now(), self._day.length_us)))
+        await asyncio.sleep(self._clock.wait_s(self._day.duration_us))
+        self._writer.write(log.RunFinished(at_us=max(self._clock.now(), self._day.duration_us)))
 
     async def _ask_figures(self) -> None:
-        while self._day.sidecars.console:
+        while self._day.sidecars.has_admin_interface:
             await asyncio.gather(*(copy.figures() for copy in self._copies))
             await asyncio.sleep(_FIGURES_EVERY_S)
 
@@ -253,28 +255,34 @@
         if fault is not None and self._failed is not None and not self._failed.done():
             self._failed.set_exception(fault)
 
-    async def _trouble(self, trouble: Trouble) -> None:
-        await asyncio.sleep(self._clock.wait_s(trouble.at_us))
-        self._writer.write(log.Trouble(at=self._clock.now(), number=trouble.number, begins=True))
+    async def _trouble(self, trouble: Fault) -> None:
+        await asyncio.sleep(self._clock.wait_s(trouble.start_us))
+        self._writer.write(
+            log.FaultChanged(at_us=self._clock.now(), fault_number=trouble.number, begins=True)
+        )
         copies = [
-            self._copies[int(party.partition(":")[2])] for party in trouble.who if party.startswith("copy:")
+            self._copies[int(party.partition(":")[2])]
+            for party in trouble.parties
+            if party.startswith("copy:")
         ]
         act = _ACTS.get(trouble.kind)
         if act is None:
-            await asyncio.sleep(self._clock.wait_s(trouble.until_us))
+            await asyncio.sleep(self._clock.wait_s(trouble.end_us))
         else:
             await asyncio.gather(*(act(self, copy, trouble) for copy in copies))
-        if trouble.until_us > trouble.at_us:
-            self._writer.write(log.Trouble(at=self._clock.now(), number=trouble.number, begins=False))
+        if trouble.end_us > trouble.start_us:
+            self._writer.write(
+                log.FaultChanged(at_us=self._clock.now(), fault_number=trouble.number, begins=False)
+            )
 
-    async def _until(self, trouble: Trouble) -> None:
-        await asyncio.sleep(self._clock.wait_s(trouble.until_us))
+    async def _until(self, trouble: Fault) -> None:
+        await asyncio.sleep(self._clock.wait_s(trouble.end_us))
 
-    async def _kill(self, copy: Sidecar, trouble: Trouble) -> None:
+    async def _kill(self, copy: Sidecar, trouble: Fault) -> None:
         async with copy.lifecycle:
             was_there = await copy.kill()
         await self._until(trouble)
-        if was_there and trouble.until_us > trouble.at_us:
+        if was_there and trouble.end_us > trouble.start_us:
             await self._start_again(copy)
 
     async def _start_again(self, copy: Sidecar) -> None:
@@ -284,44 +292,44 @@
                 with contextlib.suppress(PlayError):
                     await copy.start()
 
-    async def _term(self, copy: Sidecar, trouble: Trouble) -> None:
+    async def _term(self, copy: Sidecar, trouble: Fault) -> None:
         async with copy.lifecycle:  # one that is only just starting would die of it
             if copy.process is not None:
                 await copy.stop(copy.process, copy.life)
         await self._until(trouble)
         await self._start_again(copy)
 
-    async def _pause(self, copy: Sidecar, trouble: Trouble) -> None:
+    async def _pause(self, copy: Sidecar, trouble: Fault) -> None:
         copy.pause()
         await self._until(trouble)
         copy.resume()
 
-    async def _hup(self, copy: Sidecar, _trouble: Trouble) -> None:
+    async def _hup(self, copy: Sidecar, _trouble: Fault) -> None:
         async with copy.lifecycle:
             copy.hang_up()
 
-    async def _upgrade(self, copy: Sidecar, _trouble: Trouble) -> None:
+    async def _upgrade(self, copy: Sidecar, _trouble: Fault) -> None:
         async with copy.lifecycle:
             with contextlib.suppress(PlayError):
                 await copy.upgrade()
 
-    async def _shift_clock(self, copy: Sidecar, trouble: Trouble) -> None:
+    async def _shift_clock(self, copy: Sidecar, trouble: Fault) -> None:
         copy.set_clock(trouble.amount)
         async with copy.lifecycle:
             await copy.kill()
         await self._start_again(copy)
 
-    async def _fill_disk(self, copy: Sidecar, trouble: Trouble) -> None:
+    async def _fill_disk(self, copy: Sidecar, trouble: Fault) -> None:
         copy.limit_files(is_full=True)
         await self._until(trouble)
         copy.limit_files(is_full=False)
 
-    async def _lock_folder(self, copy: Sidecar, trouble: Trouble) -> None:
+    async def _lock_folder(self, copy: Sidecar, trouble: Fault) -> None:
         copy.lock_folder(is_locked=True)
         await self._until(trouble)
         copy.lock_folder(is_locked=False)
 
-    async def _damage(self, copy: Sidecar, trouble: Trouble) -> None:
+    async def _damage(self, copy: Sidecar, trouble: Fault) -> None:
         async with copy.lifecycle:
             await copy.kill()
         copy.damage_folder()
--- a/testbed/emulator/servers.py
+++ b/testbed/emulator/servers.py
@@ -11,7 +11,7 @@
 from testbed.clock import DayClock
 from testbed.emulator.message import MalformedRequestError, Requests, answer, header
 from testbed.emulator.switch import Gate, Handler, Passage
-from testbed.scenario.day import Server, Trouble
+from testbed.scenario.scenario_run import Fault, Server
 from testbed.station import Job, Place, Station
 
 _WORK = re.compile(rb"[?&]work=([0-9]{1,12})")
@@ -26,9 +26,9 @@
     def __init__(
         self,
         server: Server,
-        troubles: tuple[Trouble, ...],
+        troubles: tuple[Fault, ...],
         clock: DayClock,
-        writer: log.Writer,
+        writer: log.EventLogWriter,
         number_attempt: Callable[[], int],
         rng: random.Random,
     ) -> None:
@@ -43,7 +43,7 @@
     def connected(self, copy: int, passage: Passage) -> Handler:
         """Create the handler of a new connection; reset it above the server's connection limit."""
         self.open += 1
-        if self.open > self.server.connections:
+        if self.open > self.server.max_connections:
             passage.reset()
         return _Connection(self, copy, passage)
 
@@ -59,21 +59,21 @@
             self._station.restart(now)
             for gate in self.gates:
                 gate.up()
-        self._writer.write(log.Server(at=now, server=self.server.number, what=what))
+        self._writer.write(log.ServerStateChanged(at_us=now, server=self.server.number, state=what))
 
     def asked(self, connection: _Connection, request: int, work: int, sent: int) -> None:
         """A request came whole."""
         now = self._clock.now()
         attempt = self._number_attempt()
         self._writer.write(
-            log.Arrived(
-                at=now,
+            log.AttemptReceived(
+                at_us=now,
                 request=request,
-                copy=connection.copy,
+                replica=connection.copy,
                 server=self.server.number,
                 attempt=attempt,
-                sent=sent,
-                work=work,
+                sent_at_us=sent,
+                work_us=work,
             )
         )
         connection.requests[attempt] = request
@@ -99,7 +99,9 @@
     def _ended(self, attempt: int, how: str) -> None:
         connection = self._asked.pop(attempt)
         request = connection.requests.pop(attempt)
-        self._writer.write(log.Ended(at=self._clock.now(), attempt=attempt, request=request, how=how))
+        self._writer.write(
+            log.AttemptEnded(at_us=self._clock.now(), attempt=attempt, request=request, outcome=how)
+        )
         if how == "served":
             connection.answer(answer(b"200 OK", b"%x %x" % (request, attempt)))
         elif how != "lost":
@@ -108,7 +110,9 @@
     def connection(self, copy: int, *, opened: bool) -> None:
         """Log that a connection from a replica was opened or closed."""
         at = self._clock.now()
-        self._writer.write(log.Connected(at=at, copy=copy, server=self.server.number, opened=opened))
+        self._writer.write(
+            log.ConnectionChanged(at_us=at, replica=copy, server=self.server.number, opened=opened)
+        )
 
     def now(self) -> int:
         """Microseconds since the start of the run."""
--- a/testbed/emulator/shard.py
+++ b/testbed/emulator/shard.py
@@ -15,19 +15,19 @@
 import uvloop
 
 from testbed import events as log
-from testbed.catalog import server_lives
+from testbed.catalog import server_state_changes
 from testbed.clock import DayClock, watch_lateness
 from testbed.emulator.servers import StandIn
 from testbed.emulator.switch import Gate
 from testbed.links import Links
-from testbed.scenario import Day
+from testbed.scenario import ScenarioRun
 from testbed.streams import lines_of_input, seeded
 
 
 class Plan(msgspec.Struct, frozen=True):
     """What one process of stand-ins does."""
 
-    day: Day
+    day: ScenarioRun
     shard: int
     shards: int
     part: str  # the file for its part of the log
@@ -41,15 +41,15 @@
 class Shard:
     """The servers of one process."""
 
-    def __init__(self, plan: Plan, clock: DayClock, writer: log.Writer) -> None:
+    def __init__(self, plan: Plan, clock: DayClock, writer: log.EventLogWriter) -> None:
         self._day, self._clock = plan.day, clock
         links = Links(plan.day)
         numbers = itertools.count(plan.shard, plan.shards)
         self.servers: dict[int, StandIn] = {}
         for server in plan.day.servers[plan.shard :: plan.shards]:
             rng = seeded(plan.day.seed, server.party)
-            made = StandIn(server, plan.day.troubles, clock, writer, lambda: next(numbers), rng)
-            for copy in plan.day.copies:
+            made = StandIn(server, plan.day.faults, clock, writer, lambda: next(numbers), rng)
+            for copy in plan.day.replicas:
                 inwards = links.between(copy.party, server.party)
                 outwards = links.between(server.party, copy.party)
                 made.gates.append(Gate(clock, copy.number, made, inwards, outwards, rng))
@@ -74,7 +74,7 @@
         for server in self.servers.values():
             for gate in server.gates:
                 gate.plan()
-        for at, number, what in server_lives(self._day):
+        for at, number, what in server_state_changes(self._day):
             if number in self.servers:
                 loop.call_later(self._clock.wait_s(at), self.servers[number].live, what)
 
@@ -90,7 +90,7 @@
     told = await lines_of_input()
     plan = msgspec.json.decode(await told.readline(), type=Plan)
     clock = DayClock()
-    with log.Writer(Path(plan.part)) as writer:
+    with log.EventLogWriter(Path(plan.part)) as writer:
         shard = Shard(plan, clock, writer)
         print(msgspec.json.encode(shard.bind()).decode(), flush=True)
         shard.accept()
--- a/testbed/events.py
+++ b/testbed/events.py
@@ -14,67 +14,67 @@
 
 import msgspec
 
-from testbed.scenario.day import Day
+from testbed.scenario.scenario_run import ScenarioRun
 
 
 class _Event(msgspec.Struct, tag_field="is", kw_only=True, omit_defaults=True):
-    at: int
+    at_us: int = msgspec.field(name="at")
 
 
-class Began(_Event, tag="began"):
+class RunStarted(_Event, tag="began"):
     """The day that is played, by which engine, and which variant of the program."""
 
-    day: Day
+    run: ScenarioRun = msgspec.field(name="day")
     engine: str
     variant: str = "this tree"
 
 
-class Copy(_Event, tag="copy"):
+class ReplicaStateChanged(_Event, tag="copy"):
     """What became of a copy; `life` counts its processes from 1.
 
     started, ready, killed, stopping (SIGTERM), ended (after that, or by itself: `code`), paused, resumed.
     """
 
-    copy: int
-    life: int
-    what: str
-    code: int | None = None
+    replica: int = msgspec.field(name="copy")
+    incarnation: int = msgspec.field(name="life")
+    state: str = msgspec.field(name="what")
+    exit_code: int | None = msgspec.field(default=None, name="code")
 
 
-class Server(_Event, tag="server"):
+class ServerStateChanged(_Event, tag="server"):
     """What became of a server: up (cold from here), down, silent, heard, draining, gone."""
 
     server: int
-    what: str
+    state: str = msgspec.field(name="what")
 
 
-class Trouble(_Event, tag="trouble"):
+class FaultChanged(_Event, tag="trouble"):
     """A trouble of the day begins or ends."""
 
-    number: int
+    fault_number: int = msgspec.field(name="number")
     begins: bool
 
 
-class Told(_Event, tag="told"):
+class EndpointListDelivered(_Event, tag="told"):
     """Discovery's word reached a copy: (server, state, start of its last life) of each line.
 
     A state is active, leaving or left; a start is None where the server ran from the beginning.
     """
 
-    copy: int
+    replica: int = msgspec.field(name="copy")
     version: int
-    full: bool
-    lines: list[tuple[int, str, int | None]]
+    is_full: bool = msgspec.field(name="full")
+    entries: list[tuple[int, str, int | None]] = msgspec.field(name="lines")
 
 
-class Called(_Event, tag="called"):
+class DiscoveryPolled(_Event, tag="called"):
     """A copy called discovery, and the call ended: well or not."""
 
-    copy: int
-    well: bool
+    replica: int = msgspec.field(name="copy")
+    succeeded: bool = msgspec.field(name="well")
 
 
-class Taken(_Event, tag="taken"):
+class RequestSent(_Event, tag="taken"):
     """The last byte of a request was written to a connection that the copy's machine accepted.
 
     `first` is the number of the client's first try, `due` the end of the client's patience with this one, and
@@ -82,44 +82,44 @@
     """
 
     request: int
-    first: int
-    copy: int
+    client_request: int = msgspec.field(name="first")
+    replica: int = msgspec.field(name="copy")
     service_class: int
     tenant: int
-    meant: int
-    due: int
+    scheduled_at_us: int = msgspec.field(name="meant")
+    timeout_at_us: int = msgspec.field(name="due")
 
 
-class Unreached(_Event, tag="unreached"):
+class RequestNotSent(_Event, tag="unreached"):
     """No copy took the request: its connection was refused, or closed before it was written."""
 
     request: int
-    first: int
-    copy: int
+    client_request: int = msgspec.field(name="first")
+    replica: int = msgspec.field(name="copy")
     service_class: int
-    meant: int
+    scheduled_at_us: int = msgspec.field(name="meant")
 
 
-class Arrived(_Event, tag="arrived"):
+class AttemptReceived(_Event, tag="arrived"):
     """The last byte of an attempt reached a server; `sent` is when its first byte did."""
 
     request: int
-    copy: int
+    replica: int = msgspec.field(name="copy")
     server: int
     attempt: int  # unique over the day
-    sent: int
-    work: int
+    sent_at_us: int = msgspec.field(name="sent")
+    work_us: int = msgspec.field(name="work")
 
 
-class Ended(_Event, tag="ended"):
+class AttemptEnded(_Event, tag="ended"):
     """What a server made of an attempt: served, error, full (never ran), lost (the process ended)."""
 
     attempt: int
     request: int
-    how: str
+    outcome: str = msgspec.field(name="how")
 
 
-class Answered(_Event, tag="answered"):
+class ResponseReceived(_Event, tag="answered"):
     """What the client got: a status, and for a 200 which attempt's body (-1: none that a server made).
 
     Status 0: the connection ended, or patience and slack did, without a whole answer.
@@ -131,95 +131,95 @@
     timed_out: bool = False
 
 
-class Connected(_Event, tag="connected"):
+class ConnectionChanged(_Event, tag="connected"):
     """A connection from a copy to a server came up (`opened`) or ended."""
 
-    copy: int
+    replica: int = msgspec.field(name="copy")
     server: int
     opened: bool
 
 
-class Datagram(_Event, tag="datagram"):
+class DatagramSent(_Event, tag="datagram"):
     """A datagram between copies, when it was passed on or lost."""
 
     sender: int
     receiver: int
-    size: int
-    passed: bool
+    size_bytes: int = msgspec.field(name="size")
+    delivered: bool = msgspec.field(name="passed")
 
 
-class Figures(_Event, tag="figures"):
+class MetricsReported(_Event, tag="figures"):
     """What a copy says of itself (`/api/telemetry`)."""
 
-    copy: int
-    life: int
-    pending: int
-    members: int
-    unavailable: int
-    tier: dict[str, str] = {}
+    replica: int = msgspec.field(name="copy")
+    incarnation: int = msgspec.field(name="life")
+    pending_requests: int = msgspec.field(name="pending")
+    listed_endpoints: int = msgspec.field(name="members")
+    unavailable_endpoints: int = msgspec.field(name="unavailable")
+    membership: dict[str, str] = msgspec.field(default={}, name="tier")
 
 
-class Late(_Event, tag="late"):
+class WriterLate(_Event, tag="late"):
     """A writer of this log was late itself: the load, or a stand-in."""
 
-    who: str
-    by: int
+    writer: str = msgspec.field(name="who")
+    late_us: int = msgspec.field(name="by")
 
 
-class Finished(_Event, tag="finished"):
+class RunFinished(_Event, tag="finished"):
     """The day was played to its end; a log without this line was cut off."""
 
 
 Event = (
-    Began
-    | Copy
-    | Server
-    | Trouble
-    | Told
-    | Called
-    | Taken
-    | Unreached
-    | Arrived
-    | Ended
-    | Answered
-    | Connected
-    | Datagram
-    | Figures
-    | Late
-    | Finished
+    RunStarted
+    | ReplicaStateChanged
+    | ServerStateChanged
+    | FaultChanged
+    | EndpointListDelivered
+    | DiscoveryPolled
+    | RequestSent
+    | RequestNotSent
+    | AttemptReceived
+    | AttemptEnded
+    | ResponseReceived
+    | ConnectionChanged
+    | DatagramSent
+    | MetricsReported
+    | WriterLate
+    | RunFinished
 )
 
 # At equal times, causes before effects.
 _KINDS: tuple[type, ...] = (
-    Began,
-    Trouble,
-    Server,
-    Copy,
-    Called,
-    Told,
-    Unreached,
-    Taken,
-    Connected,
-    Arrived,
-    Ended,
-    Answered,
-    Datagram,
-    Figures,
-    Late,
-    Finished,
+    RunStarted,
+    FaultChanged,
+    ServerStateChanged,
+    ReplicaStateChanged,
+    DiscoveryPolled,
+    EndpointListDelivered,
+    RequestNotSent,
+    RequestSent,
+    ConnectionChanged,
+    AttemptReceived,
+    AttemptEnded,
+    ResponseReceived,
+    DatagramSent,
+    MetricsReported,
+    WriterLate,
+    RunFinished,
 )
 _ORDER: dict[type, int] = {kind: place for place, kind in enumerate(_KINDS)}
 _ENCODER = msgspec.json.Encoder()
 _DECODER: msgspec.json.Decoder[Event] = msgspec.json.Decoder(Event)
 _BUFFER = 1 << 16
-BEFORE = -(1 << 50)  # when a log begins: before everything that comes ahead of its day
+BEFORE_RUN_US = -(1 << 50)  # when a log begins: before everything that comes ahead of its day
 
 
-class LogError(Exception):
+class EventLogError(Exception):
     """A log that can't be judged."""
 
 
-class Writer:
+class EventLogWriter:
     """Appends events to one part of a log, 64 KiB at a time and what is left at `flush` and `close`."""
 
     def __init__(self, path: Path) -> None:
@@ -244,7 +244,7 @@
         self.flush()
         self._file.close()
 
-    def __enter__(self) -> Writer:
+    def __enter__(self) -> EventLogWriter:
         return self
 
     def __exit__(
@@ -253,7 +253,7 @@
         self.close()
 
 
-def read(path: Path) -> Iterator[Event]:
+def read_events(path: Path) -> Iterator[Event]:
     """The events of one file in its order; a last line that was cut off is left out.
 
     Raise LogError on any other line that is none of these events.
@@ -266,28 +266,28 @@
                 except msgspec.DecodeError as fault:
                     if not line.endswith(b"\n"):
                         return
-                    raise LogError(f"{path}, line {number}: {fault}") from None
+                    raise EventLogError(f"{path}, line {number}: {fault}") from None
     except OSError as fault:
-        raise LogError(f"{path}: {fault.strerror}") from None
+        raise EventLogError(f"{path}: {fault.strerror}") from None
 
 
-def ordered(events: Iterable[Event]) -> list[Event]:
+def sort_events(events: Iterable[Event]) -> list[Event]:
     """By time, and at equal times by cause."""
-    return sorted(events, key=lambda each: (each.at, _ORDER[type(each)]))
+    return sorted(events, key=lambda each: (each.at_us, _ORDER[type(each)]))
 
 
-def parts(folder: Path) -> list[Path]:
+def log_parts(folder: Path) -> list[Path]:
     """The partial logs in a folder, sorted by name."""
     return sorted(folder.glob("part-*.jsonl"))
 
 
-def merge(folder: Path) -> Path:
+def merge_parts(folder: Path) -> Path:
     """Put the parts in a folder together into `log.jsonl`, as a whole or not at all; the parts go then."""
-    own = parts(folder)
+    own = log_parts(folder)
     fresh, whole = folder / "log.new", folder / "log.jsonl"
     fresh.unlink(missing_ok=True)
-    with Writer(fresh) as writer:
-        for event in ordered(event for part in own for event in read(part)):
+    with EventLogWriter(fresh) as writer:
+        for event in sort_events(event for part in own for event in read_events(part)):
             writer.write(event)
     fresh.replace(whole)
     for part in own:
@@ -300,9 +300,9 @@
     if path.is_dir():
         whole = path / "log.jsonl"
         if whole.exists():
-            return list(read(whole))
-        own = parts(path)
+            return list(read_events(whole))
+        own = log_parts(path)
         if not own:
-            raise LogError(f"{path}: holds no log")
-        return ordered(event for part in own for event in read(part))
-    return list(read(path))
+            raise EventLogError(f"{path}: holds no log")
+        return sort_events(event for part in own for event in read_events(part))
+    return list(read_events(path))
--- a/testbed/experiment/cell.py
+++ b/testbed/experiment/cell.py
@@ -18,14 +18,14 @@
 from msgspec.structs import replace
 
 from testbed import events as log
-from testbed.checker import account, judge, series
-from testbed.checker.history import gather
+from testbed.checker import check_invariants, compute_account, compute_time_series
+from testbed.checker.history import build_history
 from testbed.emulator.play import Ground
 from testbed.emulator.play import play as play_real
 from testbed.experiment.variants import PARTS
 from testbed.report import tables
-from testbed.scenario import Day, draw
-from testbed.scenario.read import parse
+from testbed.scenario import ScenarioRun, draw_run
+from testbed.scenario.read import parse_scenario
 from testbed.simulation.play import play as play_model
 
 
@@ -52,11 +52,11 @@
         setattr(module, constant.name, constant.value)
 
 
-def drawn(cell: Cell) -> Day:
+def drawn(cell: Cell) -> ScenarioRun:
     """The day, the same for every variant of a pair."""
-    day = draw(parse(cell.world, cell.source), cell.seed)
+    day = draw_run(parse_scenario(cell.world, cell.source), cell.seed)
     day = replace(day, clients=replace(day.clients, rate_per_s=day.clients.rate_per_s * cell.rate))
-    return replace(day, changed=cell.changed) if cell.changed is not None else day
+    return replace(day, changed_setting=cell.changed) if cell.changed is not None else day
 
 
 def played(cell: Cell) -> list[log.Event]:
@@ -75,10 +75,10 @@
     """What a cell came to: the judge's word, the account and the day over time."""
     if cell.off is not None:
         switch_off(cell.off)
-    history = gather(played(cell))
-    told = tables.plain(history, judge(history), account(history))
+    history = build_history(played(cell))
+    told = tables.plain(history, check_invariants(history), compute_account(history))
     told["breaches"] = told["breaches"][:20]
-    return {**told, "series": msgspec.to_builtins(series(history))}
+    return {**told, "series": msgspec.to_builtins(compute_time_series(history))}
 
 
 def main() -> None:
--- a/testbed/experiment/compare.py
+++ b/testbed/experiment/compare.py
@@ -9,7 +9,7 @@
 import numpy as np
 
 from testbed.experiment.store import Key
-from testbed.scenario.draw import stream
+from testbed.scenario.draw import random_stream
 
 RESAMPLES = 2_000
 LEVEL = 0.95
@@ -36,7 +36,9 @@
 def interval(values: Sequence[float], subject: str) -> tuple[float, float]:
     """The bootstrap interval of a mean, at 95%; the same for the same values."""
     given = np.asarray(values, dtype=float)
-    draws = stream(len(given), f"bootstrap.{subject}").integers(len(given), size=(RESAMPLES, len(given)))
+    draws = random_stream(len(given), f"bootstrap.{subject}").integers(
+        len(given), size=(RESAMPLES, len(given))
+    )
     means = given[draws].mean(axis=1)
     low, high = np.quantile(means, [(1 - LEVEL) / 2, (1 + LEVEL) / 2])
     return float(low), float(high)
--- a/testbed/links.py
+++ b/testbed/links.py
@@ -6,7 +6,7 @@
 
 from msgspec.structs import replace
 
-from testbed.scenario.day import Day, Trouble
+from testbed.scenario.scenario_run import Fault, ScenarioRun
 
 NEVER = 1 << 62
 _CLOSING = ("cut", "hold")
@@ -15,14 +15,14 @@
 class Link:
     """One direction, from one party to another."""
 
-    def __init__(self, day: Day, source: str, target: str) -> None:
+    def __init__(self, day: ScenarioRun, source: str, target: str) -> None:
         self._delay_us = day.delay_us(source, target)
         self._loss = day.network.datagram_loss
-        self._troubles = [each for each in day.troubles if _concerns(each, source, target)]
+        self._troubles = [each for each in day.faults if _concerns(each, source, target)]
         self._is_plain = not self._troubles
 
-    def _now(self, now: int) -> Iterable[Trouble]:
-        return (each for each in self._troubles if each.at_us <= now and now < _end(each))
+    def _now(self, now: int) -> Iterable[Fault]:
+        return (each for each in self._troubles if each.start_us <= now and now < _end(each))
 
     def is_cut(self, now: int) -> bool:
         """Whether nothing comes through, so that no connection can be made."""
@@ -30,7 +30,7 @@
 
     def closings(self) -> list[tuple[int, int]]:
         """When it is cut, from and until."""
-        return [(each.at_us, _end(each)) for each in self._troubles if each.kind in _CLOSING]
+        return [(each.start_us, _end(each)) for each in self._troubles if each.kind in _CLOSING]
 
     def arrival(self, now: int) -> int:
         """When bytes of a connection arrive that leave now; NEVER where no end is in sight."""
@@ -38,7 +38,7 @@
             return now + self._delay_us
         at, delay_us = now, self._delay_us
         for each in self._troubles:
-            if each.kind in _CLOSING and each.at_us <= at < _end(each):
+            if each.kind in _CLOSING and each.start_us <= at < _end(each):
                 at = _end(each)
         if at >= NEVER:
             return NEVER
@@ -71,21 +71,21 @@
         return any(each.kind == "reset" and chance < each.amount for each in self._now(now))
 
 
-def _end(trouble: Trouble) -> int:
-    return trouble.until_us if trouble.until_us > trouble.at_us else NEVER
+def _end(trouble: Fault) -> int:
+    return trouble.end_us if trouble.end_us > trouble.start_us else NEVER
 
 
-def _concerns(trouble: Trouble, source: str, target: str) -> bool:
-    if not trouble.others or source == target:
+def _concerns(trouble: Fault, source: str, target: str) -> bool:
+    if not trouble.other_parties or source == target:
         return False
-    one_way = source in trouble.who and target in trouble.others
-    return one_way or (trouble.both_ways and source in trouble.others and target in trouble.who)
+    one_way = source in trouble.parties and target in trouble.other_parties
+    return one_way or (trouble.both_ways and source in trouble.other_parties and target in trouble.parties)
 
 
 class Links:
     """All links of a day, made as they are asked for."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, day: ScenarioRun) -> None:
         self._day = _with_silence(day)
         self._made: dict[tuple[str, str], Link] = {}
 
@@ -97,12 +97,12 @@
         return made
 
 
-def _with_silence(day: Day) -> Day:
+def _with_silence(day: ScenarioRun) -> ScenarioRun:
     """A machine that says nothing is cut off from everybody."""
-    copies = tuple(each.party for each in day.copies)
+    copies = tuple(each.party for each in day.replicas)
     changed = []
-    for each in day.troubles:
+    for each in day.faults:
         if each.kind == "silent":
-            each = replace(each, kind="cut", others=copies, both_ways=True)
+            each = replace(each, kind="cut", other_parties=copies, both_ways=True)
         changed.append(each)
-    return replace(day, troubles=tuple(changed))
+    return replace(day, faults=tuple(changed))
--- a/testbed/load/client.py
+++ b/testbed/load/client.py
@@ -13,7 +13,7 @@
 from testbed import events as log
 from testbed.clock import DayClock
 from testbed.load.habits import MOST_RETRIES, Habits
-from testbed.scenario import Arrival, Day
+from testbed.scenario import Arrival, ScenarioRun
 
 
 class Ask:
@@ -39,11 +39,11 @@
 
     def __init__(
         self,
-        day: Day,
+        day: ScenarioRun,
         copy: int,
         address: tuple[str, int],
         clock: DayClock,
-        writer: log.Writer,
+        writer: log.EventLogWriter,
         grace_us: int,
         rng: random.Random,
     ) -> None:
@@ -79,7 +79,7 @@
         """Another connection for what waits, if there may be one."""
         if (
             self._connecting < len(self._waiting)
-            and len(self._all) + self._connecting < self.day.clients.connections
+            and len(self._all) + self._connecting < self.day.clients.max_connections
         ):
             self._connecting += 1
             task = asyncio.get_running_loop().create_task(self._connect())
@@ -129,13 +129,13 @@
     def _unreached(self, ask: Ask) -> None:
         arrival = ask.arrival
         self.writer.write(
-            log.Unreached(
-                at=self.clock.now(),
+            log.RequestNotSent(
+                at_us=self.clock.now(),
                 request=ask.number,
-                first=arrival.number,
-                copy=self.copy,
+                client_request=arrival.number,
+                replica=self.copy,
                 service_class=arrival.service_class,
-                meant=arrival.at_us,
+                scheduled_at_us=arrival.at_us,
             )
         )
         self._over(ask, may_retry=True)
@@ -146,15 +146,15 @@
         """A request left whole."""
         arrival, now = ask.arrival, self.clock.now()
         self.writer.write(
-            log.Taken(
-                at=now,
+            log.RequestSent(
+                at_us=now,
                 request=ask.number,
-                first=arrival.number,
-                copy=self.copy,
+                client_request=arrival.number,
+                replica=self.copy,
                 service_class=arrival.service_class,
                 tenant=arrival.tenant,
-                meant=arrival.at_us,
-                due=ask.due,
+                scheduled_at_us=arrival.at_us,
+                timeout_at_us=ask.due,
             )
         )
         wait_s = self.clock.wait_s(ask.due + self._grace_us)
@@ -164,8 +164,8 @@
         self, ask: Ask, status: int, attempt: int = -1, after_us: int = 0, *, timed_out: bool = False
     ) -> None:
         """A try is over: by an answer, or (status 0) without one."""
-        event = log.Answered(
-            at=self.clock.now(), request=ask.number, status=status, attempt=attempt, timed_out=timed_out
+        event = log.ResponseReceived(
+            at_us=self.clock.now(), request=ask.number, status=status, attempt=attempt, timed_out=timed_out
         )
         self.writer.write(event)
         self._over(ask, after_us, may_retry=self._habits.may_repeat(ask.arrival, status))
@@ -256,7 +256,7 @@
     def _worded(self, ask: Ask) -> bytes:
         day, arrival = self._owner.day, ask.arrival
         kind = day.classes[arrival.service_class]
-        is_get = kind.repeat == "read_like"
+        is_get = kind.idempotency == "read_like"
         body = b"" if is_get else bytes(day.clients.body_bytes)
         timeout_us = max(ask.due - self._owner.clock.now(), 1_000)
         lines = [
@@ -270,7 +270,7 @@
             lines.append(b"Tenant: %b" % day.tenants[arrival.tenant].name.encode())
         if ask.place:
             lines.append(b"Client-Retry: 1")
-        if kind.repeat == "idempotency_key":
+        if kind.idempotency == "idempotency_key":
             lines.append(b"Idempotency-Key: %x" % ask.number)
         if not is_get:
             lines.append(b"Content-Length: %d" % len(body))
--- a/testbed/load/habits.py
+++ b/testbed/load/habits.py
@@ -5,7 +5,7 @@
 import random
 
 from testbed.scenario.arrivals import Arrival
-from testbed.scenario.day import Day
+from testbed.scenario.scenario_run import ScenarioRun
 
 MOST_RETRIES = 16  # a request's number is that of its first try times this, and the place of the try
 REFUSED = (429, 503)
@@ -16,27 +16,27 @@
 class Habits:
     """The clients of one copy."""
 
-    def __init__(self, day: Day, rng: random.Random) -> None:
+    def __init__(self, day: ScenarioRun, rng: random.Random) -> None:
         self._day, self._rng = day, rng
 
     def due(self, arrival: Arrival, now: int) -> int:
         """Until when a try that begins now is waited for."""
         deadline_us = self._day.classes[arrival.service_class].deadline_us
         left_us = max(arrival.at_us + deadline_us - now, _LEAST_US)
-        return now + min(round(deadline_us * self._day.clients.patience), left_us)
+        return now + min(round(deadline_us * self._day.clients.timeout_fraction), left_us)
 
     def may_repeat(self, arrival: Arrival, status: int) -> bool:
         """Whether a try that ended so (0: without an answer) may be followed by another."""
         kind = self._day.classes[arrival.service_class]
         if status == 200:
             return False
-        dropped = kind.repeat == "idempotency_key" and kind.group == "all"
-        return status in REFUSED or kind.repeat == "read_like" or dropped
+        dropped = kind.idempotency == "idempotency_key" and kind.idempotency_scope == "all"
+        return status in REFUSED or kind.idempotency == "read_like" or dropped
 
     def again_after(self, arrival: Arrival, place: int, after_us: int, now: int) -> int | None:
         """How long until the try after this one; None if there is none, or it would come too late."""
         clients = self._day.clients
-        if place >= min(clients.retries, MOST_RETRIES - 1):
+        if place >= min(clients.max_retries, MOST_RETRIES - 1):
             return None
         chance = self._rng.uniform(0.5, 1.5)
         wait_us = round(max(clients.backoff_us * chance, min(after_us, _MOST_RETRY_AFTER_US)))
--- a/testbed/load/worker.py
+++ b/testbed/load/worker.py
@@ -16,14 +16,14 @@
 from testbed import events as log
 from testbed.clock import DayClock, watch_lateness
 from testbed.load.client import Application
-from testbed.scenario import Day, arrivals
+from testbed.scenario import ScenarioRun, draw_arrivals
 from testbed.streams import lines_of_input, seeded
 
 
 class Plan(msgspec.Struct, frozen=True):
     """What one process of the load does."""
 
-    day: Day
+    day: ScenarioRun
     worker: int
     workers: int
     addresses: list[tuple[str, int]]  # of each copy
@@ -35,7 +35,7 @@
     """All requests of this worker's copies, from the day's beginning until each is answered or given up."""
     clock = DayClock(began_ns)
     own = [number for number in range(len(plan.addresses)) if number % plan.workers == plan.worker]
-    with log.Writer(Path(plan.part)) as writer:
+    with log.EventLogWriter(Path(plan.part)) as writer:
         applications = {
             copy: Application(
                 plan.day,
@@ -50,8 +50,8 @@
         }
         watch = asyncio.create_task(watch_lateness(clock, f"load {plan.worker}", writer))
         try:
-            for arrival in arrivals(plan.day):
-                application = applications.get(arrival.copy)
+            for arrival in draw_arrivals(plan.day):
+                application = applications.get(arrival.replica)
                 if application is None:
                     continue
                 if arrival.at_us > clock.now():
--- a/testbed/report/page.py
+++ b/testbed/report/page.py
@@ -8,7 +8,7 @@
 from jinja2 import Environment, PackageLoader, select_autoescape
 from msgspec import to_builtins
 
-from testbed.checker import Account, Verdict, series
+from testbed.checker import Account, Verdict, compute_time_series
 from testbed.checker.history import History
 from testbed.experiment.compare import Row, compared
 from testbed.experiment.store import Key
@@ -32,8 +32,8 @@
 def of_one_day(history: History, verdict: Verdict, counted: Account) -> tuple[Key, dict[str, Any]]:
     """A single day as a result, for a page of its own."""
     told = plain(history, verdict, counted)
-    key = Key(history.day.world, history.day.seed, history.variant, history.engine, 1.0, _ONE_DAY)
-    return key, {**told, "series": to_builtins(series(history))}
+    key = Key(history.run.scenario, history.run.seed, history.variant, history.engine, 1.0, _ONE_DAY)
+    return key, {**told, "series": to_builtins(compute_time_series(history))}
 
 
 def page(results: Results, title: str) -> str:
--- a/testbed/report/plots.py
+++ b/testbed/report/plots.py
@@ -12,7 +12,7 @@
 from matplotlib.figure import Figure
 from matplotlib.patches import Patch
 
-from testbed.checker.tier import BELIEFS
+from testbed.checker.membership import MEMBER_STATES
 
 matplotlib.rcParams.update(
     {
@@ -87,7 +87,7 @@
         own.grid(visible=False)
         own.set_xticks([])
         own.set_yticks([])
-    patches = [Patch(color=colour, label=BELIEFS[letter]) for letter, colour in _BELIEF_COLOURS.items()]
+    patches = [Patch(color=colour, label=MEMBER_STATES[letter]) for letter, colour in _BELIEF_COLOURS.items()]
     figure.legend(handles=patches, loc="outside lower center", ncols=len(patches), frameon=False)
     figure.suptitle("who sees whom: a row for each copy that looks, a column for each member", fontsize=9)
     return _svg(figure)
--- a/testbed/report/tables.py
+++ b/testbed/report/tables.py
@@ -14,7 +14,7 @@
 from testbed.checker import Account, Verdict
 from testbed.checker.history import History
 from testbed.experiment.compare import Row
-from testbed.scenario.day import US
+from testbed.scenario.scenario_run import US_PER_S
 
 _MOST_BREACHES = 10
 _COLOURS = {"kept": "green", "broken": "red"}
@@ -25,19 +25,21 @@
 def plain(history: History, verdict: Verdict, account: Account) -> dict[str, Any]:
     """Everything that a day came to, for `--json`."""
     return {
-        "world": history.day.world,
-        "seed": history.day.seed,
+        "world": history.run.scenario,
+        "seed": history.run.seed,
         "engine": history.engine,
         "variant": history.variant,
-        "verdict": verdict.word,
-        "unfair": list(verdict.unfair),
-        "breaches": [{"rule": each.rule, "at_us": each.at, "text": each.text} for each in verdict.breaches],
-        "asked": account.asked,
-        "served": account.served,
-        "worth": account.worth,
-        "refused": account.refused,
-        "failed": account.failed,
-        "attempts": account.attempts,
+        "verdict": verdict.label,
+        "unfair": list(verdict.unscored_reasons),
+        "breaches": [
+            {"rule": each.invariant, "at_us": each.at_us, "text": each.text} for each in verdict.violations
+        ],
+        "asked": account.client_requests,
+        "served": account.served_fraction,
+        "worth": account.net_value_served,
+        "refused": account.rejected_fraction,
+        "failed": account.failed_fraction,
+        "attempts": account.attempts_per_request,
         "by_class": account.by_class,
         "by_zone": account.by_zone,
         "by_second": account.by_second,
@@ -71,14 +73,14 @@
 
 def show(console: Console, history: History, verdict: Verdict, account: Account) -> None:
     """A day on a terminal."""
-    day = history.day
+    day = history.run
     console.print(
-        f"[bold]{escape(day.world)}[/] seed {day.seed}, {history.engine}, {escape(history.variant)}:"
-        f" {len(day.copies)} copies, {len(day.servers)} servers, {account.asked} requests"
+        f"[bold]{escape(day.scenario)}[/] seed {day.seed}, {history.engine}, {escape(history.variant)}:"
+        f" {len(day.replicas)} copies, {len(day.servers)} servers, {account.client_requests} requests"
     )
     console.print(_figures(account))
     console.print(f"served by second  [cyan]{sparkline(account.by_second)}[/]")
-    if day.troubles:
+    if day.faults:
         console.print(_troubles(history, account))
     _say_verdict(console, verdict)
 
@@ -93,11 +95,11 @@
     table.add_column(style="dim")
     table.add_column()
     rows = {
-        "served": f"{account.served:.4f}, {account.worth:.4f} after prices",
+        "served": f"{account.served_fraction:.4f}, {account.net_value_served:.4f} after prices",
         "by class": _named(account.by_class),
         "by zone": _named(account.by_zone),
-        "refused, failed": f"{account.refused:.4f}, {account.failed:.4f} of first tries",
-        "attempts": f"{account.attempts:.3f} a first try",
+        "refused, failed": f"{account.rejected_fraction:.4f}, {account.failed_fraction:.4f} of first tries",
+        "attempts": f"{account.attempts_per_request:.3f} a first try",
         "latency, ms": ", ".join(f"{name} {value:.1f}" for name, value in account.latency_ms.items()),
         "prices": _named(account.prices),
     }
@@ -114,10 +116,12 @@
     table = Table(
         "trouble", "kind", "from, s", "to, s", "who", "served again after, s", box=None, pad_edge=False
     )
-    for each, (_, _, seconds) in zip(history.day.troubles, account.recovery_s, strict=True):
-        who = ", ".join(each.who[:4]) + (f" and {len(each.who) - 4} more" if len(each.who) > 4 else "")
+    for each, (_, _, seconds) in zip(history.run.faults, account.recovery_s, strict=True):
+        who = ", ".join(each.parties[:4]) + (
+            f" and {len(each.parties) - 4} more" if len(each.parties) > 4 else ""
+        )
         back = "not by the end" if seconds is None else f"{seconds:.1f}"
-        times = f"{each.at_us / US:.2f}", f"{each.until_us / US:.2f}"
+        times = f"{each.start_us / US_PER_S:.2f}", f"{each.end_us / US_PER_S:.2f}"
         table.add_row(str(each.number), each.kind, *times, escape(who), back)
     return table
 
@@ -141,10 +145,10 @@
 
 
 def _say_verdict(console: Console, verdict: Verdict) -> None:
-    console.print(f"rules: [bold {_COLOURS.get(verdict.word, 'yellow')}]{verdict.word}[/]")
-    for breach in verdict.breaches[:_MOST_BREACHES]:
-        console.print(f"  {breach.at / US:9.3f} s  {breach.rule}: {escape(breach.text)}")
-    if len(verdict.breaches) > _MOST_BREACHES:
-        console.print(f"  and {len(verdict.breaches) - _MOST_BREACHES} more")
-    for each in verdict.unfair:
+    console.print(f"rules: [bold {_COLOURS.get(verdict.label, 'yellow')}]{verdict.label}[/]")
+    for breach in verdict.violations[:_MOST_BREACHES]:
+        console.print(f"  {breach.at_us / US_PER_S:9.3f} s  {breach.invariant}: {escape(breach.text)}")
+    if len(verdict.violations) > _MOST_BREACHES:
+        console.print(f"  and {len(verdict.violations) - _MOST_BREACHES} more")
+    for each in verdict.unscored_reasons:
         console.print(f"  not scored: {escape(each)}")
--- a/testbed/scale/crew.py
+++ b/testbed/scale/crew.py
@@ -96,7 +96,9 @@
     def __init__(self, plan: Plan, root: Path, folder: Path, command: str) -> None:
         self.plan, self._root, self._folder, self._command = plan, root, folder, command
         self._day = day_of(plan)
-        self._writer = log.Writer(Path(os.devnull))  # a run's figures are its results, not a day's log
+        self._writer = log.EventLogWriter(
+            Path(os.devnull)
+        )  # a run's figures are its results, not a day's log
         self._children: list[_Child] = []
         self.real: list[Real] = []
         self.off: list[Real] = []
--- a/testbed/scale/discovery.py
+++ b/testbed/scale/discovery.py
@@ -11,11 +11,11 @@
 from testbed.emulator.discovery import StandInDiscovery
 from testbed.emulator.switch import Gate
 from testbed.links import Links
-from testbed.scenario.day import DISCOVERY, Day
+from testbed.scenario.scenario_run import DISCOVERY, ScenarioRun
 from testbed.streams import seeded
 
 
-class _Counting(log.Writer):
+class _Counting(log.EventLogWriter):
     """Counts what discovery writes of its calls, and keeps nothing else."""
 
     def __init__(self) -> None:
@@ -23,24 +23,24 @@
         self.calls = self.failed = self.lines = 0
 
     def write(self, event: log.Event) -> None:
-        if isinstance(event, log.Called):
+        if isinstance(event, log.DiscoveryPolled):
             self.calls += 1
-            self.failed += not event.well
-        elif isinstance(event, log.Told):
-            self.lines += len(event.lines)
+            self.failed += not event.succeeded
+        elif isinstance(event, log.EndpointListDelivered):
+            self.lines += len(event.entries)
 
 
 class Discovery:
     """Answers one call after another; may be away for a while."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, day: ScenarioRun) -> None:
         clock = DayClock(time.monotonic_ns())
         # Nobody dials servers without requests: any addresses will do.
         addresses = [[f"127.0.0.1:{1 + each.number % 60_000}" for each in day.servers]]
         self._counting = _Counting()
         stand_in = StandInDiscovery(day, clock, self._counting, addresses, seeded(day.seed, DISCOVERY))
         links = Links(day)
-        copy = day.copies[0].party
+        copy = day.replicas[0].party
         self._gate = Gate(
             clock,
             0,
--- a/testbed/scale/plan.py
+++ b/testbed/scale/plan.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from testbed.emulator.copies import PlayError
-from testbed.scenario.day import Day
-from testbed.scenario.draw import draw
-from testbed.scenario.read import parse
-from testbed.scenario.settings import settings
+from testbed.scenario.draw import draw_run
+from testbed.scenario.read import parse_scenario
+from testbed.scenario.scenario_run import ScenarioRun
+from testbed.scenario.settings import replica_settings
 
 MOST_PROCESSES = 200
 MOST_MEMORY_PART = 0.5  # of the machine's
@@ -169,15 +169,15 @@
 """
 
 
-def day_of(plan: Plan) -> Day:
+def day_of(plan: Plan) -> ScenarioRun:
     """A day without requests: its settings are what each member is told, its discovery is the run's."""
     text = _WORLD.format(servers=plan.listed, members=plan.members + plan.off, call_ms=plan.call_ms)
-    return draw(parse(text, "scale"), plan.seed)
+    return draw_run(parse_scenario(text, "scale"), plan.seed)
 
 
-def configuration(plan: Plan, day: Day, number: int, discovery: str) -> dict[str, Any]:
+def configuration(plan: Plan, day: ScenarioRun, number: int, discovery: str) -> dict[str, Any]:
     """A member's configuration, without addresses of its own and of the others."""
-    told: Mapping[str, Any] = settings(day, number)
+    told: Mapping[str, Any] = replica_settings(day, number)
     versioned = {"version": 1} if plan.has_versions else {}
     return {
         **versioned,
--- a/testbed/scale/real.py
+++ b/testbed/scale/real.py
@@ -12,7 +12,7 @@
 from testbed import events as log
 from testbed.clock import DayClock
 from testbed.emulator.copies import Sidecar, _asked
-from testbed.scenario.day import Day
+from testbed.scenario.scenario_run import ScenarioRun
 
 _GONE = "dl"  # letters of a view
 
@@ -30,16 +30,16 @@
 
     def __init__(
         self,
-        day: Day,
+        day: ScenarioRun,
         number: int,
         command: str,
         root: Path,
         folder: Path,
         clock: DayClock,
-        writer: log.Writer,
+        writer: log.EventLogWriter,
     ) -> None:
         rng = random.Random(f"real {day.seed} {number}")
-        super().__init__(day, day.copies[number], command, root, folder, clock, writer, rng, 60.0)
+        super().__init__(day, day.replicas[number], command, root, folder, clock, writer, rng, 60.0)
         self.number = number
         self.listing = lambda: None  # the list is discovery's to tell
 
--- a/testbed/scenario/read.py
+++ b/testbed/scenario/read.py
@@ -9,45 +9,45 @@
 
 from pydantic import ValidationError
 
-from testbed.scenario.schema import World
+from testbed.scenario.schema import Scenario
 
 _SHIPPED = resources.files("testbed.scenario") / "scenarios"
 
 
-class WorldError(Exception):
-    """A world that can't be played; `faults` holds one line for each."""
+class ScenarioError(Exception):
+    """A world that can't be played; `errors` holds one line for each."""
 
-    def __init__(self, source: str, faults: list[str]) -> None:
-        super().__init__(f"{source}: " + "; ".join(faults))
-        self.source, self.faults = source, faults
+    def __init__(self, source: str, errors: list[str]) -> None:
+        super().__init__(f"{source}: " + "; ".join(errors))
+        self.source, self.errors = source, errors
 
 
-def shipped_worlds() -> list[str]:
+def shipped_scenarios() -> list[str]:
     """The names of the worlds that come with the package."""
     return sorted(
         each.name.removesuffix(".toml") for each in _SHIPPED.iterdir() if each.name.endswith(".toml")
     )
 
 
-def shipped(name: str) -> World:
+def shipped_scenario(name: str) -> Scenario:
     """A world that comes with the package; raise WorldError if there is none of this name."""
-    return parse(_shipped_text(name), name)
+    return parse_scenario(_shipped_text(name), name)
 
 
 def _shipped_text(name: str) -> str:
-    if name not in shipped_worlds():
-        raise WorldError(
-            name, [f"no such file, and no shipped world: choose from {', '.join(shipped_worlds())}"]
+    if name not in shipped_scenarios():
+        raise ScenarioError(
+            name, [f"no such file, and no shipped world: choose from {', '.join(shipped_scenarios())}"]
         )
     return (_SHIPPED / f"{name}.toml").read_text()
 
 
-def read(path: str) -> World:
+def read_scenario(path: str) -> Scenario:
     """A world from a file, or a shipped one by its name; raise WorldError with every fault."""
-    return parse(text_of(path), path)
+    return parse_scenario(scenario_text(path), path)
 
 
-def text_of(path: str) -> str:
+def scenario_text(path: str) -> str:
     """The text of a world file, or of a shipped one by its name; raise WorldError if there is none."""
     file = Path(path)
     if not file.exists() and file.suffix != ".toml":
@@ -55,22 +55,22 @@
     try:
         return file.read_text()
     except (OSError, UnicodeDecodeError) as fault:
-        raise WorldError(path, [f"can't be read: {fault}"]) from None
+        raise ScenarioError(path, [f"can't be read: {fault}"]) from None
 
 
-def parse(text: str, source: str) -> World:
+def parse_scenario(text: str, source: str) -> Scenario:
     """A world from TOML; raise WorldError with every fault."""
     try:
         given = tomllib.loads(text)
     except tomllib.TOMLDecodeError as fault:
-        raise WorldError(source, [f"no TOML: {fault}"]) from None
+        raise ScenarioError(source, [f"no TOML: {fault}"]) from None
     try:
-        world = World.model_validate(given)
+        world = Scenario.model_validate(given)
     except ValidationError as nonsense:
-        raise WorldError(source, [_worded(dict(each)) for each in nonsense.errors()]) from None
+        raise ScenarioError(source, [_worded(dict(each)) for each in nonsense.errors()]) from None
     faults = _contradictions(world)
     if faults:
-        raise WorldError(source, faults)
+        raise ScenarioError(source, faults)
     return world
 
 
@@ -102,7 +102,7 @@
 )
 
 
-def _contradictions(world: World) -> list[str]:
+def _contradictions(world: Scenario) -> list[str]:
     """Faults that no key shows by itself."""
     faults = []
     zones = [each.name for each in world.zones]
@@ -116,17 +116,17 @@
     for index, group in enumerate(world.servers):
         if group.zone is not None and group.zone not in zones:
             faults.append(f"servers[{index}].zone: {group.zone!r} is none of zones: {', '.join(zones)}")
-    for index, trouble in enumerate(world.troubles):
+    for index, trouble in enumerate(world.faults):
         key = f"troubles[{index}]"
-        if trouble.at_s and _least(trouble.at_s) >= world.seconds:
-            faults.append(f"{key}.at_s: begins after the day's {world.seconds:g} s: make the day longer")
+        if trouble.start_s and _least(trouble.start_s) >= world.duration_s:
+            faults.append(f"{key}.at_s: begins after the day's {world.duration_s:g} s: make the day longer")
         for word in _parties(trouble):
             kind, _, which = word.partition(":")
             if kind == "zone" and which not in zones:
                 faults.append(f"{key}: zone {which!r} is none of zones: {', '.join(zones)}")
             if not _fits(trouble.kind, kind):
                 faults.append(f"{key}: {trouble.kind} does not happen to {word!r}: name {_FIT[trouble.kind]}")
-        if trouble.kind == "upgrade" and not world.sidecars.operated:
+        if trouble.kind == "upgrade" and not world.sidecars.has_inherited_listener:
             faults.append(f"{key}: an upgrade needs sidecars.operated = true")
     return faults
 
@@ -145,7 +145,7 @@
 
 
 def _parties(trouble: Any) -> list[str]:
-    return [word for name in ("who", "between", "to") for word in getattr(trouble, name, [])]
+    return [word for name in ("parties", "other_parties") for word in getattr(trouble, name, [])]
 
 
 def _least(figure: float | list[float]) -> float:
--- a/testbed/scenario/schema.py
+++ b/testbed/scenario/schema.py
@@ -11,7 +11,7 @@
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field
 
 Range = Annotated[list[float], Field(min_length=2, max_length=2)]
-Figure = float | Range
+Quantity = float | Range
 Party = Annotated[
     str,
     Field(pattern=r"^(discovery|(copy|server):(\*|[0-9]{1,4}|[0-9]{1,3}%)|zone:[A-Za-z0-9._-]{1,64})$"),
@@ -22,7 +22,7 @@
 def _bounded(low: float, high: float) -> AfterValidator:
     """A figure, or both ends of its range, from `low` to `high`."""
 
-    def check(figure: Figure) -> Figure:
+    def check(figure: Quantity) -> Quantity:
         ends = figure if isinstance(figure, list) else [figure]
         if not all(low <= each <= high for each in ends):
             raise ValueError(f"give a number, or a range [low, high], from {low:g} to {high:g}")
@@ -33,123 +33,163 @@
     return AfterValidator(check)
 
 
-Part = Annotated[Figure, _bounded(0.0, 1.0)]
-Positive = Annotated[Figure, _bounded(1e-3, 1e6)]
-Amount = Annotated[Figure, _bounded(0.0, 1e6)]
-Count = Annotated[Figure, _bounded(1, 2_000)]
-Millis = Annotated[Figure, _bounded(0.0, 600_000.0)]
-Seconds = Annotated[Figure, _bounded(0.0, 3_600.0)]
+Fraction = Annotated[Quantity, _bounded(0.0, 1.0)]
+Positive = Annotated[Quantity, _bounded(1e-3, 1e6)]
+Amount = Annotated[Quantity, _bounded(0.0, 1e6)]
+Count = Annotated[Quantity, _bounded(1, 2_000)]
+Millis = Annotated[Quantity, _bounded(0.0, 600_000.0)]
+Seconds = Annotated[Quantity, _bounded(0.0, 3_600.0)]
 
 
-class Table(BaseModel):
+class _Table(BaseModel):
     """A table of the file; unknown keys are faults."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class ServiceClass(Table):
+class ServiceClass(_Table):
     """A class of requests."""
 
     name: Name
-    repeat: Literal["read_like", "idempotency_key", "non_idempotent"] = "read_like"
-    group: Literal["all", "zone", "cell"] = "cell"  # of idempotency_key: which servers drop repeats
-    memory_ms: Millis = 5_000.0  # of idempotency_key: for how long
-    deadline_ms: Annotated[Figure, _bounded(10.0, 60_000.0)] = 1_000.0
-    aim_ms: Annotated[Figure, _bounded(1.0, 60_000.0)] = 250.0
-    worth: Positive = 1.0
-    late_worth: Part = 0.2  # what is left of the worth past the aim
+    idempotency: Literal["read_like", "idempotency_key", "non_idempotent"] = Field(
+        default="read_like", alias="repeat"
+    )
+    idempotency_scope: Literal["all", "zone", "cell"] = Field(
+        default="cell", alias="group"
+    )  # of idempotency_key: which servers drop repeats
+    idempotency_window_ms: Millis = Field(
+        default=5_000.0, alias="memory_ms"
+    )  # of idempotency_key: for how long
+    deadline_ms: Annotated[Quantity, _bounded(10.0, 60_000.0)] = 1_000.0
+    latency_objective_ms: Annotated[Quantity, _bounded(1.0, 60_000.0)] = Field(default=250.0, alias="aim_ms")
+    priority_weight: Positive = Field(default=1.0, alias="worth")
+    late_priority_weight: Fraction = Field(
+        default=0.2, alias="late_worth"
+    )  # what is left of the worth past the aim
     share: Positive = 1.0  # of the requests, relative to the other classes
-    work_ms: Annotated[Figure, _bounded(0.01, 10_000.0)] = 5.0  # mean, on one slot of speed 1
+    mean_work_ms: Annotated[Quantity, _bounded(0.01, 10_000.0)] = Field(
+        default=5.0, alias="work_ms"
+    )  # mean, on one slot of speed 1
 
 
-class Zone(Table):
+class Zone(_Table):
     """A zone; zones of one region are nearer to each other."""
 
     name: Name
     region: Name = "here"
 
 
-class Servers(Table):
+class ServerGroup(_Table):
     """Servers, spread evenly over the zones, or in the one named."""
 
     count: Count
     zone: Name | None = None
     slots: Count = 4.0  # requests in work at once
-    queue: Annotated[Figure, _bounded(0.0, 1e6)] = 16.0  # and waiting; more are turned away
+    queue_limit: Annotated[Quantity, _bounded(0.0, 1e6)] = Field(
+        default=16.0, alias="queue"
+    )  # and waiting; more are turned away
     speed: Positive = 1.0
     cells: Count = 1.0  # groups that drop the repeats of keyed requests
-    cold_from: Annotated[Figure, _bounded(0.01, 1.0)] = 0.2  # part of the capacity right after a start
-    cold_s: Seconds = 10.0  # and until it has all of it
-    crowd_from: Count = 1_000.0  # requests held from which it loses speed
-    crowd_loss: Part = 0.0  # part of its speed lost where it holds twice as many
-    connections: Annotated[Figure, _bounded(1, 1e5)] = 10_000.0
-    error_rate: Part = 0.0
-
-
-class Sidecars(Table):
+    slow_start_initial_capacity: Annotated[Quantity, _bounded(0.01, 1.0)] = Field(
+        default=0.2, alias="cold_from"
+    )  # part of the capacity right after a start
+    slow_start_s: Seconds = Field(default=10.0, alias="cold_s")  # and until it has all of it
+    overload_threshold: Count = Field(
+        default=1_000.0, alias="crowd_from"
+    )  # requests held from which it loses speed
+    overload_slowdown: Fraction = Field(
+        default=0.0, alias="crowd_loss"
+    )  # part of its speed lost where it holds twice as many
+    max_connections: Annotated[Quantity, _bounded(1, 1e5)] = Field(default=10_000.0, alias="connections")
+    error_rate: Fraction = 0.0
+
+
+class Sidecars(_Table):
     """The copies of the program, spread evenly over the zones."""
 
     count: Count
-    uneven: Annotated[Figure, _bounded(1.0, 100.0)] = 1.0  # the busiest gets so many times the mean
-    attempts: Annotated[Figure, _bounded(1, 16)] = 4.0  # for one request
-    datagrams: bool = True  # whether they may send to each other
+    peak_to_mean_load: Annotated[Quantity, _bounded(1.0, 100.0)] = Field(
+        default=1.0, alias="uneven"
+    )  # the busiest gets so many times the mean
+    max_attempts: Annotated[Quantity, _bounded(1, 16)] = Field(
+        default=4.0, alias="attempts"
+    )  # for one request
+    may_message_peers: bool = Field(default=True, alias="datagrams")  # whether they may send to each other
     membership: dict[str, bool | float] = {}  # of the configuration, as it is
-    console: bool = False  # with a door for operators
-    operated: bool = False  # with that, and a listening socket that the platform holds
-    folder: Literal["kept", "fresh"] = "kept"  # at a restart
-    memory_mb: Annotated[Figure, _bounded(32, 4_096)] = 192.0
-    sockets: Annotated[Figure, _bounded(64, 65_536)] = 1_024.0
+    has_admin_interface: bool = Field(default=False, alias="console")  # with a door for operators
+    has_inherited_listener: bool = Field(
+        default=False, alias="operated"
+    )  # with that, and a listening socket that the platform holds
+    temp_folder: Literal["kept", "fresh"] = Field(default="kept", alias="folder")  # at a restart
+    memory_limit_mb: Annotated[Quantity, _bounded(32, 4_096)] = Field(default=192.0, alias="memory_mb")
+    socket_limit: Annotated[Quantity, _bounded(64, 65_536)] = Field(default=1_024.0, alias="sockets")
 
 
-class Discovery(Table):
+class Discovery(_Table):
     """The one service that lists servers."""
 
-    late_ms: Millis = 100.0  # from a change to when it can tell
-    call_ms: Millis = 1.0  # of its time for a call; it handles one after another
-    wait_ms: Annotated[Figure, _bounded(1.0, 60_000.0)] = 500.0  # a call that would wait longer fails
-    fail_rate: Part = 0.0
-    ask_within_ms: Annotated[Figure, _bounded(500.0, 60_000.0)] = 10_000.0
-    pushed: bool = False
-
-
-class Network(Table):
+    notification_delay_ms: Millis = Field(default=100.0, alias="late_ms")  # from a change to when it can tell
+    service_time_ms: Millis = Field(
+        default=1.0, alias="call_ms"
+    )  # of its time for a call; it handles one after another
+    max_queueing_ms: Annotated[Quantity, _bounded(1.0, 60_000.0)] = Field(
+        default=500.0, alias="wait_ms"
+    )  # a call that would wait longer fails
+    failure_rate: Fraction = Field(default=0.0, alias="fail_rate")
+    max_poll_interval_ms: Annotated[Quantity, _bounded(500.0, 60_000.0)] = Field(
+        default=10_000.0, alias="ask_within_ms"
+    )
+    is_pushed: bool = Field(default=False, alias="pushed")
+
+
+class Network(_Table):
     """What lies between any two parties.  Delays are one way."""
 
-    delay_ms: Annotated[Figure, _bounded(0.0, 1_000.0)] = 0.0
-    other_zone_ms: Annotated[Figure, _bounded(0.0, 1_000.0)] = 0.0  # added
-    other_region_ms: Annotated[Figure, _bounded(0.0, 1_000.0)] = 0.0  # added on top
-    datagram_loss: Part = 0.0
-    dial_timeout_ms: Annotated[Figure, _bounded(10.0, 10_000.0)] = 200.0
+    delay_ms: Annotated[Quantity, _bounded(0.0, 1_000.0)] = 0.0
+    cross_zone_delay_ms: Annotated[Quantity, _bounded(0.0, 1_000.0)] = Field(
+        default=0.0, alias="other_zone_ms"
+    )  # added
+    cross_region_delay_ms: Annotated[Quantity, _bounded(0.0, 1_000.0)] = Field(
+        default=0.0, alias="other_region_ms"
+    )  # added on top
+    datagram_loss: Fraction = 0.0
+    connect_timeout_ms: Annotated[Quantity, _bounded(10.0, 10_000.0)] = Field(
+        default=200.0, alias="dial_timeout_ms"
+    )
 
 
-class Clients(Table):
+class Clients(_Table):
     """The application beside each sidecar: open loop, arrivals wait for no answer."""
 
     rate_per_s: Positive
-    patience: Annotated[Figure, _bounded(0.05, 1.0)] = 1.0  # part of the class's deadline for one try
-    retries: Annotated[Figure, _bounded(0, 10)] = 0.0
+    timeout_fraction: Annotated[Quantity, _bounded(0.05, 1.0)] = Field(
+        default=1.0, alias="patience"
+    )  # part of the class's deadline for one try
+    max_retries: Annotated[Quantity, _bounded(0, 10)] = Field(default=0.0, alias="retries")
     backoff_ms: Millis = 50.0
-    connections: Annotated[Figure, _bounded(1, 1_000)] = 32.0  # to one sidecar
-    body_bytes: Annotated[Figure, _bounded(0, 65_536)] = 0.0  # of requests that are no GET
-    keys: Annotated[Figure, _bounded(1, 1e7)] = 1_000.0
-    work: Literal["fixed", "exponential"] = "exponential"
+    max_connections: Annotated[Quantity, _bounded(1, 1_000)] = Field(
+        default=32.0, alias="connections"
+    )  # to one sidecar
+    body_bytes: Annotated[Quantity, _bounded(0, 65_536)] = 0.0  # of requests that are no GET
+    key_count: Annotated[Quantity, _bounded(1, 1e7)] = Field(default=1_000.0, alias="keys")
+    work_distribution: Literal["fixed", "exponential"] = Field(default="exponential", alias="work")
 
 
-class Tenant(Table):
+class Tenant(_Table):
     """A tenant and its share of the requests."""
 
     name: Name
     share: Positive = 1.0
 
 
-class Timed(Table):
+class TimedFault(_Table):
     """A trouble: when it begins, and for how long it holds."""
 
-    at_s: Seconds
-    for_s: Seconds = 0.0
+    start_s: Seconds = Field(alias="at_s")
+    duration_s: Seconds = Field(default=0.0, alias="for_s")
 
 
-class OfCopies(Timed):
+class ReplicaFault(TimedFault):
     """What happens to processes of the program.
 
     kill: SIGKILL, started again after `for_s` (never, if 0).  term: SIGTERM, started again once it ended.
@@ -159,12 +199,12 @@
     """
 
     kind: Literal["kill", "term", "pause", "hup", "upgrade", "clock", "full", "read_only", "damaged"]
-    who: Annotated[list[Party], Field(min_length=1)]
-    amount: Annotated[Figure, _bounded(-1e9, 1e9)] = 0.0
-    step_s: Seconds = 0.0  # between one copy and the next
+    parties: Annotated[list[Party], Field(min_length=1)] = Field(alias="who")
+    amount: Annotated[Quantity, _bounded(-1e9, 1e9)] = 0.0
+    stagger_s: Seconds = Field(default=0.0, alias="step_s")  # between one copy and the next
 
 
-class OfServers(Timed):
+class ServerFault(TimedFault):
     """What happens to servers.
 
     crash: its process ends, and comes back cold after `for_s` (never, if 0).  silent: its machine says
@@ -173,12 +213,12 @@
     """
 
     kind: Literal["crash", "silent", "slow", "errors", "drain"]
-    who: Annotated[list[Party], Field(min_length=1)]
+    parties: Annotated[list[Party], Field(min_length=1)] = Field(alias="who")
     amount: Amount = 0.5
-    step_s: Seconds = 0.0
+    stagger_s: Seconds = Field(default=0.0, alias="step_s")
 
 
-class OfLinks(Timed):
+class LinkFault(TimedFault):
     """What happens between two sets of parties, one way or both.
 
     cut: nothing passes; what waits is passed on afterwards.  hold: what is sent meanwhile comes when it
@@ -187,41 +227,43 @@
     """
 
     kind: Literal["cut", "hold", "delay", "loss", "double", "reorder", "reset"]
-    between: Annotated[list[Party], Field(min_length=1)]
-    to: Annotated[list[Party], Field(min_length=1)]
+    parties: Annotated[list[Party], Field(min_length=1)] = Field(alias="between")
+    other_parties: Annotated[list[Party], Field(min_length=1)] = Field(alias="to")
     both_ways: bool = True
     amount: Amount = 0.0
 
 
-class OfDiscovery(Timed):
+class DiscoveryFault(TimedFault):
     """discovery_down: calls fail and watches end.  discovery_late: changes are told `amount` ms later."""
 
     kind: Literal["discovery_down", "discovery_late"]
     amount: Amount = 0.0
 
 
-class OfLoad(Timed):
+class LoadFault(TimedFault):
     """surge: `amount` times the rate."""
 
     kind: Literal["surge"]
     amount: Positive = 1.5
 
 
-Trouble = Annotated[OfCopies | OfServers | OfLinks | OfDiscovery | OfLoad, Field(discriminator="kind")]
+Fault = Annotated[
+    ReplicaFault | ServerFault | LinkFault | DiscoveryFault | LoadFault, Field(discriminator="kind")
+]
 
 
-class World(Table):
+class Scenario(_Table):
     """The whole file."""
 
     name: Name
     about: str = ""
-    seconds: Annotated[float, Field(ge=1.0, le=3_600.0)] = 30.0
+    duration_s: Annotated[float, Field(ge=1.0, le=3_600.0)] = Field(default=30.0, alias="seconds")
     classes: Annotated[list[ServiceClass], Field(min_length=1, max_length=32)]
     zones: Annotated[list[Zone], Field(min_length=1, max_length=64)] = [Zone(name="a")]
     tenants: Annotated[list[Tenant], Field(max_length=256)] = []
-    servers: Annotated[list[Servers], Field(min_length=1, max_length=64)]
+    servers: Annotated[list[ServerGroup], Field(min_length=1, max_length=64)]
     sidecars: Sidecars
     discovery: Discovery = Discovery()
     network: Network = Network()
     clients: Clients
-    troubles: Annotated[list[Trouble], Field(max_length=1_000)] = []
+    faults: Annotated[list[Fault], Field(max_length=1_000)] = Field(default=[], alias="troubles")
--- a/testbed/simulation/clients.py
+++ b/testbed/simulation/clients.py
@@ -11,7 +11,7 @@
 from testbed import events as log
 from testbed.load.habits import MOST_RETRIES, Habits
 from testbed.scenario.arrivals import Arrival
-from testbed.scenario.day import Day
+from testbed.scenario.scenario_run import ScenarioRun
 from testbed.simulation.queue import Queue
 from testbed.simulation.servers import Sink
 
@@ -22,7 +22,14 @@
     """The application beside one copy."""
 
     def __init__(
-        self, day: Day, copy: int, queue: Queue, sink: Sink, rng: random.Random, take: Take, grace_us: int
+        self,
+        day: ScenarioRun,
+        copy: int,
+        queue: Queue,
+        sink: Sink,
+        rng: random.Random,
+        take: Take,
+        grace_us: int,
     ) -> None:
         self._day, self._copy, self._queue, self._sink = day, copy, queue, sink
         self._habits = Habits(day, rng)
@@ -33,7 +40,7 @@
     def begin(self, arrival: Arrival, place: int = 0) -> None:
         """A first try is due, or a retry."""
         due = self._habits.due(arrival, self._queue.now)
-        if len(self._out) >= self._day.clients.connections:
+        if len(self._out) >= self._day.clients.max_connections:
             self._waiting.append((arrival, due, place))
         else:
             self._ask(arrival, due, place)
@@ -48,19 +55,19 @@
             key=zlib.crc32(b"%x" % arrival.key),
             remaining_us=due - now,
             is_client_retry=place > 0,
-            is_write=kind.repeat != "read_like",
+            is_write=kind.idempotency != "read_like",
         )
         self._out[number] = arrival
         if due <= now or not self._take(number, event, arrival.work_us):
             del self._out[number]
             self._sink(
-                log.Unreached(
-                    at=now,
+                log.RequestNotSent(
+                    at_us=now,
                     request=number,
-                    first=arrival.number,
-                    copy=self._copy,
+                    client_request=arrival.number,
+                    replica=self._copy,
                     service_class=arrival.service_class,
-                    meant=arrival.at_us,
+                    scheduled_at_us=arrival.at_us,
                 )
             )
             self._retry(arrival, place, 0)
@@ -71,15 +78,15 @@
         """Its last byte was written to a connection that was accepted."""
         arrival = self._out[number]
         self._sink(
-            log.Taken(
-                at=self._queue.now,
+            log.RequestSent(
+                at_us=self._queue.now,
                 request=number,
-                first=arrival_first,
-                copy=self._copy,
+                client_request=arrival_first,
+                replica=self._copy,
                 service_class=arrival.service_class,
                 tenant=arrival.tenant,
-                meant=arrival.at_us,
-                due=due,
+                scheduled_at_us=arrival.at_us,
+                timeout_at_us=due,
             )
         )
 
@@ -91,8 +98,8 @@
         if arrival is None:
             return
         self._sink(
-            log.Answered(
-                at=self._queue.now, request=request, status=status, attempt=attempt, timed_out=timed_out
+            log.ResponseReceived(
+                at_us=self._queue.now, request=request, status=status, attempt=attempt, timed_out=timed_out
             )
         )
         if self._habits.may_repeat(arrival, status):
@@ -108,7 +115,7 @@
             self.answered(request, 0, -1, 0, timed_out=True)
 
     def _next(self) -> None:
-        while self._waiting and len(self._out) < self._day.clients.connections:
+        while self._waiting and len(self._out) < self._day.clients.max_connections:
             self._ask(*self._waiting.popleft())
 
     def _retry(self, arrival: Arrival, place: int, after_us: int) -> None:
--- a/testbed/simulation/play.py
+++ b/testbed/simulation/play.py
@@ -10,12 +10,12 @@
 from balancer.events import RequestArrived
 from balancer.settings_wire import settings_from_wire
 from testbed import events as log
-from testbed.catalog import server_lives
+from testbed.catalog import server_state_changes
 from testbed.links import NEVER, Link, Links
 from testbed.load.habits import MOST_RETRIES
-from testbed.scenario.arrivals import Arrival, arrivals
-from testbed.scenario.day import Day, Trouble
-from testbed.scenario.settings import killed_after_us, settings
+from testbed.scenario.arrivals import Arrival, draw_arrivals
+from testbed.scenario.scenario_run import Fault, ScenarioRun
+from testbed.scenario.settings import replica_settings, sigkill_delay_us
 from testbed.simulation.clients import Clients
 from testbed.simulation.discovery import ModelDiscovery
 from testbed.simulation.policies import Policy, SeesTrueState, policy_named
@@ -36,9 +36,9 @@
 
     def __init__(self, model: Model, number: int) -> None:
         self.queue, self.day, self.number = model.queue, model.day, number
-        self.settings: Settings = settings_from_wire(settings(model.day, number))
+        self.settings: Settings = settings_from_wire(replica_settings(model.day, number))
         self.servers, self.discovery = model.servers, model.discovery
-        own = self._party = model.day.copies[number].party
+        own = self._party = model.day.replicas[number].party
         self._model = model
         self._seeds = seeded(model.day.seed, own)
         rng = seeded(model.day.seed, f"load.{number}")
@@ -61,7 +61,7 @@
     def connected(self, server: int, *, opened: bool) -> None:
         """Log that a connection to a server was opened or closed."""
         at = self.queue.now
-        self._model.sink(log.Connected(at=at, copy=self.number, server=server, opened=opened))
+        self._model.sink(log.ConnectionChanged(at_us=at, replica=self.number, server=server, opened=opened))
 
     def tell(self, receiver: int | None, payload: bytes) -> None:
         """Send a datagram to one replica, or to all."""
@@ -76,7 +76,11 @@
 
     def _say(self, what: str, life: int, code: int | None = None) -> None:
         at = self.queue.now
-        self._model.sink(log.Copy(at=at, copy=self.number, life=life, what=what, code=code))
+        self._model.sink(
+            log.ReplicaStateChanged(
+                at_us=at, replica=self.number, incarnation=life, state=what, exit_code=code
+            )
+        )
 
     def start(self) -> None:
         """Start the next process; a restart takes `START_US`."""
@@ -90,7 +94,7 @@
         policy = self._model.policy(self.settings, self._seeds.getrandbits(64))
         if isinstance(policy, SeesTrueState):
             policy.look = self._model.held
-        self._process = Sidecar(self, policy, self.discovery.catalog.version(self.queue.now))
+        self._process = Sidecar(self, policy, self.discovery.catalog.version_at(self.queue.now))
         self._accepts = True
         self._say("ready", life)
 
@@ -103,13 +107,13 @@
         if counted is not None:
             at, (members, unavailable) = self.queue.now, counted
             self._model.sink(
-                log.Figures(
-                    at=at,
-                    copy=self.number,
-                    life=self._lives,
-                    pending=process.owed,
-                    members=members,
-                    unavailable=unavailable,
+                log.MetricsReported(
+                    at_us=at,
+                    replica=self.number,
+                    incarnation=self._lives,
+                    pending_requests=process.owed,
+                    listed_endpoints=members,
+                    unavailable_endpoints=unavailable,
                 )
             )
 
@@ -141,7 +145,7 @@
         if process is None or process.is_over:
             return
         self._say("stopping", life)
-        until = self.queue.now + killed_after_us(self.day)
+        until = self.queue.now + sigkill_delay_us(self.day)
         self.queue.after(_LISTENS_ON_US, self._stop_listening, process)
         self.queue.after(_LISTENS_ON_US, self._end_when_done, process, life, until)
 
@@ -170,7 +174,7 @@
 
     def _retire(self, old: Sidecar, life: int) -> None:
         self._say("stopping", life)
-        self._end_when_done(old, life, self.queue.now + killed_after_us(self.day))
+        self._end_when_done(old, life, self.queue.now + sigkill_delay_us(self.day))
 
     def pause(self) -> None:
         """Pause the process; pauses nest."""
@@ -192,7 +196,7 @@
 class Model:
     """One day."""
 
-    def __init__(self, day: Day, policy: Callable[[Settings, int], Policy], sink: Sink) -> None:
+    def __init__(self, day: ScenarioRun, policy: Callable[[Settings, int], Policy], sink: Sink) -> None:
         self.day, self.policy, self.sink = day, policy, sink
         self.queue = Queue()
         self.links = Links(day)
@@ -205,27 +209,27 @@
             day, self.queue, self.links, sink, seeded(day.seed, "discovery"), EPOCH_US
         )
         self._chances = seeded(day.seed, "datagrams")
-        self._copies = [Copy(self, copy.number) for copy in day.copies]
+        self._copies = [Copy(self, copy.number) for copy in day.replicas]
 
     def play(self) -> None:
         """The day, until every answer that comes has come."""
         for copy in self._copies:
             copy.start()
-        for at, server, what in server_lives(self.day):
+        for at, server, what in server_state_changes(self.day):
             self.queue.at(at, self.servers[server].live, what)
-        for trouble in self.day.troubles:
+        for trouble in self.day.faults:
             self._plan(trouble)
         self._figures()
-        coming = iter(arrivals(self.day))
+        coming = iter(draw_arrivals(self.day))
         self._next(coming)
         longest = max(kind.deadline_us for kind in self.day.classes)
-        self.queue.run(self.day.length_us + longest + 2 * _GRACE_US)
-        self.sink(log.Finished(at=self.queue.now))
+        self.queue.run(self.day.duration_us + longest + 2 * _GRACE_US)
+        self.sink(log.RunFinished(at_us=self.queue.now))
 
     def _figures(self) -> None:
         for copy in self._copies[:_FIGURES_OF]:
             copy.figures()
-        if self.queue.now < self.day.length_us:
+        if self.queue.now < self.day.duration_us:
             self.queue.after(_FIGURES_EVERY_US, self._figures)
 
     def held(self, server: str) -> int:
@@ -239,37 +243,37 @@
             self.queue.at(arrival.at_us, self._begin, arrival, coming)
 
     def _begin(self, arrival: Arrival, coming: Iterator[Arrival]) -> None:
-        self._copies[arrival.copy].client.begin(arrival)
+        self._copies[arrival.replica].client.begin(arrival)
         self._next(coming)
 
-    def _plan(self, trouble: Trouble) -> None:
+    def _plan(self, trouble: Fault) -> None:
         def log_begin() -> None:
-            self.sink(log.Trouble(at=self.queue.now, number=trouble.number, begins=True))
+            self.sink(log.FaultChanged(at_us=self.queue.now, fault_number=trouble.number, begins=True))
 
         def log_end() -> None:
-            self.sink(log.Trouble(at=self.queue.now, number=trouble.number, begins=False))
+            self.sink(log.FaultChanged(at_us=self.queue.now, fault_number=trouble.number, begins=False))
 
-        self.queue.at(trouble.at_us, log_begin)
-        if trouble.until_us > trouble.at_us:
-            self.queue.at(trouble.until_us, log_end)
-        for party in trouble.who:
+        self.queue.at(trouble.start_us, log_begin)
+        if trouble.end_us > trouble.start_us:
+            self.queue.at(trouble.end_us, log_end)
+        for party in trouble.parties:
             if not party.startswith("copy:"):
                 continue
             copy = self._copies[int(party[5:])]
             if trouble.kind in ("kill", "damaged", "clock"):
-                self.queue.at(trouble.at_us, self._kill, copy, trouble)
+                self.queue.at(trouble.start_us, self._kill, copy, trouble)
             elif trouble.kind == "term":
-                self.queue.at(trouble.at_us, copy.stop)
+                self.queue.at(trouble.start_us, copy.stop)
             elif trouble.kind == "upgrade":
-                self.queue.at(trouble.at_us, copy.upgrade)
+                self.queue.at(trouble.start_us, copy.upgrade)
             elif trouble.kind == "pause":
-                self.queue.at(trouble.at_us, copy.pause)
-                self.queue.at(trouble.until_us, copy.resume)
+                self.queue.at(trouble.start_us, copy.pause)
+                self.queue.at(trouble.end_us, copy.resume)
 
-    def _kill(self, copy: Copy, trouble: Trouble) -> None:
-        has_end = trouble.until_us > trouble.at_us
+    def _kill(self, copy: Copy, trouble: Fault) -> None:
+        has_end = trouble.end_us > trouble.start_us
         if copy.kill() and (has_end or trouble.kind != "kill"):
-            self.queue.at(trouble.until_us, copy.start)
+            self.queue.at(trouble.end_us, copy.start)
 
     def tell(self, sender: int, receiver: int | None, payload: bytes) -> None:
         """A datagram, or one to everybody."""
@@ -291,16 +295,18 @@
 
     def _datagram(self, sender: int, target: int, payload: bytes, *, passed: bool) -> None:
         at, size = self.queue.now, len(payload)
-        self.sink(log.Datagram(at=at, sender=sender, receiver=target, size=size, passed=passed))
+        self.sink(
+            log.DatagramSent(at_us=at, sender=sender, receiver=target, size_bytes=size, delivered=passed)
+        )
 
 
-def play(day: Day, policy: str, sink: Sink, variant: str | None = None) -> None:
+def play(day: ScenarioRun, policy: str, sink: Sink, variant: str | None = None) -> None:
     """Play a day with a policy by its name, and hand every event of its log to `sink`."""
-    sink(log.Began(at=log.BEFORE, day=day, engine="model", variant=variant or policy))
+    sink(log.RunStarted(at_us=log.BEFORE_RUN_US, run=day, engine="model", variant=variant or policy))
     Model(day, policy_named(policy), sink).play()
 
 
-def play_into(day: Day, policy: str, path: Path) -> None:
+def play_into(day: ScenarioRun, policy: str, path: Path) -> None:
     """Play a day and write its log."""
-    with log.Writer(path) as writer:
+    with log.EventLogWriter(path) as writer:
         play(day, policy, writer.write)
--- a/testbed/simulation/servers.py
+++ b/testbed/simulation/servers.py
@@ -7,7 +7,7 @@
 
 from testbed import events as log
 from testbed.links import NEVER, Links
-from testbed.scenario.day import Day, Server
+from testbed.scenario.scenario_run import ScenarioRun, Server
 from testbed.simulation.queue import Queue
 from testbed.station import Job, Place, Station
 
@@ -20,13 +20,13 @@
     """One server and its process."""
 
     def __init__(
-        self, day: Day, server: Server, queue: Queue, links: Links, sink: Sink, rng: random.Random
+        self, day: ScenarioRun, server: Server, queue: Queue, links: Links, sink: Sink, rng: random.Random
     ) -> None:
         self.server = server
         self.is_up = True
         self.epoch = 0  # of its process; connections to an older one are gone
         self.open = 0  # connections
-        self._station = Station(server, day.troubles)
+        self._station = Station(server, day.faults)
         self._queue, self._sink, self._rng = queue, sink, rng
         self.party = server.party
         self._day, self._links = day, links
@@ -49,7 +49,7 @@
         elif what == "up":
             self.is_up = True
             self._station.restart(now)
-        self._sink(log.Server(at=now, server=self.server.number, what=what))
+        self._sink(log.ServerStateChanged(at_us=now, server=self.server.number, state=what))
 
     def arrive(
         self, copy: int, request: int, attempt: int, sent: int, work: int, epoch: int, heard: Heard
@@ -60,14 +60,14 @@
             self._tell(copy, heard, "lost")
             return
         self._sink(
-            log.Arrived(
-                at=now,
+            log.AttemptReceived(
+                at_us=now,
                 request=request,
-                copy=copy,
+                replica=copy,
                 server=self.server.number,
                 attempt=attempt,
-                sent=sent,
-                work=work,
+                sent_at_us=sent,
+                work_us=work,
             )
         )
         self._owed[attempt] = copy, request, heard
@@ -88,11 +88,11 @@
 
     def _end(self, attempt: int, how: str) -> None:
         copy, request, heard = self._owed.pop(attempt)
-        self._sink(log.Ended(at=self._queue.now, attempt=attempt, request=request, how=how))
+        self._sink(log.AttemptEnded(at_us=self._queue.now, attempt=attempt, request=request, outcome=how))
         self._tell(copy, heard, how)
 
     def _tell(self, copy: int, heard: Heard, how: str) -> None:
-        link = self._links.between(self.party, self._day.copies[copy].party)
+        link = self._links.between(self.party, self._day.replicas[copy].party)
         if link.cuts_off(self._queue.now, self._rng.random()):
             how = "cut off"
         at = link.arrival(self._queue.now)
--- a/testbed/simulation/sidecar.py
+++ b/testbed/simulation/sidecar.py
@@ -30,9 +30,9 @@
     TimerFired,
 )
 from balancer.settings import Settings
-from testbed.catalog import Change
+from testbed.catalog import EntryChange
 from testbed.links import NEVER, Link
-from testbed.scenario.day import Day
+from testbed.scenario.scenario_run import ScenarioRun
 from testbed.simulation.clients import Clients
 from testbed.simulation.discovery import WATCH_US, ListAnswer, ModelDiscovery
 from testbed.simulation.policies import CountsEndpoints, Policy
@@ -79,7 +79,7 @@
     """What one process of a copy needs of the rest of the model."""
 
     queue: Queue
-    day: Day
+    day: ScenarioRun
     settings: Settings
     number: int
     servers: list[ModelServer]
@@ -110,7 +110,7 @@
         self._place, self._policy, self._queue = place, policy, place.queue
         self._held: dict[int, _Held] = {}
         self._idle: dict[int, list[tuple[int, int]]] = {}  # by server: (epoch, since), the latest last
-        self._listed: dict[int, Change] = {}
+        self._listed: dict[int, EntryChange] = {}
         self._events: deque[Event] = deque()
         self._handles = False
         self._version = version
@@ -119,7 +119,7 @@
         self._paused: list[Callable[[], None]] | None = None
         self.is_over = False
         self.owed = 0
-        known = place.discovery.catalog.whole(version)
+        known = place.discovery.catalog.full_list(version)
         cached = ListAnswer(version, known, is_complete=True)
         place.discovery.told(place.number, cached)
         self._take_list(cached)
@@ -276,7 +276,7 @@
         self._listed.update({change.server: change for change in answer.entries})
         for server, old in before.items():
             now = self._listed.get(server)
-            if now is None or now.state != "active" or now.started != old.started:
+            if now is None or now.state != "active" or now.started_at_us != old.started_at_us:
                 self._close_idle(server)
 
     # Attempts
@@ -328,7 +328,7 @@
 
     def _dialled(self, attempt: _Attempt) -> None:
         server = self._place.servers[attempt.server]
-        if not server.is_up or server.open >= server.server.connections:
+        if not server.is_up or server.open >= server.server.max_connections:
             self._ends(attempt, Outcome.CONNECT_FAILED)
             return
         server.open += 1
--- a/testbed/station.py
+++ b/testbed/station.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum, unique
 
-from testbed.scenario.day import Server, Trouble
+from testbed.scenario.scenario_run import Fault, Server
 
 
 @unique
@@ -34,10 +34,10 @@
 class Station:
     """One server's process at a time."""
 
-    def __init__(self, server: Server, troubles: tuple[Trouble, ...] = ()) -> None:
+    def __init__(self, server: Server, troubles: tuple[Fault, ...] = ()) -> None:
         self._server = server
-        self._slow = [each for each in troubles if each.kind == "slow" and server.party in each.who]
-        self._errors = [each for each in troubles if each.kind == "errors" and server.party in each.who]
+        self._slow = [each for each in troubles if each.kind == "slow" and server.party in each.parties]
+        self._errors = [each for each in troubles if each.kind == "errors" and server.party in each.parties]
         self._started: int | None = None  # None: long ago
         self._at_work: dict[int, Job] = {}
         self._waiting: deque[Job] = deque()
@@ -59,19 +59,24 @@
         """Of each slot, now: its own, less what cold, crowding and troubles take."""
         own = self._server
         speed = own.speed
-        if self._started is not None and now < self._started + own.cold_us:
-            speed *= own.cold_from + (1 - own.cold_from) * (now - self._started) / own.cold_us
-        if self.held > own.crowd_from and own.crowd_loss:
-            speed *= 1 - own.crowd_loss * min((self.held - own.crowd_from) / own.crowd_from, 1.0)
+        if self._started is not None and now < self._started + own.slow_start_us:
+            speed *= (
+                own.slow_start_initial_capacity
+                + (1 - own.slow_start_initial_capacity) * (now - self._started) / own.slow_start_us
+            )
+        if self.held > own.overload_threshold and own.overload_slowdown:
+            speed *= 1 - own.overload_slowdown * min(
+                (self.held - own.overload_threshold) / own.overload_threshold, 1.0
+            )
         for each in self._slow:
-            if each.at_us <= now < each.until_us:
+            if each.start_us <= now < each.end_us:
                 speed *= each.amount
         return max(speed, 1e-3)
 
     def error_rate(self, now: int) -> float:
         """The error rate at a time in microseconds: the greatest of the faults, else the server's own."""
         return max(
-            [each.amount for each in self._errors if each.at_us <= now < each.until_us],
+            [each.amount for each in self._errors if each.start_us <= now < each.end_us],
             default=self._server.error_rate,
         )
 
@@ -80,7 +85,7 @@
         if len(self._at_work) < self._server.slots:
             self._begin(now, job)
             return Place.WORKING
-        if len(self._waiting) < self._server.queue:
+        if len(self._waiting) < self._server.queue_limit:
             self._waiting.append(job)
             return Place.WAITING
         return Place.FULL
--- a/testbed/streams.py
+++ b/testbed/streams.py
@@ -6,7 +6,7 @@
 import random
 import sys
 
-from testbed.scenario.draw import stream
+from testbed.scenario.draw import random_stream
 
 MOST_LINE = 1 << 26  # bytes: a day with all of its parties
 
@@ -21,4 +21,4 @@
 
 def seeded(seed: int, subject: str) -> random.Random:
     """Random numbers of one subject, one at a time: quicker so than numpy's."""
-    return random.Random(int(stream(seed, subject).integers(1 << 62)))
+    return random.Random(int(random_stream(seed, subject).integers(1 << 62)))
--- a/tests/outer_names.py
+++ b/tests/outer_names.py
@@ -19,11 +19,11 @@
 from testbed import cli, events
 from testbed.capacity import rows
 from testbed.capacity.samples import Run
-from testbed.checker.series import Series
+from testbed.checker.time_series import TimeSeries
 from testbed.experiment.cell import Cell
 from testbed.experiment.store import Store
 from testbed.scale import plan, worker
-from testbed.scenario.schema import World
+from testbed.scenario.schema import Scenario
 
 ROOT = Path(__file__).parent.parent
 LIST = Path(__file__).parent / "data" / "outer_names.txt"
@@ -100,9 +100,9 @@
     "log events of the sidecar": lambda _: {
         event.name for event in LogEvent.__subclasses__() if hasattr(event, "name")
     },
-    "scenario files": lambda _: set(schema_names(World.model_json_schema(by_alias=True))),
+    "scenario files": lambda _: set(schema_names(Scenario.model_json_schema(by_alias=True))),
     "event log of the test bed": lambda _: struct_names(events.Event),
-    "time series of a report": lambda _: struct_names(Series),
+    "time series of a report": lambda _: struct_names(TimeSeries),
     "commands of the test bed": lambda _: command_names(),
     "experiment store": store_names,
     "cells of an experiment": lambda _: struct_names(Cell),
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -9,9 +9,9 @@
 import pytest
 
 from testbed import events as log
-from testbed.checker import account, judge
-from testbed.scenario import Day, draw
-from testbed.scenario.read import parse
+from testbed.checker import check_invariants, compute_account
+from testbed.scenario import ScenarioRun, draw_run
+from testbed.scenario.read import parse_scenario
 
 WORLD = """
 name = "judged"
@@ -53,8 +53,8 @@
 LOOK, BOOK, AMEND = 0, 1, 2
 
 
-def judged_day() -> Day:
-    return draw(parse(WORLD, "judged"), 1)
+def judged_day() -> ScenarioRun:
+    return draw_run(parse_scenario(WORLD, "judged"), 1)
 
 
 class Played:
@@ -62,8 +62,11 @@
 
     def __init__(self) -> None:
         self.events: list[log.Event] = [
-            log.Began(at=0, day=judged_day(), engine="model"),
-            *(log.Copy(at=0, copy=copy, life=1, what="ready") for copy in (0, 1)),
+            log.RunStarted(at_us=0, run=judged_day(), engine="model"),
+            *(
+                log.ReplicaStateChanged(at_us=0, replica=copy, incarnation=1, state="ready")
+                for copy in (0, 1)
+            ),
         ]
         self._attempt = 0
 
@@ -75,15 +78,15 @@
         self, request: int, at: int, kind: int = LOOK, copy: int = 0, first: int | None = None
     ) -> Played:
         return self.add(
-            log.Taken(
-                at=at,
+            log.RequestSent(
+                at_us=at,
                 request=request,
-                first=request if first is None else first,
-                copy=copy,
+                client_request=request if first is None else first,
+                replica=copy,
                 service_class=kind,
                 tenant=-1,
-                meant=at,
-                due=at + 1 * S,
+                scheduled_at_us=at,
+                timeout_at_us=at + 1 * S,
             )
         )
 
@@ -91,14 +94,22 @@
         self, request: int, at: int, how: str = "served", server: int = 1, copy: int = 0, work: int = 5 * MS
     ) -> int:
         number, self._attempt = self._attempt, self._attempt + 1
-        arrived = log.Arrived(
-            at=at, request=request, copy=copy, server=server, attempt=number, sent=at, work=work
+        arrived = log.AttemptReceived(
+            at_us=at,
+            request=request,
+            replica=copy,
+            server=server,
+            attempt=number,
+            sent_at_us=at,
+            work_us=work,
         )
-        self.add(arrived, log.Ended(at=at + 10 * MS, attempt=number, request=request, how=how))
+        self.add(arrived, log.AttemptEnded(at_us=at + 10 * MS, attempt=number, request=request, outcome=how))
         return number
 
     def answered(self, request: int, at: int, status: int = 200, attempt: int = -1, **more: Any) -> Played:
-        return self.add(log.Answered(at=at, request=request, status=status, attempt=attempt, **more))
+        return self.add(
+            log.ResponseReceived(at_us=at, request=request, status=status, attempt=attempt, **more)
+        )
 
     def served(self, request: int, at: int, kind: int = LOOK, **how: Any) -> Played:
         self.taken(request, at, kind, how.get("copy", 0))
@@ -107,11 +118,13 @@
 
     def told(self, at: int, server: int, state: str, started: int | None = None, copy: int = 0) -> Played:
         line = (server, state, started)
-        return self.add(log.Told(at=at, copy=copy, version=1, full=False, lines=[line]))
+        return self.add(
+            log.EndpointListDelivered(at_us=at, replica=copy, version=1, is_full=False, entries=[line])
+        )
 
     def rules(self, finished: bool = True) -> list[str]:
-        whole = [*self.events, log.Finished(at=20 * S)] if finished else self.events
-        return [each.rule for each in judge(log.ordered(whole)).breaches]
+        whole = [*self.events, log.RunFinished(at_us=20 * S)] if finished else self.events
+        return [each.invariant for each in check_invariants(log.sort_events(whole)).violations]
 
 
 def test_a_day_in_order_breaks_nothing() -> None:
@@ -119,7 +132,7 @@
     for number in range(20):
         day.served(number, number * 500 * MS, number % 3, copy=number % 2, server=number % 4)
     assert day.rules() == []
-    assert judge([*day.events, log.Finished(at=20 * S)]).word == "kept"
+    assert check_invariants([*day.events, log.RunFinished(at_us=20 * S)]).label == "kept"
 
 
 def _never(day: Played) -> None:
@@ -171,24 +184,24 @@
 
 def _left_out_of_a_whole_list(day: Played) -> None:
     lines: list[tuple[int, str, int | None]] = [(number, "active", None) for number in range(4)]
-    day.add(log.Told(at=0, copy=0, version=1, full=True, lines=lines))
-    day.add(log.Told(at=1 * S, copy=0, version=2, full=True, lines=lines[:1]))
+    day.add(log.EndpointListDelivered(at_us=0, replica=0, version=1, is_full=True, entries=lines))
+    day.add(log.EndpointListDelivered(at_us=1 * S, replica=0, version=2, is_full=True, entries=lines[:1]))
     day.served(1, 4 * S, server=1)
 
 
 def _cold(day: Played) -> None:
-    day.add(log.Server(at=5 * S, server=0, what="up")).told(5 * S, 0, "active", started=5 * S)
+    day.add(log.ServerStateChanged(at_us=5 * S, server=0, state="up")).told(5 * S, 0, "active", started=5 * S)
     for number in range(20):  # 3 x 0.2 x 1.5 s bear 900 ms of work a window
         day.served(number, 5 * S + 100 * MS + number * 10 * MS, server=0, work=60 * MS)
 
 
 def _crash(day: Played) -> None:
-    day.add(log.Copy(at=4 * S, copy=0, life=1, what="ended", code=1))
+    day.add(log.ReplicaStateChanged(at_us=4 * S, replica=0, incarnation=1, state="ended", exit_code=1))
 
 
 def _bad_end(day: Played) -> None:
-    day.add(log.Copy(at=3 * S, copy=0, life=1, what="stopping"))
-    day.add(log.Copy(at=4 * S, copy=0, life=1, what="ended", code=1))
+    day.add(log.ReplicaStateChanged(at_us=3 * S, replica=0, incarnation=1, state="stopping"))
+    day.add(log.ReplicaStateChanged(at_us=4 * S, replica=0, incarnation=1, state="ended", exit_code=1))
 
 
 BROKEN: list[tuple[Callable[[Played], None], str]] = [
@@ -218,19 +231,19 @@
 
 def _killed_meanwhile(day: Played) -> None:
     day.taken(1, 1 * S).answered(1, 1 * S + 500 * MS, status=0)
-    day.add(log.Copy(at=1 * S + 499 * MS, copy=0, life=1, what="killed"))
+    day.add(log.ReplicaStateChanged(at_us=1 * S + 499 * MS, replica=0, incarnation=1, state="killed"))
 
 
 def _paused_meanwhile(day: Played) -> None:
     day.taken(1, 1 * S).answered(1, 3 * S, status=0, timed_out=True)
-    day.add(log.Copy(at=500 * MS, copy=0, life=1, what="paused"))
-    day.add(log.Copy(at=10 * S, copy=0, life=1, what="resumed"))
+    day.add(log.ReplicaStateChanged(at_us=500 * MS, replica=0, incarnation=1, state="paused"))
+    day.add(log.ReplicaStateChanged(at_us=10 * S, replica=0, incarnation=1, state="resumed"))
 
 
 def _came_too_late_for_the_end(day: Played) -> None:
-    day.add(log.Copy(at=1 * S, copy=0, life=1, what="stopping"))
+    day.add(log.ReplicaStateChanged(at_us=1 * S, replica=0, incarnation=1, state="stopping"))
     day.taken(1, 1 * S + 900 * MS).answered(1, 2 * S, status=0)
-    day.add(log.Copy(at=2 * S, copy=0, life=1, what="ended", code=0))
+    day.add(log.ReplicaStateChanged(at_us=2 * S, replica=0, incarnation=1, state="ended", exit_code=0))
 
 
 def _full_then_served(day: Played) -> None:
@@ -257,11 +270,11 @@
 
 def _cold_unknown(day: Played) -> None:
     _cold(day)
-    day.events = [each for each in day.events if not isinstance(each, log.Told)]
+    day.events = [each for each in day.events if not isinstance(each, log.EndpointListDelivered)]
 
 
 def _cold_no_more(day: Played) -> None:
-    day.add(log.Server(at=2 * S, server=0, what="up")).told(2 * S, 0, "active", started=2 * S)
+    day.add(log.ServerStateChanged(at_us=2 * S, server=0, state="up")).told(2 * S, 0, "active", started=2 * S)
     for number in range(20):
         day.served(number, 13 * S + number * 10 * MS, server=0, work=60 * MS)
 
@@ -291,13 +304,13 @@
 def test_a_log_that_was_cut_off_holds_nobody_to_what_it_does_not_show() -> None:
     day = Played().taken(1, 1 * S)
     assert day.rules(finished=False) == []
-    assert judge(day.events).word == "cut off"
+    assert check_invariants(day.events).label == "cut off"
 
 
 def test_a_ground_that_was_late_itself_is_not_scored() -> None:
-    late = [log.Late(at=second * S, who="load 0", by=200 * MS) for second in range(4)]
-    verdict = judge([*Played().events, *late, log.Finished(at=20 * S)])
-    assert verdict.word == "unfair" and "load 0 was late in 4 of 20 s" in verdict.unfair[0]
+    late = [log.WriterLate(at_us=second * S, writer="load 0", late_us=200 * MS) for second in range(4)]
+    verdict = check_invariants([*Played().events, *late, log.RunFinished(at_us=20 * S)])
+    assert verdict.label == "unfair" and "load 0 was late in 4 of 20 s" in verdict.unscored_reasons[0]
 
 
 def test_the_account_counts_worth_by_class_and_second() -> None:
@@ -305,20 +318,20 @@
     day.taken(3, 3 * S, BOOK).answered(3, 3 * S + MS, status=503)
     late = day.taken(4, 4 * S, LOOK).attempt(4, 4 * S)
     day.answered(4, 4 * S + 500 * MS, attempt=late)
-    told = account([*day.events, log.Finished(at=20 * S)])
-    assert told.asked == 4
+    told = compute_account([*day.events, log.RunFinished(at_us=20 * S)])
+    assert told.client_requests == 4
     assert told.by_class == {"look": pytest.approx(0.6), "book": pytest.approx(0.5), "amend": 1.0}
-    assert told.served == pytest.approx((1 + 3 + 0.2) / 8)
+    assert told.served_fraction == pytest.approx((1 + 3 + 0.2) / 8)
     assert told.by_second[1:5] == [1.0, 1.0, 0.0, pytest.approx(0.2)]
-    assert told.refused == pytest.approx(0.25) and told.failed == 0
+    assert told.rejected_fraction == pytest.approx(0.25) and told.failed_fraction == 0
 
 
 def test_a_retry_belongs_to_its_first_try() -> None:
     day = Played().taken(1, 1 * S).answered(1, 1 * S + 10 * MS, status=503)
     again = day.taken(2, 1 * S + 100 * MS, first=1).attempt(2, 1 * S + 110 * MS)
     day.answered(2, 1 * S + 130 * MS, attempt=again)
-    told = account([*day.events, log.Finished(at=20 * S)])
-    assert (told.asked, told.served) == (1, 1.0)
+    told = compute_account([*day.events, log.RunFinished(at_us=20 * S)])
+    assert (told.client_requests, told.served_fraction) == (1, 1.0)
 
 
 def test_recovery_is_counted_from_the_end_of_the_trouble() -> None:
@@ -328,26 +341,26 @@
             day.taken(second, second * S).answered(second, second * S + MS, status=503)
         else:
             day.served(second, second * S)
-    told = account([*day.events, log.Finished(at=20 * S)])
+    told = compute_account([*day.events, log.RunFinished(at_us=20 * S)])
     assert told.recovery_s == [(0, "crash", 3.0)]
 
 
 def test_parts_are_put_together_by_time_and_a_torn_line_is_left_out(tmp_path: Path) -> None:
     first, second = tmp_path / "part-a.jsonl", tmp_path / "part-b.jsonl"
-    with log.Writer(first) as writer:
-        writer.write(log.Began(at=0, day=judged_day(), engine="model"))
-        writer.write(log.Late(at=30, who="x", by=1))
-    with log.Writer(second) as writer:
-        writer.write(log.Late(at=20, who="y", by=1))
+    with log.EventLogWriter(first) as writer:
+        writer.write(log.RunStarted(at_us=0, run=judged_day(), engine="model"))
+        writer.write(log.WriterLate(at_us=30, writer="x", late_us=1))
+    with log.EventLogWriter(second) as writer:
+        writer.write(log.WriterLate(at_us=20, writer="y", late_us=1))
     with second.open("ab") as file:
         file.write(b'{"is":"late","at":4')
-    whole = log.merge(tmp_path)
-    assert [each.at for each in log.load(whole)] == [0, 20, 30] and log.load(tmp_path) == log.load(whole)
+    whole = log.merge_parts(tmp_path)
+    assert [each.at_us for each in log.load(whole)] == [0, 20, 30] and log.load(tmp_path) == log.load(whole)
     assert list(tmp_path.iterdir()) == [whole]
 
 
 def test_a_line_that_is_no_event_is_named(tmp_path: Path) -> None:
     path = tmp_path / "log.jsonl"
     path.write_text('{"is":"late","at":4,"who":"x","by":1}\nnonsense\n{"is":"finished","at":9}\n')
-    with pytest.raises(log.LogError, match="line 2"):
+    with pytest.raises(log.EventLogError, match="line 2"):
         log.load(path)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -94,5 +94,5 @@
     assert player.returncode == 130
     assert player.stderr is not None and "interrupted" in player.stderr.read()
     player.stderr.close()
-    assert isinstance(log.load(out)[0], log.Began)
+    assert isinstance(log.load(out)[0], log.RunStarted)
     assert ran("judge", out).returncode == 3
--- a/tests/test_configuration_rollout.py
+++ b/tests/test_configuration_rollout.py
@@ -91,7 +91,7 @@
     base = read_small().replace("count = 2", f"count = {count}\nconsole = true")
     day = a_day(faults, base)
     clock = DayClock()
-    with log.Writer(folder / "log.jsonl") as writer:
+    with log.EventLogWriter(folder / "log.jsonl") as writer:
         relay = Relay(clock, Links(day), writer, random.Random(1))
         copies = [
             Copy(
@@ -105,7 +105,7 @@
                 random.Random(2),
                 30.0,
             )
-            for each in day.copies
+            for each in day.replicas
         ]
         await relay.start("127.15.0.1", [each.peer_listen for each in copies])
         for each in copies:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -18,14 +18,14 @@
 from test_ground import a_day, trouble
 
 from testbed import events as log
-from testbed.checker import judge
+from testbed.checker import check_invariants
 from testbed.clock import DayClock
 from testbed.emulator.copies import PlayError, Sidecar
 from testbed.emulator.play import Ground
 from testbed.emulator.play import play as play_day
 from testbed.emulator.switch import Gate, Handler, Passage
 from testbed.links import Links
-from testbed.scenario import Day, arrivals, draw, read
+from testbed.scenario import ScenarioRun, draw_arrivals, draw_run, read_scenario
 
 ROOT = Path(__file__).parent.parent
 PROGRAM = f"exec {sys.executable} -m sidecar"
@@ -50,27 +50,33 @@
     return out
 
 
-def played(day: Day, folder: Path, **how: Any) -> list[log.Event]:
+def played(day: ScenarioRun, folder: Path, **how: Any) -> list[log.Event]:
     return log.load(asyncio.run(play_day(day, ground(folder, **how))))
 
 
 def test_three_copies_one_cut_off_and_one_killed_in_the_middle(tmp_path: Path) -> None:
-    day = draw(read("three-copies"), 1)
+    day = draw_run(read_scenario("three-copies"), 1)
     events = played(day, tmp_path)
-    verdict = judge(events, slack_us=GENEROUS_US)
-    assert verdict.breaches == () and verdict.is_complete
-    asked = {each.first for each in events if isinstance(each, log.Taken | log.Unreached)}
-    assert asked == {each.number for each in arrivals(day)}
-    served = [each for each in events if isinstance(each, log.Answered) and each.status == 200]
+    verdict = check_invariants(events, slack_us=GENEROUS_US)
+    assert verdict.violations == () and verdict.is_complete
+    asked = {each.client_request for each in events if isinstance(each, log.RequestSent | log.RequestNotSent)}
+    assert asked == {each.number for each in draw_arrivals(day)}
+    served = [each for each in events if isinstance(each, log.ResponseReceived) and each.status == 200]
     assert len(served) > len(asked) / 2
     lives = [
-        (each.copy, each.life, each.what) for each in events if isinstance(each, log.Copy) and each.at > 0
+        (each.replica, each.incarnation, each.state)
+        for each in events
+        if isinstance(each, log.ReplicaStateChanged) and each.at_us > 0
     ]
     assert lives == [(1, 1, "killed"), (1, 2, "started"), (1, 2, "ready")]
-    troubles = [(each.number, each.begins) for each in events if isinstance(each, log.Trouble)]
+    troubles = [(each.fault_number, each.begins) for each in events if isinstance(each, log.FaultChanged)]
     assert sorted(troubles) == [(number, begins) for number in range(3) for begins in (False, True)]
-    cut = [each.at for each in events if isinstance(each, log.Trouble) and each.number == 0]
-    heard = [each.at for each in events if isinstance(each, log.Told) and each.copy == 0 and each.at > 0]
+    cut = [each.at_us for each in events if isinstance(each, log.FaultChanged) and each.fault_number == 0]
+    heard = [
+        each.at_us
+        for each in events
+        if isinstance(each, log.EndpointListDelivered) and each.replica == 0 and each.at_us > 0
+    ]
     assert heard and not any(cut[0] < at < cut[1] for at in heard)
     assert running_below(tmp_path) == []
 
@@ -96,8 +102,8 @@
     events = log.load(
         asyncio.run(play_day(day, ground(tmp_path / "day", f"exec {sys.executable} {tmp_path}/liar.py")))
     )
-    found = judge(events, slack_us=GENEROUS_US).breaches
-    assert found and {each.rule for each in found} == {"foreign"}
+    found = check_invariants(events, slack_us=GENEROUS_US).violations
+    assert found and {each.invariant for each in found} == {"foreign"}
 
 
 def read_small() -> str:
@@ -157,7 +163,7 @@
         await until(lambda: running_below(tmp_path) == [])
 
     play(work)
-    assert judge(log.load(tmp_path)).word == "cut off"
+    assert check_invariants(log.load(tmp_path)).label == "cut off"
 
 
 # The switch, on real connections
@@ -324,14 +330,24 @@
     base = read_small().replace("seconds = 1", "seconds = 4").replace("count = 1", "count = 4")
     day = a_day(EVERY_TROUBLE, base.replace("count = 2", "count = 3\noperated = true"))
     events = played(day, tmp_path)
-    verdict = judge(events, slack_us=GENEROUS_US)
-    assert verdict.breaches == () and verdict.is_complete
-    said = [(each.copy, each.what) for each in events if isinstance(each, log.Copy) and each.at > 0]
+    verdict = check_invariants(events, slack_us=GENEROUS_US)
+    assert verdict.violations == () and verdict.is_complete
+    said = [
+        (each.replica, each.state)
+        for each in events
+        if isinstance(each, log.ReplicaStateChanged) and each.at_us > 0
+    ]
     assert {(0, "stopping"), (0, "killed"), (1, "paused"), (1, "killed"), (2, "stopping")} <= set(said)
     for copy, lives in ((0, 3), (1, 2), (2, 2)):
-        ready = {each.life for each in events if isinstance(each, log.Copy) and each.copy == copy}
+        ready = {
+            each.incarnation
+            for each in events
+            if isinstance(each, log.ReplicaStateChanged) and each.replica == copy
+        }
         assert ready == set(range(1, lives + 1))
-    doors = {each.copy for each in events if isinstance(each, log.Figures) and each.members}
+    doors = {
+        each.replica for each in events if isinstance(each, log.MetricsReported) and each.listed_endpoints
+    }
     assert doors == {0, 1, 2}
     assert running_below(tmp_path) == []
 
@@ -346,10 +362,10 @@
 
 def test_both_processes_of_an_upgrade_are_ended_at_the_close(tmp_path: Path) -> None:
     async def work() -> None:
-        with log.Writer(tmp_path / "part.jsonl") as writer:
+        with log.EventLogWriter(tmp_path / "part.jsonl") as writer:
             day, clock = a_day(base=read_small()), DayClock()
             rng, folder = random.Random(1), tmp_path / "copy"
-            copy = Sidecar(day, day.copies[0], "exec sleep 600", ROOT, folder, clock, writer, rng, 1.0)
+            copy = Sidecar(day, day.replicas[0], "exec sleep 600", ROOT, folder, clock, writer, rng, 1.0)
             copy.configure("127.0.0.1:9", [], "")
             for life in (1, 2):
                 with pytest.raises(PlayError, match="not ready"):
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -21,8 +21,8 @@
 from testbed.experiment.store import Key, Store
 from testbed.experiment.variants import PARTS, variant
 from testbed.report.page import page
-from testbed.scenario import draw, read
-from testbed.scenario.settings import settings
+from testbed.scenario import draw_run, read_scenario
+from testbed.scenario.settings import replica_settings
 
 MODULE, RANDOM = variant("module"), variant("random")
 
@@ -132,8 +132,8 @@
 def test_a_changed_setting_is_told_to_every_copy_and_a_rate_to_the_load() -> None:
     cell = Cell("w", read_small(), 1, "v", "model", "", changed=("bounds.mayCancel", "false"), rate=2.0)
     day = drawn(cell)
-    assert day.clients.rate_per_s == 40 and settings(day, 1)["bounds"]["mayCancel"] is False
-    assert settings(draw(read("calm"), 1), 0)["bounds"]["mayCancel"] is True
+    assert day.clients.rate_per_s == 40 and replica_settings(day, 1)["bounds"]["mayCancel"] is False
+    assert replica_settings(draw_run(read_scenario("calm"), 1), 0)["bounds"]["mayCancel"] is True
 
 
 def test_the_page_is_self_contained_and_escapes_what_logs_say() -> None:
--- a/tests/test_ground.py
+++ b/tests/test_ground.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from testbed.catalog import Catalog
+from testbed.catalog import EndpointCatalog
 from testbed.links import NEVER, Links
-from testbed.scenario import Day, draw
-from testbed.scenario.read import parse
+from testbed.scenario import ScenarioRun, draw_run
+from testbed.scenario.read import parse_scenario
 from testbed.station import Job, Place, Station
 
 S = 1_000_000
@@ -42,8 +42,8 @@
 """
 
 
-def a_day(troubles: str = "", base: str = BASE) -> Day:
-    return draw(parse(base + troubles, "ground"), 1)
+def a_day(troubles: str = "", base: str = BASE) -> ScenarioRun:
+    return draw_run(parse_scenario(base + troubles, "ground"), 1)
 
 
 def trouble(kind: str, at: float, length: float, **more: object) -> str:
@@ -83,7 +83,7 @@
         "errors", 20, 5, who=["server:0"], amount=0.3
     )
     day = a_day(troubles, crowded)
-    station = Station(day.servers[0], day.troubles)
+    station = Station(day.servers[0], day.faults)
     assert station.speed(0) == 1.0 and station.speed(12 * S) == 0.25 and station.speed(15 * S) == 1.0
     assert station.error_rate(0) == 0.0 and station.error_rate(21 * S) == 0.3
     for number in range(4):
@@ -178,18 +178,25 @@
 
 def test_the_catalog_tells_crashes_and_drains_late() -> None:
     text = trouble("crash", 1, 2, who=["server:0"]) + trouble("drain", 5, 2, who=["server:1"])
-    catalog = Catalog(a_day(text))
-    assert [(each.at, each.server, each.state, each.started) for each in catalog.changes] == [
+    catalog = EndpointCatalog(a_day(text))
+    assert [(each.at_us, each.server, each.state, each.started_at_us) for each in catalog.changes] == [
         (1_100_000, 0, "left", None),
         (3_100_000, 0, "active", 3 * S),
         (5_100_000, 1, "leaving", None),
         (7_100_000, 1, "left", None),
     ]
-    assert catalog.version(0) == 1 and catalog.version(1_100_000) == 2 and catalog.next_change(8 * S) is None
-    assert [each.server for each in catalog.whole(2)] == [1]
-    assert [(each.server, each.state) for each in catalog.since(1, 4)] == [(0, "active"), (1, "leaving")]
+    assert (
+        catalog.version_at(0) == 1
+        and catalog.version_at(1_100_000) == 2
+        and catalog.next_change_at(8 * S) is None
+    )
+    assert [each.server for each in catalog.full_list(2)] == [1]
+    assert [(each.server, each.state) for each in catalog.changes_between(1, 4)] == [
+        (0, "active"),
+        (1, "leaving"),
+    ]
 
 
 def test_late_discovery_tells_later() -> None:
     text = trouble("discovery_late", 0.5, 10, amount=2_000) + trouble("crash", 1, 2, who=["server:0"])
-    assert [each.at for each in Catalog(a_day(text)).changes] == [3_100_000, 5_100_000]
+    assert [each.at_us for each in EndpointCatalog(a_day(text)).changes] == [3_100_000, 5_100_000]
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -26,7 +26,10 @@
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        with socket.create_server(("127.0.0.1", 0)) as listener, log.Writer(folder / "part.jsonl") as writer:
+        with (
+            socket.create_server(("127.0.0.1", 0)) as listener,
+            log.EventLogWriter(folder / "part.jsonl") as writer,
+        ):
             listener.setblocking(False)
             clock = DayClock()
             clock.begin(0)
@@ -64,7 +67,7 @@
         await until(lambda: ask.sent_again)
 
     written = with_a_connection(tmp_path, act)
-    assert not any(isinstance(each, log.Answered) for each in written)
+    assert not any(isinstance(each, log.ResponseReceived) for each in written)
 
 
 @pytest.mark.parametrize(
@@ -84,7 +87,7 @@
         await until(lambda: ask.is_over)
         assert not ask.sent_again
 
-    answers = [each for each in with_a_connection(tmp_path, act) if isinstance(each, log.Answered)]
+    answers = [each for each in with_a_connection(tmp_path, act) if isinstance(each, log.ResponseReceived)]
     assert [(each.status, each.timed_out) for each in answers] == [(0, False)]
 
 
@@ -96,5 +99,5 @@
         other.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         await until(lambda: ask.is_over)
 
-    answers = [each for each in with_a_connection(tmp_path, act) if isinstance(each, log.Answered)]
+    answers = [each for each in with_a_connection(tmp_path, act) if isinstance(each, log.ResponseReceived)]
     assert [(each.status, each.attempt) for each in answers] == [(200, -1)]
--- a/tests/test_recorded_samples.py
+++ b/tests/test_recorded_samples.py
@@ -201,7 +201,7 @@
 
 def test_the_recorded_event_log_is_read_and_written_the_same(tmp_path: Path) -> None:
     recorded = RECORDED / "event-log.jsonl"
-    with events.Writer(tmp_path / "log.jsonl") as writer:
+    with events.EventLogWriter(tmp_path / "log.jsonl") as writer:
         for event in events.load(recorded):
             writer.write(event)
     assert (tmp_path / "log.jsonl").read_bytes() == recorded.read_bytes()
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -5,8 +5,16 @@
 import msgspec
 import pytest
 
-from testbed.scenario import Arrival, Day, WorldError, arrivals, draw, read, shipped_worlds
-from testbed.scenario.read import parse
+from testbed.scenario import (
+    Arrival,
+    ScenarioError,
+    ScenarioRun,
+    draw_arrivals,
+    draw_run,
+    read_scenario,
+    shipped_scenarios,
+)
+from testbed.scenario.read import parse_scenario
 
 SMALL = """
 name = "small"
@@ -45,9 +53,9 @@
 def test_every_fault_is_told_at_once_by_key_value_and_remedy() -> None:
     wrong = SMALL.replace("share = 3", "share = -3").replace("count = 4", 'count = "many"\ncolour = "red"')
     wrong = wrong.replace('who = ["server:50%"]', 'who = ["sever:1"]')
-    with pytest.raises(WorldError) as told:
-        parse(wrong, "wrong.toml")
-    by_key = {fault.partition(":")[0]: fault for fault in told.value.faults}
+    with pytest.raises(ScenarioError) as told:
+        parse_scenario(wrong, "wrong.toml")
+    by_key = {fault.partition(":")[0]: fault for fault in told.value.errors}
     assert {"classes[0].share", "sidecars.count", "sidecars.colour", "troubles[0].who[0]"} <= set(by_key)
     assert "-3" in by_key["classes[0].share"] and "from 0.001" in by_key["classes[0].share"]
     assert "take it out" in by_key["sidecars.colour"]
@@ -66,45 +74,47 @@
     ids=lambda each: each if isinstance(each, str) and len(each) < 20 else "",
 )
 def test_contradictions_are_told(old: str, new: str, told: str) -> None:
-    with pytest.raises(WorldError) as fault:
-        parse(SMALL.replace(old, new), "wrong.toml")
-    assert any(each.startswith(told) for each in fault.value.faults), fault.value.faults
+    with pytest.raises(ScenarioError) as fault:
+        parse_scenario(SMALL.replace(old, new), "wrong.toml")
+    assert any(each.startswith(told) for each in fault.value.errors), fault.value.errors
 
 
 def test_the_same_seed_draws_the_same_day_and_another_another() -> None:
-    world = parse(SMALL, "small")
-    assert draw(world, 5) == draw(world, 5) and arrivals(draw(world, 5)) == arrivals(draw(world, 5))
-    assert draw(world, 5) != draw(world, 6)
+    world = parse_scenario(SMALL, "small")
+    assert draw_run(world, 5) == draw_run(world, 5) and draw_arrivals(draw_run(world, 5)) == draw_arrivals(
+        draw_run(world, 5)
+    )
+    assert draw_run(world, 5) != draw_run(world, 6)
 
 
 def test_one_figure_more_shifts_no_other() -> None:
-    before = draw(parse(SMALL, "small"), 5)
-    after = draw(parse(SMALL.replace("rate_per_s = 100", "rate_per_s = [50, 60]"), "small"), 5)
+    before = draw_run(parse_scenario(SMALL, "small"), 5)
+    after = draw_run(parse_scenario(SMALL.replace("rate_per_s = 100", "rate_per_s = [50, 60]"), "small"), 5)
     assert after.clients.rate_per_s != before.clients.rate_per_s
-    assert (after.servers, after.classes, after.troubles) == (before.servers, before.classes, before.troubles)
+    assert (after.servers, after.classes, after.faults) == (before.servers, before.classes, before.faults)
 
 
 def test_a_day_is_plain_data_that_survives_json() -> None:
-    day = draw(parse(SMALL, "small"), 5)
-    assert msgspec.json.decode(msgspec.json.encode(day), type=Day) == day
+    day = draw_run(parse_scenario(SMALL, "small"), 5)
+    assert msgspec.json.decode(msgspec.json.encode(day), type=ScenarioRun) == day
 
 
 def test_ranges_parts_and_steps_are_drawn_within_their_bounds() -> None:
-    day = draw(parse(SMALL, "small"), 5)
+    day = draw_run(parse_scenario(SMALL, "small"), 5)
     assert all(0.5 <= each.speed <= 1.5 for each in day.servers)
     assert len({each.speed for each in day.servers}) == 6
-    crash, *terms = day.troubles
-    assert 2_000_000 <= crash.at_us <= 4_000_000 and crash.until_us == crash.at_us + 1_000_000
-    assert len(crash.who) == 3 and len(set(crash.who)) == 3
-    assert [(each.at_us, each.who) for each in terms] == [
+    crash, *terms = day.faults
+    assert 2_000_000 <= crash.start_us <= 4_000_000 and crash.end_us == crash.start_us + 1_000_000
+    assert len(crash.parties) == 3 and len(set(crash.parties)) == 3
+    assert [(each.start_us, each.parties) for each in terms] == [
         (5_000_000 + number * 1_000_000, (f"copy:{number}",)) for number in range(4)
     ]
 
 
 def test_arrivals_follow_rate_shares_and_surge() -> None:
     surge = '[[troubles]]\nkind = "surge"\nat_s = 10\nfor_s = 5\namount = 3\n'
-    day = draw(parse(SMALL.replace("seconds = 20", "seconds = 200") + surge, "small"), 5)
-    came: list[Arrival] = arrivals(day)
+    day = draw_run(parse_scenario(SMALL.replace("seconds = 20", "seconds = 200") + surge, "small"), 5)
+    came: list[Arrival] = draw_arrivals(day)
     assert [each.at_us for each in came] == sorted(each.at_us for each in came)
     during = sum(10_000_000 <= each.at_us < 15_000_000 for each in came)
     assert 1_300 < during < 1_700  # 5 s at 300 a second
@@ -113,7 +123,7 @@
     assert 0.73 < sum(each.service_class == 0 for each in rest) / len(rest) < 0.77
 
 
-@pytest.mark.parametrize("name", shipped_worlds())
+@pytest.mark.parametrize("name", shipped_scenarios())
 def test_shipped_worlds_can_be_played(name: str) -> None:
-    day = draw(read(name), 1)
-    assert day.world == name and arrivals(day)
+    day = draw_run(read_scenario(name), 1)
+    assert day.scenario == name and draw_arrivals(day)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -22,43 +22,46 @@
 )
 from balancer.settings_wire import settings_from_wire
 from testbed import events as log
-from testbed.checker import account, judge
-from testbed.scenario import Day, draw, read, shipped_worlds
-from testbed.scenario.read import parse
-from testbed.scenario.settings import settings
+from testbed.checker import check_invariants, compute_account
+from testbed.scenario import ScenarioRun, draw_run, read_scenario, shipped_scenarios
+from testbed.scenario.read import parse_scenario
+from testbed.scenario.settings import replica_settings
 from testbed.simulation.play import play, play_into
 from testbed.simulation.policies import POLICIES, SeesTrueState
 
 
-def modelled(day: Day, policy: str = "module") -> list[log.Event]:
+def modelled(day: ScenarioRun, policy: str = "module") -> list[log.Event]:
     out: list[log.Event] = []
     play(day, policy, out.append)
     return out
 
 
 def test_the_same_day_gives_the_same_log(tmp_path: Path) -> None:
-    day = draw(read("zone-lost"), 3)
+    day = draw_run(read_scenario("zone-lost"), 3)
     for name in ("one", "other"):
         play_into(day, "module", tmp_path / name)
     assert (tmp_path / "one").read_bytes() == (tmp_path / "other").read_bytes()
 
 
-@pytest.mark.parametrize("world", [each for each in shipped_worlds() if each != "fleet"])
+@pytest.mark.parametrize("world", [each for each in shipped_scenarios() if each != "fleet"])
 def test_the_module_keeps_the_rules_on_every_shipped_world(world: str) -> None:
-    verdict = judge(modelled(draw(read(world), 2)))
-    assert verdict.word == "kept", verdict.breaches[:3]
+    verdict = check_invariants(modelled(draw_run(read_scenario(world), 2)))
+    assert verdict.label == "kept", verdict.violations[:3]
 
 
 @pytest.mark.parametrize("policy", sorted(POLICIES))
 def test_every_policy_answers_what_it_took(policy: str) -> None:
-    events = modelled(draw(read("three-copies"), 4), policy)
-    assert {each.rule for each in judge(events).breaches} <= {"drained", "cold"}
-    assert account(events).served > 0.8
+    events = modelled(draw_run(read_scenario("three-copies"), 4), policy)
+    assert {each.invariant for each in check_invariants(events).violations} <= {"drained", "cold"}
+    assert compute_account(events).served_fraction > 0.8
 
 
 def test_bad_servers_cost_the_plain_draw_more_than_the_module() -> None:
-    day = draw(read("bad-servers"), 1)
-    served = {policy: account(modelled(day, policy)).served for policy in ("module", "random", "best-of-2")}
+    day = draw_run(read_scenario("bad-servers"), 1)
+    served = {
+        policy: compute_account(modelled(day, policy)).served_fraction
+        for policy in ("module", "random", "best-of-2")
+    }
     assert served["module"] > max(served["random"], served["best-of-2"]) + 0.02
 
 
@@ -84,11 +87,11 @@
         + trouble("kill", 2.5, 4, who=["copy:0"])
         + trouble("crash", 3, 1, who=["server:1"])
     )
-    day = draw(parse(WORLD.replace("rate_per_s = 10", "rate_per_s = 60") + text, "back"), 1)
+    day = draw_run(parse_scenario(WORLD.replace("rate_per_s = 10", "rate_per_s = 60") + text, "back"), 1)
     events = modelled(day)
-    assert judge(events).breaches == ()
-    late = [each for each in events if isinstance(each, log.Arrived) and each.at > 7_000_000]
-    assert any(each.server == 1 and each.copy == 0 for each in late)
+    assert check_invariants(events).violations == ()
+    late = [each for each in events if isinstance(each, log.AttemptReceived) and each.at_us > 7_000_000]
+    assert any(each.server == 1 and each.replica == 0 for each in late)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -96,15 +99,15 @@
     world = WORLD.replace("count = 2", "count = 2\noperated = true").replace(
         "rate_per_s = 10", "rate_per_s = 40"
     )
-    verdict = judge(modelled(draw(parse(world + ALL_TROUBLES, "all"), seed)))
-    assert verdict.breaches == () and verdict.is_complete
+    verdict = check_invariants(modelled(draw_run(parse_scenario(world + ALL_TROUBLES, "all"), seed)))
+    assert verdict.violations == () and verdict.is_complete
 
 
 @pytest.mark.parametrize(("drawn", "busy"), [(k, busy) for k in (1, 2, 3) for busy in (5, 25, 40, 47)])
 def test_draws_until_an_idle_server_are_those_of_the_paper(drawn: int, busy: int) -> None:
     """1 / (1 - C(nU, k) / C(n, k)): the draws that a request needs where nU of n servers are busy, c = 1."""
     count, requests = 50, 12_000
-    given = settings_from_wire({**settings(judged_day(), 0), "bounds": {"sendCap": 10_000}})
+    given = settings_from_wire({**replica_settings(judged_day(), 0), "bounds": {"sendCap": 10_000}})
     policy = SeesTrueState(given, 5)
     policy.drawn, policy.redraws = drawn, 10_000
     policy.look = lambda server: int(int(server[2:]) < busy)
