--- a/testbed/scenario/read.py
+++ b/testbed/scenario/read.py
@@ -1,4 +1,7 @@
-"""Reads a world file; what is wrong with it is told all at once, by key, with the value and a remedy."""
+"""Reads scenario files.
+
+All errors of a file are reported at once, each with the key, the value and what is allowed.
+"""
 
 from __future__ import annotations
 
@@ -9,13 +12,14 @@
 
 from pydantic import ValidationError
 
+from testbed.scenario import schema
 from testbed.scenario.schema import Scenario
 
 _SHIPPED = resources.files("testbed.scenario") / "scenarios"
 
 
 class ScenarioError(Exception):
-    """A world that can't be played; `errors` holds one line for each."""
+    """A scenario file that is missing or invalid; `errors` holds one line for each error."""
 
     def __init__(self, source: str, errors: list[str]) -> None:
         super().__init__(f"{source}: " + "; ".join(errors))
@@ -23,14 +27,14 @@
 
 
 def shipped_scenarios() -> list[str]:
-    """The names of the worlds that come with the package."""
+    """Return the names of the scenarios that come with the package."""
     return sorted(
-        each.name.removesuffix(".toml") for each in _SHIPPED.iterdir() if each.name.endswith(".toml")
+        file.name.removesuffix(".toml") for file in _SHIPPED.iterdir() if file.name.endswith(".toml")
     )
 
 
 def shipped_scenario(name: str) -> Scenario:
-    """A world that comes with the package; raise WorldError if there is none of this name."""
+    """Return a scenario that comes with the package; raise ScenarioError if there is none of this name."""
     return parse_scenario(_shipped_text(name), name)
 
 
@@ -43,110 +47,120 @@
 
 
 def read_scenario(path: str) -> Scenario:
-    """A world from a file, or a shipped one by its name; raise WorldError with every fault."""
+    """Read a scenario file, or a shipped scenario by its name; raise ScenarioError if that fails."""
     return parse_scenario(scenario_text(path), path)
 
 
 def scenario_text(path: str) -> str:
-    """The text of a world file, or of a shipped one by its name; raise WorldError if there is none."""
+    """Return the text of a scenario file, or of a shipped one by its name.
+
+    Raises:
+        ScenarioError: There is no such file, or it can't be read.
+    """
     file = Path(path)
     if not file.exists() and file.suffix != ".toml":
         return _shipped_text(path)
     try:
         return file.read_text()
-    except (OSError, UnicodeDecodeError) as fault:
-        raise ScenarioError(path, [f"can't be read: {fault}"]) from None
+    except (OSError, UnicodeDecodeError) as error:
+        raise ScenarioError(path, [f"can't be read: {error}"]) from None
 
 
 def parse_scenario(text: str, source: str) -> Scenario:
-    """A world from TOML; raise WorldError with every fault."""
+    """Parse the text of a scenario file; raise ScenarioError, which names `source`, with all errors."""
     try:
-        given = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as fault:
-        raise ScenarioError(source, [f"no TOML: {fault}"]) from None
+        document = tomllib.loads(text)
+    except tomllib.TOMLDecodeError as error:
+        raise ScenarioError(source, [f"invalid TOML: {error}"]) from None
     try:
-        world = Scenario.model_validate(given)
-    except ValidationError as nonsense:
-        raise ScenarioError(source, [_worded(dict(each)) for each in nonsense.errors()]) from None
-    faults = _contradictions(world)
-    if faults:
-        raise ScenarioError(source, faults)
-    return world
-
-
-def _worded(fault: dict[str, Any]) -> str:
-    # The names of a union's members stand in the path too, but in no file.
-    parts = [each for each in fault["loc"] if isinstance(each, int) or not _is_of_a_union(each)]
+        scenario = Scenario.model_validate(document)
+    except ValidationError as invalid:
+        raise ScenarioError(source, [_error_line(dict(details)) for details in invalid.errors()]) from None
+    errors = _inconsistencies(scenario)
+    if errors:
+        raise ScenarioError(source, errors)
+    return scenario
+
+
+def _error_line(details: dict[str, Any]) -> str:
+    """Describe one of pydantic's errors by the key of the file, what is allowed, and the value."""
+    # Pydantic's path also holds the branch of a union that was tried, which is no key of the file.
+    path = [step for step in details["loc"] if isinstance(step, int) or not _is_union_branch(step)]
     key = ""
-    for each in parts:
-        key += f"[{each}]" if isinstance(each, int) else f"{'.' if key else ''}{each}"
-    given = "" if fault["type"] == "missing" else f" (given: {fault['input']!r:.60})"
-    remedy = {"missing": "is needed", "extra_forbidden": "is no key here: take it out"}
-    return (
-        f"{key or 'the file'}: {remedy.get(fault['type'], fault['msg'].removeprefix('Value error, '))}{given}"
-    )
+    for step in path:
+        key += f"[{step}]" if isinstance(step, int) else f"{'.' if key else ''}{step}"
+    value = "" if details["type"] == "missing" else f" (given: {details['input']!r:.60})"
+    messages = {"missing": "is required", "extra_forbidden": "unknown key: remove it"}
+    message = messages.get(details["type"], details["msg"].removeprefix("Value error, "))
+    return f"{key or 'the file'}: {message}{value}"
 
 
-def _is_of_a_union(part: str) -> bool:
-    return part in _KINDS or not part.isidentifier()
+def _is_union_branch(step: str) -> bool:
+    return step in _UNION_BRANCHES or not step.isidentifier()
 
 
-_KINDS = frozenset(
+_REPLICA_FAULTS = ("kill", "term", "pause", "hup", "upgrade", "clock", "full", "read_only", "damaged")
+_SERVER_FAULTS = ("crash", "silent", "slow", "errors", "drain")
+_LINK_FAULTS = ("cut", "hold", "delay", "loss", "double", "reorder", "reset")
+_UNION_BRANCHES = frozenset(
     [
-        *("float", "list"),
-        *("kill", "term", "pause", "hup", "upgrade", "clock", "full", "read_only", "damaged"),
-        *("crash", "silent", "slow", "errors", "drain"),
-        *("cut", "hold", "delay", "loss", "double", "reorder", "reset"),
+        *("float", "list"),  # of a quantity
+        *_REPLICA_FAULTS,
+        *_SERVER_FAULTS,
+        *_LINK_FAULTS,
         *("discovery_down", "discovery_late", "surge"),
     ]
 )
 
 
-def _contradictions(world: Scenario) -> list[str]:
-    """Faults that no key shows by itself."""
-    faults = []
-    zones = [each.name for each in world.zones]
+def _inconsistencies(scenario: Scenario) -> list[str]:
+    """Describe the errors that concern more than one key: duplicate and unknown names, wrong parties."""
+    errors = []
+    zones = [zone.name for zone in scenario.zones]
     for label, names in (
         ("zones", zones),
-        ("classes", [each.name for each in world.classes]),
-        ("tenants", [each.name for each in world.tenants]),
+        ("classes", [service_class.name for service_class in scenario.classes]),
+        ("tenants", [tenant.name for tenant in scenario.tenants]),
     ):
-        twice = sorted({each for each in names if names.count(each) > 1})
-        faults += [f"{label}: the name {each!r} stands twice: give each its own" for each in twice]
-    for index, group in enumerate(world.servers):
+        duplicates = sorted({name for name in names if names.count(name) > 1})
+        errors += [f"{label}: the name {name!r} is used more than once" for name in duplicates]
+    for index, group in enumerate(scenario.servers):
         if group.zone is not None and group.zone not in zones:
-            faults.append(f"servers[{index}].zone: {group.zone!r} is none of zones: {', '.join(zones)}")
-    for index, trouble in enumerate(world.faults):
+            errors.append(f"servers[{index}].zone: {group.zone!r} is none of zones: {', '.join(zones)}")
+    for index, fault in enumerate(scenario.faults):
         key = f"troubles[{index}]"
-        if trouble.start_s and _least(trouble.start_s) >= world.duration_s:
-            faults.append(f"{key}.at_s: begins after the day's {world.duration_s:g} s: make the day longer")
-        for word in _parties(trouble):
-            kind, _, which = word.partition(":")
+        if fault.start_s and _lower_end(fault.start_s) >= scenario.duration_s:
+            errors.append(f"{key}.at_s: must be before the end of the run at {scenario.duration_s:g} s")
+        for pattern in _party_patterns(fault):
+            kind, _, which = pattern.partition(":")
             if kind == "zone" and which not in zones:
-                faults.append(f"{key}: zone {which!r} is none of zones: {', '.join(zones)}")
-            if not _fits(trouble.kind, kind):
-                faults.append(f"{key}: {trouble.kind} does not happen to {word!r}: name {_FIT[trouble.kind]}")
-        if trouble.kind == "upgrade" and not world.sidecars.has_inherited_listener:
-            faults.append(f"{key}: an upgrade needs sidecars.operated = true")
-    return faults
+                errors.append(f"{key}: zone {which!r} is none of zones: {', '.join(zones)}")
+            if not _applies_to(fault.kind, kind):
+                errors.append(
+                    f"{key}: {fault.kind} does not apply to {pattern!r}: name {_PARTY_KINDS[fault.kind]}"
+                )
+        if fault.kind == "upgrade" and not scenario.sidecars.has_inherited_listener:
+            errors.append(f"{key}: an upgrade requires sidecars.operated = true")
+    return errors
 
 
-_FIT = {
-    **dict.fromkeys(
-        ["kill", "term", "pause", "hup", "upgrade", "clock", "full", "read_only", "damaged"], "copies"
-    ),
-    **dict.fromkeys(["crash", "silent", "slow", "errors", "drain"], "servers"),
-}
+# What each kind of fault applies to, in the words of the file; the other kinds apply to any party.
+_PARTY_KINDS = {**dict.fromkeys(_REPLICA_FAULTS, "copies"), **dict.fromkeys(_SERVER_FAULTS, "servers")}
 
 
-def _fits(trouble: str, party: str) -> bool:
-    wanted = _FIT.get(trouble)
-    return wanted is None or party == "zone" or wanted == {"copy": "copies", "server": "servers"}.get(party)
+def _applies_to(fault_kind: str, party_kind: str) -> bool:
+    allowed = _PARTY_KINDS.get(fault_kind)
+    return (
+        allowed is None
+        or party_kind == "zone"
+        or allowed == {"copy": "copies", "server": "servers"}.get(party_kind)
+    )
 
 
-def _parties(trouble: Any) -> list[str]:
-    return [word for name in ("parties", "other_parties") for word in getattr(trouble, name, [])]
+def _party_patterns(fault: schema.Fault) -> list[str]:
+    """Return the patterns of all parties that a fault names."""
+    return [pattern for name in ("parties", "other_parties") for pattern in getattr(fault, name, [])]
 
 
-def _least(figure: float | list[float]) -> float:
-    return figure[0] if isinstance(figure, list) else figure
+def _lower_end(quantity: schema.Quantity) -> float:
+    return quantity[0] if isinstance(quantity, list) else quantity
--- a/testbed/scenario/settings.py
+++ b/testbed/scenario/settings.py
@@ -1,4 +1,4 @@
-"""What a copy is told at its start: the settings, worded as the platform does."""
+"""The settings of a replica, in the format in which the platform passes them on."""
 
 from __future__ import annotations
 
@@ -7,76 +7,84 @@
 
 from testbed.scenario.scenario_run import ScenarioRun
 
+# Guarantees and requirements of the platform; the checker holds runs against them.
 RESPONSE_SLACK_US = 50_000
 DRAIN_GRACE_US = 2_000_000
 OVERLOAD_WINDOW_US = 1_500_000
 OVERLOAD_MULTIPLE = 3.0
-ACCEPT_AFTER_SIGTERM_US = 700_000  # so long after SIGTERM requests still come
-_LONGEST_DEADLINE_US = 3_000_000
+ACCEPT_AFTER_SIGTERM_US = 700_000  # how long new requests still arrive after SIGTERM
+_MAX_DEADLINE_US = 3_000_000  # a longer deadline does not postpone SIGKILL further
 
 
-def sigkill_delay_us(day: ScenarioRun) -> int:
-    """How soon SIGKILL may come after SIGTERM: after the longest deadline, within a bound, and a little."""
-    return min(max(each.deadline_us for each in day.classes), _LONGEST_DEADLINE_US) + ACCEPT_AFTER_SIGTERM_US
+def sigkill_delay_us(run: ScenarioRun) -> int:
+    """Return how soon after SIGTERM the platform may send SIGKILL.
 
+    That is the longest deadline of the classes, up to a limit, after the last new request.
+    """
+    longest_us = max(service_class.deadline_us for service_class in run.classes)
+    return min(longest_us, _MAX_DEADLINE_US) + ACCEPT_AFTER_SIGTERM_US
 
-def replica_settings(day: ScenarioRun, copy: int) -> dict[str, Any]:
-    """The settings of one copy, in the wire's words; they hold nothing that a platform would not tell."""
-    told = _plain(day, copy)
-    if day.changed_setting is not None:
-        key, value = day.changed_setting
-        *path, last = key.split(".")
-        inner = told
-        for name in path:
-            inner = inner[name]
-        inner[last] = json.loads(value)
-    return told
 
+def replica_settings(run: ScenarioRun, replica: int) -> dict[str, Any]:
+    """Return the settings of a replica under their outer names, with the run's changed setting applied.
 
-def _plain(day: ScenarioRun, copy: int) -> dict[str, Any]:
-    cold = max(day.servers, key=lambda each: each.slow_start_us)
+    They hold nothing that the platform would not pass on.
+    """
+    settings = _platform_settings(run, replica)
+    if run.changed_setting is not None:
+        path, value = run.changed_setting
+        *parents, key = path.split(".")
+        section = settings
+        for name in parents:
+            section = section[name]
+        section[key] = json.loads(value)
+    return settings
+
+
+def _platform_settings(run: ScenarioRun, replica: int) -> dict[str, Any]:
+    slowest = max(run.servers, key=lambda server: server.slow_start_us)
     return {
         "lanes": [
             {
-                "name": each.name,
-                "giveUpUs": each.deadline_us,
-                "promiseUs": each.latency_objective_us,
-                "worth": each.priority_weight,
-                "lateValue": each.late_priority_weight,
-                "repeat": each.idempotency,
-                "group": each.idempotency_scope,
-                "memorySpanUs": each.idempotency_window_us,
+                "name": service_class.name,
+                "giveUpUs": service_class.deadline_us,
+                "promiseUs": service_class.latency_objective_us,
+                "worth": service_class.priority_weight,
+                "lateValue": service_class.late_priority_weight,
+                "repeat": service_class.idempotency,
+                "group": service_class.idempotency_scope,
+                "memorySpanUs": service_class.idempotency_window_us,
             }
-            for each in day.classes
+            for service_class in run.classes
         ],
-        "realms": [{"name": each.name, "portion": each.share, "quotaRps": 0.0} for each in day.tenants],
-        "zone": day.replicas[copy].zone,
-        "zones": [each.name for each in day.zones],
-        "me": copy,
-        "groupSize": len(day.replicas),
+        "realms": [{"name": tenant.name, "portion": tenant.share, "quotaRps": 0.0} for tenant in run.tenants],
+        "zone": run.replicas[replica].zone,
+        "zones": [zone.name for zone in run.zones],
+        "me": replica,
+        "groupSize": len(run.replicas),
         "quantumUs": 5_000,
-        "discovery": "pushed" if day.discovery.is_pushed else "on_request",
+        "discovery": "pushed" if run.discovery.is_pushed else "on_request",
         "weights": "silent",
         "worthBy": "request",
         "report": {"columns": [], "source": "silent"},
         "bounds": {
-            "sendCap": day.sidecars.max_attempts,
+            "sendCap": run.sidecars.max_attempts,
             "secondCopies": False,
             "mayCancel": True,
-            "mayTell": day.sidecars.may_message_peers,
+            "mayTell": run.sidecars.may_message_peers,
             "probing": False,
             "retryAfter": True,
             "maxRetryAfterUs": 400_000,
-            "dialTimeoutUs": day.network.connect_timeout_us,
+            "dialTimeoutUs": run.network.connect_timeout_us,
             "idleCloseUs": 10_000_000,
             "streamsPerConn": 1,
         },
         "guarantees": {
             "answerSlackUs": RESPONSE_SLACK_US,
-            "askWithinUs": day.discovery.max_poll_interval_us,
+            "askWithinUs": run.discovery.max_poll_interval_us,
             "drainGraceUs": DRAIN_GRACE_US,
-            "coldFrom": min(each.slow_start_initial_capacity for each in day.servers),
-            "coldUs": cold.slow_start_us,
+            "coldFrom": min(server.slow_start_initial_capacity for server in run.servers),
+            "coldUs": slowest.slow_start_us,
             "fallMultiple": OVERLOAD_MULTIPLE,
             "fallUs": OVERLOAD_WINDOW_US,
         },
