--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -13,7 +13,7 @@
 from testbed.scenario import ScenarioRun, draw_run
 from testbed.scenario.read import parse_scenario
 
-WORLD = """
+SCENARIO = """
 name = "judged"
 seconds = 20
 [[classes]]
@@ -53,8 +53,8 @@
 LOOK, BOOK, AMEND = 0, 1, 2
 
 
-def judged_day() -> ScenarioRun:
-    return draw_run(parse_scenario(WORLD, "judged"), 1)
+def checked_run() -> ScenarioRun:
+    return draw_run(parse_scenario(SCENARIO, "judged"), 1)
 
 
 class Played:
@@ -62,7 +62,7 @@
 
     def __init__(self) -> None:
         self.events: list[log.Event] = [
-            log.RunStarted(at_us=0, run=judged_day(), engine="model"),
+            log.RunStarted(at_us=0, run=checked_run(), engine="model"),
             *(
                 log.ReplicaStateChanged(at_us=0, replica=copy, incarnation=1, state="ready")
                 for copy in (0, 1)
@@ -348,7 +348,7 @@
 def test_parts_are_put_together_by_time_and_a_torn_line_is_left_out(tmp_path: Path) -> None:
     first, second = tmp_path / "part-a.jsonl", tmp_path / "part-b.jsonl"
     with log.EventLogWriter(first) as writer:
-        writer.write(log.RunStarted(at_us=0, run=judged_day(), engine="model"))
+        writer.write(log.RunStarted(at_us=0, run=checked_run(), engine="model"))
         writer.write(log.WriterLate(at_us=30, writer="x", late_us=1))
     with log.EventLogWriter(second) as writer:
         writer.write(log.WriterLate(at_us=20, writer="y", late_us=1))
--- a/tests/test_cluster_membership_processes.py
+++ b/tests/test_cluster_membership_processes.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from test_emulator import GENEROUS_US, ground, read_small
-from test_ground import a_day, trouble
+from test_testbed_models import fault_table, make_run
 
 from testbed import events as log
 from testbed.checker import check_invariants
@@ -53,7 +53,7 @@
 
 def test_upgrade_is_one_member_with_two_incarnations(tmp_path: Path) -> None:
     history = played(
-        a_day(trouble("upgrade", 2, 0, who=["copy:0"]), small(3, 7, "operated = true")), tmp_path
+        make_run(fault_table("upgrade", 2, 0, who=["copy:0"]), small(3, 7, "operated = true")), tmp_path
     )
     assert agreement(history).agreed_at_us is not None
     assert not [each for each in membership_views(history) if each.replica != 0 and each.states[0] in "dl"]
@@ -62,20 +62,20 @@
 
 
 def test_forbidden_datagrams_leave_membership_off(tmp_path: Path) -> None:
-    history = played(a_day("", small(2, 1, "console = true\ndatagrams = false")), tmp_path)
+    history = played(make_run("", small(2, 1, "console = true\ndatagrams = false")), tmp_path)
     assert history.metrics_reports and not membership_views(history) and not history.datagrams
 
 
 def test_membership_switched_off_sends_nothing(tmp_path: Path) -> None:
     base = small(2, 1).replace("least_period_ms = 200", "on = false")
-    history = played(a_day("", base), tmp_path)
+    history = played(make_run("", base), tmp_path)
     assert history.metrics_reports and not membership_views(history) and not history.datagrams
 
 
 def test_agreement_is_read_from_metrics() -> None:
     def day(views: list[tuple[int, int, str]]) -> Agreement:
         events: list[log.Event] = [
-            log.RunStarted(at_us=log.BEFORE_RUN_US, run=a_day("", small(2, 1)), engine="x")
+            log.RunStarted(at_us=log.BEFORE_RUN_US, run=make_run("", small(2, 1)), engine="x")
         ]
         events += [
             log.ReplicaStateChanged(at_us=0, replica=copy, incarnation=1, state="ready") for copy in (0, 1)
--- a/tests/test_configuration_rollout.py
+++ b/tests/test_configuration_rollout.py
@@ -18,8 +18,8 @@
 import pytest
 from loopback import HOST, free_for_datagrams, play, until
 from test_emulator import PROGRAM, ROOT, read_small
-from test_ground import a_day, trouble
 from test_program import GOOD
+from test_testbed_models import fault_table, make_run
 
 from sidecar.address import Address
 from sidecar.cluster.aggregation import AggregationRound
@@ -86,10 +86,10 @@
 async def fleet(count: int, folder: Path) -> AsyncIterator[Fleet]:
     everywhere = {"between": ["copy:*"], "to": ["copy:*"]}
     faults = "".join(
-        trouble(kind, 0.001, 300, amount=0.2, **everywhere) for kind in ("loss", "double", "reorder")
+        fault_table(kind, 0.001, 300, amount=0.2, **everywhere) for kind in ("loss", "double", "reorder")
     )
     base = read_small().replace("count = 2", f"count = {count}\nconsole = true")
-    day = a_day(faults, base)
+    day = make_run(faults, base)
     clock = DayClock()
     with log.EventLogWriter(folder / "log.jsonl") as writer:
         relay = Relay(clock, Links(day), writer, random.Random(1))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -15,7 +15,7 @@
 
 import pytest
 from loopback import PATIENCE_S, play, soon, until
-from test_ground import a_day, trouble
+from test_testbed_models import fault_table, make_run
 
 from testbed import events as log
 from testbed.checker import check_invariants
@@ -98,7 +98,7 @@
 
 def test_a_program_that_serves_what_no_server_made_is_found_out(tmp_path: Path) -> None:
     (tmp_path / "liar.py").write_text(LIAR)
-    day = a_day(base=read_small())
+    day = make_run(base=read_small())
     events = log.load(
         asyncio.run(play_day(day, ground(tmp_path / "day", f"exec {sys.executable} {tmp_path}/liar.py")))
     )
@@ -133,12 +133,12 @@
     command: str, told: str, tmp_path: Path
 ) -> None:
     with pytest.raises(PlayError, match=told):
-        asyncio.run(play_day(a_day(base=read_small()), ground(tmp_path, command, ready_within_s=1.0)))
+        asyncio.run(play_day(make_run(base=read_small()), ground(tmp_path, command, ready_within_s=1.0)))
     assert running_below(tmp_path) == []
 
 
 def test_too_large_a_day_is_refused_before_anything_starts(tmp_path: Path) -> None:
-    day = a_day(base=read_small().replace("count = 2", "count = 200"))
+    day = make_run(base=read_small().replace("count = 2", "count = 200"))
     with pytest.raises(PlayError, match="use the model"):
         asyncio.run(play_day(day, ground(tmp_path / "day")))
     assert not (tmp_path / "day").exists()
@@ -149,8 +149,8 @@
     script = (
         "import asyncio, sys; sys.path.insert(0, 'tests')\n"
         "from pathlib import Path\n"
-        "from test_emulator import a_day, ground, play_day, read_small\n"
-        "day = a_day(base=read_small().replace('seconds = 1', 'seconds = 300'))\n"
+        "from test_emulator import make_run, ground, play_day, read_small\n"
+        "day = make_run(base=read_small().replace('seconds = 1', 'seconds = 300'))\n"
         f"asyncio.run(play_day(day, ground(Path({str(tmp_path)!r}))))\n"
     )
     player = subprocess.Popen([sys.executable, "-c", script], cwd=ROOT, stderr=subprocess.DEVNULL)
@@ -211,7 +211,7 @@
     troubles: str, work: Callable[[FakeClock, Gate, Echo, tuple[str, int]], Awaitable[None]]
 ) -> None:
     async def whole() -> None:
-        links, clock, echo = Links(a_day(troubles, NEAR)), FakeClock(), Echo()
+        links, clock, echo = Links(make_run(troubles, NEAR)), FakeClock(), Echo()
         inwards, outwards = links.between("copy:0", "server:0"), links.between("server:0", "copy:0")
         gate = Gate(clock, 0, echo, inwards, outwards, random.Random(1))
         host, port = gate.bind("127.16.0.1").split(":")
@@ -225,7 +225,7 @@
 
 
 NEAR = read_small()
-CUT = trouble("cut", 0.5, 0.25, between=["copy:0"], to=["server:0"])
+CUT = fault_table("cut", 0.5, 0.25, between=["copy:0"], to=["server:0"])
 
 
 def test_bytes_pass_and_the_end_is_told() -> None:
@@ -308,27 +308,27 @@
                 await receive_forever()
             assert got in (b"", b"ans")  # a reset may overtake what came before it
 
-    on_the_switch(trouble("reset", 0.5, 0.25, between=["copy:0"], to=["server:0"], amount=1.0), work)
+    on_the_switch(fault_table("reset", 0.5, 0.25, between=["copy:0"], to=["server:0"], amount=1.0), work)
 
 
 EVERY_TROUBLE = (
-    trouble("upgrade", 0.5, 0, who=["copy:0"])
-    + trouble("pause", 0.5, 1, who=["copy:1"])
-    + trouble("full", 0.3, 2, who=["copy:0"])
-    + trouble("read_only", 0.3, 1, who=["copy:2"])
-    + trouble("term", 1.5, 0, who=["copy:2"])
-    + trouble("damaged", 2, 0.2, who=["copy:1"])
-    + trouble("clock", 2.2, 0, who=["copy:0"], amount=-3600.0)
-    + trouble("hup", 2.5, 0, who=["copy:*"])
-    + trouble("silent", 0.5, 1, who=["server:0"])
-    + trouble("drain", 1, 1, who=["server:1"])
-    + trouble("discovery_down", 1, 1)
+    fault_table("upgrade", 0.5, 0, who=["copy:0"])
+    + fault_table("pause", 0.5, 1, who=["copy:1"])
+    + fault_table("full", 0.3, 2, who=["copy:0"])
+    + fault_table("read_only", 0.3, 1, who=["copy:2"])
+    + fault_table("term", 1.5, 0, who=["copy:2"])
+    + fault_table("damaged", 2, 0.2, who=["copy:1"])
+    + fault_table("clock", 2.2, 0, who=["copy:0"], amount=-3600.0)
+    + fault_table("hup", 2.5, 0, who=["copy:*"])
+    + fault_table("silent", 0.5, 1, who=["server:0"])
+    + fault_table("drain", 1, 1, who=["server:1"])
+    + fault_table("discovery_down", 1, 1)
 )
 
 
 def test_every_trouble_of_processes_at_once_keeps_the_rules(tmp_path: Path) -> None:
     base = read_small().replace("seconds = 1", "seconds = 4").replace("count = 1", "count = 4")
-    day = a_day(EVERY_TROUBLE, base.replace("count = 2", "count = 3\noperated = true"))
+    day = make_run(EVERY_TROUBLE, base.replace("count = 2", "count = 3\noperated = true"))
     events = played(day, tmp_path)
     verdict = check_invariants(events, slack_us=GENEROUS_US)
     assert verdict.violations == () and verdict.is_complete
@@ -357,13 +357,13 @@
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda which: (128, 200))
     with pytest.raises(PlayError, match="descriptors, and this user may have 200"):
-        asyncio.run(play_day(a_day(base=read_small()), ground(tmp_path / "day")))
+        asyncio.run(play_day(make_run(base=read_small()), ground(tmp_path / "day")))
 
 
 def test_both_processes_of_an_upgrade_are_ended_at_the_close(tmp_path: Path) -> None:
     async def work() -> None:
         with log.EventLogWriter(tmp_path / "part.jsonl") as writer:
-            day, clock = a_day(base=read_small()), DayClock()
+            day, clock = make_run(base=read_small()), DayClock()
             rng, folder = random.Random(1), tmp_path / "copy"
             copy = Sidecar(day, day.replicas[0], "exec sleep 600", ROOT, folder, clock, writer, rng, 1.0)
             copy.configure("127.0.0.1:9", [], "")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -10,7 +10,7 @@
 
 import pytest
 from loopback import play, soon, until
-from test_ground import a_day
+from test_testbed_models import make_run
 
 from testbed import events as log
 from testbed.clock import DayClock
@@ -34,7 +34,7 @@
             clock = DayClock()
             clock.begin(0)
             address = listener.getsockname()
-            application = Application(a_day(), 0, address, clock, writer, 1_000_000, random.Random(1))
+            application = Application(make_run(), 0, address, clock, writer, 1_000_000, random.Random(1))
             own = socket.socket()
             own.setblocking(False)
             await loop.sock_connect(own, address)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 import pytest
-from test_checker import WORLD, judged_day
-from test_ground import trouble
+from test_checker import SCENARIO, checked_run
+from test_testbed_models import fault_table
 
 from balancer.actions import SendAttempt
 from balancer.events import (
@@ -66,28 +66,28 @@
 
 
 ALL_TROUBLES = (
-    trouble("pause", 1, 2, who=["copy:0"])
-    + trouble("kill", 2, 1, who=["copy:1"])
-    + trouble("term", 5, 0, who=["copy:0"])
-    + trouble("upgrade", 8, 0, who=["copy:1"])
-    + trouble("hup", 9, 0, who=["copy:*"])
-    + trouble("clock", 10, 0, who=["copy:1"], amount=60.0)
-    + trouble("cut", 11, 1, between=["copy:0"], to=["discovery", "server:1"])
-    + trouble("hold", 13, 1, between=["copy:1"], to=["server:*"])
-    + trouble("discovery_down", 14, 2)
-    + trouble("silent", 15, 1, who=["server:2"])
-    + trouble("drain", 16, 1, who=["server:3"])
+    fault_table("pause", 1, 2, who=["copy:0"])
+    + fault_table("kill", 2, 1, who=["copy:1"])
+    + fault_table("term", 5, 0, who=["copy:0"])
+    + fault_table("upgrade", 8, 0, who=["copy:1"])
+    + fault_table("hup", 9, 0, who=["copy:*"])
+    + fault_table("clock", 10, 0, who=["copy:1"], amount=60.0)
+    + fault_table("cut", 11, 1, between=["copy:0"], to=["discovery", "server:1"])
+    + fault_table("hold", 13, 1, between=["copy:1"], to=["server:*"])
+    + fault_table("discovery_down", 14, 2)
+    + fault_table("silent", 15, 1, who=["server:2"])
+    + fault_table("drain", 16, 1, who=["server:3"])
 )
 
 
 def test_what_a_copy_is_told_at_its_start_counts_as_word() -> None:
     """A server that left is back when a copy that heard of it starts again: it may be used at once."""
     text = (
-        trouble("drain", 1, 1, who=["server:1"])
-        + trouble("kill", 2.5, 4, who=["copy:0"])
-        + trouble("crash", 3, 1, who=["server:1"])
+        fault_table("drain", 1, 1, who=["server:1"])
+        + fault_table("kill", 2.5, 4, who=["copy:0"])
+        + fault_table("crash", 3, 1, who=["server:1"])
     )
-    day = draw_run(parse_scenario(WORLD.replace("rate_per_s = 10", "rate_per_s = 60") + text, "back"), 1)
+    day = draw_run(parse_scenario(SCENARIO.replace("rate_per_s = 10", "rate_per_s = 60") + text, "back"), 1)
     events = modelled(day)
     assert check_invariants(events).violations == ()
     late = [each for each in events if isinstance(each, log.AttemptReceived) and each.at_us > 7_000_000]
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_every_trouble_at_once_keeps_the_rules(seed: int) -> None:
-    world = WORLD.replace("count = 2", "count = 2\noperated = true").replace(
+    world = SCENARIO.replace("count = 2", "count = 2\noperated = true").replace(
         "rate_per_s = 10", "rate_per_s = 40"
     )
     verdict = check_invariants(modelled(draw_run(parse_scenario(world + ALL_TROUBLES, "all"), seed)))
@@ -107,7 +107,7 @@
 def test_draws_until_an_idle_server_are_those_of_the_paper(drawn: int, busy: int) -> None:
     """1 / (1 - C(nU, k) / C(n, k)): the draws that a request needs where nU of n servers are busy, c = 1."""
     count, requests = 50, 12_000
-    given = settings_from_wire({**replica_settings(judged_day(), 0), "bounds": {"sendCap": 10_000}})
+    given = settings_from_wire({**replica_settings(checked_run(), 0), "bounds": {"sendCap": 10_000}})
     policy = SeesTrueState(given, 5)
     policy.drawn, policy.redraws = drawn, 10_000
     policy.look = lambda server: int(int(server[2:]) < busy)
--- a/tests/test_ground.py
+++ b/tests/test_testbed_models.py
@@ -42,11 +42,11 @@
 """
 
 
-def a_day(troubles: str = "", base: str = BASE) -> ScenarioRun:
+def make_run(troubles: str = "", base: str = BASE) -> ScenarioRun:
     return draw_run(parse_scenario(base + troubles, "ground"), 1)
 
 
-def trouble(kind: str, at: float, length: float, **more: object) -> str:
+def fault_table(kind: str, at: float, length: float, **more: object) -> str:
     given = {"kind": kind, "at_s": at, "for_s": length, **more}
     lines = "".join(
         f"{key} = {str(value).lower() if isinstance(value, bool) else repr(value)}\n"
@@ -56,7 +56,7 @@
 
 
 def test_a_station_serves_queues_and_turns_away() -> None:
-    station = Station(a_day().servers[0])
+    station = Station(make_run().servers[0])
     jobs = [Job(number, 100, 0.5) for number in range(4)]
     assert [station.offer(0, each) for each in jobs] == [
         Place.WORKING,
@@ -69,7 +69,7 @@
 
 
 def test_a_station_is_cold_after_a_restart_and_loses_what_it_held() -> None:
-    station = Station(a_day().servers[0])
+    station = Station(make_run().servers[0])
     job = Job(1, 100, 0.5)
     station.offer(0, job)
     assert station.restart(5 * S) == [job] and not station.holds(job)
@@ -79,10 +79,10 @@
 
 def test_crowding_slowness_and_errors_take_their_part() -> None:
     crowded = BASE.replace("queue = 1", "queue = 9\ncrowd_from = 2\ncrowd_loss = 0.5")
-    troubles = trouble("slow", 10, 5, who=["server:0"], amount=0.25) + trouble(
+    troubles = fault_table("slow", 10, 5, who=["server:0"], amount=0.25) + fault_table(
         "errors", 20, 5, who=["server:0"], amount=0.3
     )
-    day = a_day(troubles, crowded)
+    day = make_run(troubles, crowded)
     station = Station(day.servers[0], day.faults)
     assert station.speed(0) == 1.0 and station.speed(12 * S) == 0.25 and station.speed(15 * S) == 1.0
     assert station.error_rate(0) == 0.0 and station.error_rate(21 * S) == 0.3
@@ -94,7 +94,7 @@
 def _mean_wait(slots: int, load: float, jobs: int) -> float:
     """The mean wait before service, in mean service times, of a station fed by chance."""
     base = BASE.replace("slots = 2", f"slots = {slots}").replace("queue = 1", "queue = 1000000")
-    station = Station(a_day(base=base).servers[0])
+    station = Station(make_run(base=base).servers[0])
     draw_ = random.Random(3)
     mean, now, waited = 1_000_000, 0.0, 0.0
     came: dict[int, int] = {}
@@ -124,14 +124,14 @@
 
 
 def test_delays_add_up_over_zones_and_regions() -> None:
-    links = Links(a_day())
+    links = Links(make_run())
     assert links.between("copy:0", "server:0").arrival(0) == 1_000
     assert links.between("copy:0", "server:1").arrival(0) == 7_000
     assert links.between("copy:1", "discovery").arrival(5) == 1_005
 
 
 def test_a_cut_one_way_holds_bytes_and_loses_datagrams() -> None:
-    links = Links(a_day(trouble("cut", 1, 2, between=["copy:0"], to=["copy:1"], both_ways=False)))
+    links = Links(make_run(fault_table("cut", 1, 2, between=["copy:0"], to=["copy:1"], both_ways=False)))
     there, back = links.between("copy:0", "copy:1"), links.between("copy:1", "copy:0")
     assert there.is_cut(1 * S) and not there.is_cut(3 * S) and not back.is_cut(2 * S)
     assert there.arrival(2 * S) == 3 * S + 7_000 and back.arrival(2 * S) == 2 * S + 7_000
@@ -139,29 +139,33 @@
 
 
 def test_held_back_datagrams_come_when_the_hold_ends() -> None:
-    link = Links(a_day(trouble("hold", 1, 30, between=["copy:0"], to=["copy:1"]))).between("copy:0", "copy:1")
+    link = Links(make_run(fault_table("hold", 1, 30, between=["copy:0"], to=["copy:1"]))).between(
+        "copy:0", "copy:1"
+    )
     assert link.arrivals(2 * S, (0.9, 0.9, 0.9)) == [31 * S + 7_000]
 
 
 def test_one_fault_that_ends_while_another_holds_frees_nothing() -> None:
-    two = trouble("cut", 1, 5, between=["copy:0"], to=["copy:*"]) + trouble(
+    two = fault_table("cut", 1, 5, between=["copy:0"], to=["copy:*"]) + fault_table(
         "cut", 4, 6, between=["copy:0"], to=["copy:1"]
     )
-    link = Links(a_day(two)).between("copy:0", "copy:1")
+    link = Links(make_run(two)).between("copy:0", "copy:1")
     assert link.is_cut(7 * S) and link.arrival(2 * S) == 10 * S + 7_000
 
 
 def test_a_cut_without_an_end_lets_nothing_through() -> None:
-    link = Links(a_day(trouble("cut", 1, 0, between=["copy:0"], to=["copy:1"]))).between("copy:0", "copy:1")
+    link = Links(make_run(fault_table("cut", 1, 0, between=["copy:0"], to=["copy:1"]))).between(
+        "copy:0", "copy:1"
+    )
     assert link.arrival(2 * S) == NEVER and link.arrivals(2 * S, (0.9, 0.9, 0.9)) == []
 
 
 def test_datagrams_are_lost_doubled_and_reordered_by_their_chances() -> None:
     text = "".join(
-        trouble(kind, 0.001, 50, between=["copy:0"], to=["copy:1"], amount=0.5)
+        fault_table(kind, 0.001, 50, between=["copy:0"], to=["copy:1"], amount=0.5)
         for kind in ("loss", "double", "reorder")
     )
-    link = Links(a_day(text)).between("copy:0", "copy:1")
+    link = Links(make_run(text)).between("copy:0", "copy:1")
     assert link.arrivals(S, (0.4, 0.9, 0.9)) == []
     assert len(link.arrivals(S, (0.6, 0.4, 0.9))) == 2
     later = link.arrivals(S, (0.6, 0.9, 0.4))[0]
@@ -169,7 +173,7 @@
 
 
 def test_a_silent_machine_is_cut_off_from_every_copy() -> None:
-    links = Links(a_day(trouble("silent", 1, 2, who=["server:1"])))
+    links = Links(make_run(fault_table("silent", 1, 2, who=["server:1"])))
     assert links.between("copy:0", "server:1").is_cut(2 * S) and links.between("server:1", "copy:1").is_cut(
         2 * S
     )
@@ -177,8 +181,8 @@
 
 
 def test_the_catalog_tells_crashes_and_drains_late() -> None:
-    text = trouble("crash", 1, 2, who=["server:0"]) + trouble("drain", 5, 2, who=["server:1"])
-    catalog = EndpointCatalog(a_day(text))
+    text = fault_table("crash", 1, 2, who=["server:0"]) + fault_table("drain", 5, 2, who=["server:1"])
+    catalog = EndpointCatalog(make_run(text))
     assert [(each.at_us, each.server, each.state, each.started_at_us) for each in catalog.changes] == [
         (1_100_000, 0, "left", None),
         (3_100_000, 0, "active", 3 * S),
@@ -198,5 +202,5 @@
 
 
 def test_late_discovery_tells_later() -> None:
-    text = trouble("discovery_late", 0.5, 10, amount=2_000) + trouble("crash", 1, 2, who=["server:0"])
-    assert [each.at_us for each in EndpointCatalog(a_day(text)).changes] == [3_100_000, 5_100_000]
+    text = fault_table("discovery_late", 0.5, 10, amount=2_000) + fault_table("crash", 1, 2, who=["server:0"])
+    assert [each.at_us for each in EndpointCatalog(make_run(text)).changes] == [3_100_000, 5_100_000]
