--- a/testbed/events.py
+++ b/testbed/events.py
@@ -1,9 +1,11 @@
-"""The event log of a played day: what could be seen from outside the sidecars, by either engine.
+"""The event log of a run: what can be observed from outside the sidecars, the same for every engine.
 
-One JSON object a line.  Times are whole microseconds from the day's start, by one clock for all writers.  A
-day is written by several processes, each into a part of its own; `merge` puts them together by time, and at
-equal times by cause.  Who reads must not rely on time alone between writers: what a request's own events mean
-follows from their kinds.
+The file holds one JSON object per line.  Times are whole microseconds since the start of the run, by one
+clock that all writers share.  Several processes write a run, each to a part of its own; `merge_parts` sorts
+their events by time, and at equal times puts causes before effects.  A reader must not rely on time alone to
+order the events of different writers: how the events of one request relate follows from their kinds.
+
+Attributes whose name differs from the log's key are pinned to the key by `msgspec.field(name=...)`.
 """
 
 from __future__ import annotations
@@ -18,11 +20,13 @@
 
 
 class _Event(msgspec.Struct, tag_field="is", kw_only=True, omit_defaults=True):
+    """Base class of events; the key `is` holds the kind."""
+
     at_us: int = msgspec.field(name="at")
 
 
 class RunStarted(_Event, tag="began"):
-    """The day that is played, by which engine, and which variant of the program."""
+    """The run that is played, by which engine, and with which variant of the program."""
 
     run: ScenarioRun = msgspec.field(name="day")
     engine: str
@@ -30,9 +34,10 @@
 
 
 class ReplicaStateChanged(_Event, tag="copy"):
-    """What became of a copy; `life` counts its processes from 1.
+    """A process of a replica changed its state; `incarnation` counts the replica's processes from 1.
 
-    started, ready, killed, stopping (SIGTERM), ended (after that, or by itself: `code`), paused, resumed.
+    The states are started, ready, killed, stopping (after SIGTERM), ended (by itself or after SIGTERM, with
+    an exit code), paused and resumed.
     """
 
     replica: int = msgspec.field(name="copy")
@@ -42,23 +47,24 @@
 
 
 class ServerStateChanged(_Event, tag="server"):
-    """What became of a server: up (cold from here), down, silent, heard, draining, gone."""
+    """A server changed its state: up (its slow start begins), down, draining or gone."""
 
     server: int
     state: str = msgspec.field(name="what")
 
 
 class FaultChanged(_Event, tag="trouble"):
-    """A trouble of the day begins or ends."""
+    """A fault of the run begins or ends."""
 
     fault_number: int = msgspec.field(name="number")
     begins: bool
 
 
 class EndpointListDelivered(_Event, tag="told"):
-    """Discovery's word reached a copy: (server, state, start of its last life) of each line.
+    """An endpoint list, or changes of it, reached a replica.
 
-    A state is active, leaving or left; a start is None where the server ran from the beginning.
+    An entry holds the server, its state (active, leaving or left) and when its current process was started;
+    None for a server that has run since the start of the run.
     """
 
     replica: int = msgspec.field(name="copy")
@@ -68,17 +74,18 @@
 
 
 class DiscoveryPolled(_Event, tag="called"):
-    """A copy called discovery, and the call ended: well or not."""
+    """A replica polled discovery, and the poll ended: with a list, or in a failure."""
 
     replica: int = msgspec.field(name="copy")
     succeeded: bool = msgspec.field(name="well")
 
 
 class RequestSent(_Event, tag="taken"):
-    """The last byte of a request was written to a connection that the copy's machine accepted.
+    """A client wrote the last byte of a request to a connection that the replica's machine had accepted.
 
-    `first` is the number of the client's first try, `due` the end of the client's patience with this one, and
-    `meant` when the first try should have left, whatever held it up.
+    Each attempt of a client has a `request` number of its own; the attempts of one client request share its
+    number.  `scheduled_at_us` is when the first attempt was due, regardless of what delayed it.
+    `timeout_at_us` is when the client stops waiting for a response to this attempt.
     """
 
     request: int
@@ -91,7 +98,7 @@
 
 
 class RequestNotSent(_Event, tag="unreached"):
-    """No copy took the request: its connection was refused, or closed before it was written."""
+    """A client could not send a request: its connection was refused, or closed before it was written."""
 
     request: int
     client_request: int = msgspec.field(name="first")
@@ -101,18 +108,22 @@
 
 
 class AttemptReceived(_Event, tag="arrived"):
-    """The last byte of an attempt reached a server; `sent` is when its first byte did."""
+    """A server received the last byte of an attempt.
+
+    `sent_at_us` is earlier: in the simulation, when the replica wrote the attempt; in the emulator, when its
+    first byte reached the server.
+    """
 
     request: int
     replica: int = msgspec.field(name="copy")
     server: int
-    attempt: int  # unique over the day
+    attempt: int  # unique in the run
     sent_at_us: int = msgspec.field(name="sent")
     work_us: int = msgspec.field(name="work")
 
 
 class AttemptEnded(_Event, tag="ended"):
-    """What a server made of an attempt: served, error, full (never ran), lost (the process ended)."""
+    """An attempt ended at a server: served, error, full (not executed) or lost (server process ended)."""
 
     attempt: int
     request: int
@@ -120,9 +131,11 @@
 
 
 class ResponseReceived(_Event, tag="answered"):
-    """What the client got: a status, and for a 200 which attempt's body (-1: none that a server made).
+    """A client got a response, or stopped waiting for one.
 
-    Status 0: the connection ended, or patience and slack did, without a whole answer.
+    `attempt` is the attempt whose body a response with status 200 holds; -1 if no server wrote that body.
+    Status 0 means no complete response: the connection ended, or (`timed_out`) the client's timeout and the
+    slack after it passed.
     """
 
     request: int
@@ -132,7 +145,7 @@
 
 
 class ConnectionChanged(_Event, tag="connected"):
-    """A connection from a copy to a server came up (`opened`) or ended."""
+    """A connection from a replica to a server was opened or closed."""
 
     replica: int = msgspec.field(name="copy")
     server: int
@@ -140,7 +153,7 @@
 
 
 class DatagramSent(_Event, tag="datagram"):
-    """A datagram between copies, when it was passed on or lost."""
+    """A datagram from one replica to another was delivered or lost."""
 
     sender: int
     receiver: int
@@ -149,7 +162,7 @@
 
 
 class MetricsReported(_Event, tag="figures"):
-    """What a copy says of itself (`/api/telemetry`)."""
+    """The metrics of a replica, as its admin interface reports them (`/api/telemetry`)."""
 
     replica: int = msgspec.field(name="copy")
     incarnation: int = msgspec.field(name="life")
@@ -160,14 +173,14 @@
 
 
 class WriterLate(_Event, tag="late"):
-    """A writer of this log was late itself: the load, or a stand-in."""
+    """A writer of this log, the load generator or a stand-in, did something later than it was due."""
 
     writer: str = msgspec.field(name="who")
     late_us: int = msgspec.field(name="by")
 
 
 class RunFinished(_Event, tag="finished"):
-    """The day was played to its end; a log without this line was cut off."""
+    """The run was played to its end; a log without this event is incomplete."""
 
 
 Event = (
@@ -189,7 +202,7 @@
     | RunFinished
 )
 
-# At equal times, causes before effects.
+# The order at equal times: causes before effects.
 _KINDS: tuple[type, ...] = (
     RunStarted,
     FaultChanged,
@@ -211,26 +224,27 @@
 _ORDER: dict[type, int] = {kind: place for place, kind in enumerate(_KINDS)}
 _ENCODER = msgspec.json.Encoder()
 _DECODER: msgspec.json.Decoder[Event] = msgspec.json.Decoder(Event)
-_BUFFER = 1 << 16
-BEFORE_RUN_US = -(1 << 50)  # when a log begins: before everything that comes ahead of its day
+_BUFFER_BYTES = 1 << 16
+# The time of RunStarted: earlier than what happens before the run's time 0, such as starts of replicas.
+BEFORE_RUN_US = -(1 << 50)
 
 
 class EventLogError(Exception):
-    """A log that can't be judged."""
+    """An event log that can't be read or checked."""
 
 
 class EventLogWriter:
-    """Appends events to one part of a log, 64 KiB at a time and what is left at `flush` and `close`."""
+    """Appends events to one part of a log, in blocks of 64 KiB; `flush` and `close` write the rest."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("ab", buffering=0)
         self._buffer = bytearray()
 
     def write(self, event: Event) -> None:
-        """Append an event to the buffer; flush it when it is full."""
+        """Append an event to the buffer; flush the buffer when it is full."""
         self._buffer += _ENCODER.encode(event)
         self._buffer += b"\n"
-        if len(self._buffer) >= _BUFFER:
+        if len(self._buffer) >= _BUFFER_BYTES:
             self.flush()
 
     def flush(self) -> None:
@@ -248,61 +262,72 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+        self,
+        error_type: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
         self.close()
 
 
 def read_events(path: Path) -> Iterator[Event]:
-    """The events of one file in its order; a last line that was cut off is left out.
+    """Yield the events of one file in its order, without an incomplete last line.
 
-    Raise LogError on any other line that is none of these events.
+    Raises:
+        EventLogError: The file can't be read, or another line is not an event.
     """
     try:
         with path.open("rb") as file:
             for number, line in enumerate(file, 1):
                 try:
                     yield _DECODER.decode(line)
-                except msgspec.DecodeError as fault:
+                except msgspec.DecodeError as error:
                     if not line.endswith(b"\n"):
                         return
-                    raise EventLogError(f"{path}, line {number}: {fault}") from None
-    except OSError as fault:
-        raise EventLogError(f"{path}: {fault.strerror}") from None
+                    raise EventLogError(f"{path}, line {number}: {error}") from None
+    except OSError as error:
+        raise EventLogError(f"{path}: {error.strerror}") from None
 
 
 def sort_events(events: Iterable[Event]) -> list[Event]:
-    """By time, and at equal times by cause."""
-    return sorted(events, key=lambda each: (each.at_us, _ORDER[type(each)]))
+    """Sort events by time, and at equal times causes before effects."""
+    return sorted(events, key=lambda event: (event.at_us, _ORDER[type(event)]))
 
 
 def log_parts(folder: Path) -> list[Path]:
-    """The partial logs in a folder, sorted by name."""
+    """Return the parts of a log in a folder, sorted by name."""
     return sorted(folder.glob("part-*.jsonl"))
 
 
 def merge_parts(folder: Path) -> Path:
-    """Put the parts in a folder together into `log.jsonl`, as a whole or not at all; the parts go then."""
-    own = log_parts(folder)
-    fresh, whole = folder / "log.new", folder / "log.jsonl"
-    fresh.unlink(missing_ok=True)
-    with EventLogWriter(fresh) as writer:
-        for event in sort_events(event for part in own for event in read_events(part)):
+    """Merge the parts in a folder into `log.jsonl` and delete them; return the path of the log.
+
+    The log appears complete or not at all, and the parts are deleted only after that.
+    """
+    parts = log_parts(folder)
+    unfinished, merged = folder / "log.new", folder / "log.jsonl"
+    unfinished.unlink(missing_ok=True)
+    with EventLogWriter(unfinished) as writer:
+        for event in sort_events(event for part in parts for event in read_events(part)):
             writer.write(event)
-    fresh.replace(whole)
-    for part in own:
+    unfinished.replace(merged)
+    for part in parts:
         part.unlink()
-    return whole
+    return merged
 
 
 def load(path: Path) -> list[Event]:
-    """A log by its file, or by the folder of a day, also of one that was cut off; raise LogError."""
+    """Load a log from its file, or from the folder of a run, even one that was interrupted.
+
+    Raises:
+        EventLogError: There is no log, or it can't be read.
+    """
     if path.is_dir():
-        whole = path / "log.jsonl"
-        if whole.exists():
-            return list(read_events(whole))
-        own = log_parts(path)
-        if not own:
-            raise EventLogError(f"{path}: holds no log")
-        return sort_events(event for part in own for event in read_events(part))
+        merged = path / "log.jsonl"
+        if merged.exists():
+            return list(read_events(merged))
+        parts = log_parts(path)
+        if not parts:
+            raise EventLogError(f"{path}: contains no event log")
+        return sort_events(event for part in parts for event in read_events(part))
     return list(read_events(path))
