--- a/tests/test_configuration_rollout.py
+++ b/tests/test_configuration_rollout.py
@@ -18,8 +18,8 @@
 import pytest
 from loopback import HOST, free_udp_addresses, run_async, wait_until
 from test_emulator import PROGRAM, ROOT, read_small
-from test_ground import a_day, trouble
 from test_program import VALID_CONFIGURATION
+from test_testbed_models import fault_table, make_run
 
 from sidecar.address import Address
 from sidecar.cluster.aggregation import AggregationRound
@@ -90,12 +90,12 @@
     """Start replicas between which datagrams are lost, duplicated and reordered, 20% of each."""
     everywhere = {"between": ["copy:*"], "to": ["copy:*"]}
     faults = "".join(
-        trouble(kind, 0.001, 300, amount=0.2, **everywhere) for kind in ("loss", "double", "reorder")
+        fault_table(kind, 0.001, 300, amount=0.2, **everywhere) for kind in ("loss", "double", "reorder")
     )
     base = read_small().replace("count = 2", f"count = {count}\nconsole = true")
-    day = a_day(faults, base)
+    day = make_run(faults, base)
     clock = DayClock()
-    with log.Writer(folder / "log.jsonl") as writer:
+    with log.EventLogWriter(folder / "log.jsonl") as writer:
         relay = Relay(clock, Links(day), writer, random.Random(1))
         replicas = [
             ReplicaProcess(
@@ -109,7 +109,7 @@
                 random.Random(2),
                 30.0,
             )
-            for replica in day.copies
+            for replica in day.replicas
         ]
         await relay.start("127.15.0.1", [replica.peer_listen for replica in replicas])
         for replica in replicas:
@@ -147,7 +147,9 @@
             await cluster.until(version=2, in_force_everywhere=True, behind=[])
             cluster.publish(0, 1)
             cluster.replicas[0].hang_up()
-            await wait_until(lambda: cluster.has_logged(0, "configuration_rejected: version: 1 is older than 2"))
+            await wait_until(
+                lambda: cluster.has_logged(0, "configuration_rejected: version: 1 is older than 2")
+            )
             assert (await cluster.metrics(0))["refused"] == 1
             await cluster.until(version=2)
 
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -161,9 +161,7 @@
                 assert (await harness.request()).status == 200
             assert len(harness.servers[0].requests) == 0
             # Including a server that is not excluded succeeds.
-            assert (await harness.admin_request("POST", "/api/include", b'{"member":"s-1"}'))[
-                0
-            ] == 200
+            assert (await harness.admin_request("POST", "/api/include", b'{"member":"s-1"}'))[0] == 200
             await harness.admin_request("POST", "/api/exclude", b'{"member":"s-1"}')
             assert (await harness.request("lodge")).status == 503
             assert (await harness.admin_request("POST", "/api/include", b'{"member":"s-0"}'))[0] == 200
