--- a/testbed/events.py
+++ b/testbed/events.py
@@ -1,9 +1,11 @@
-"""The event log of a played day: what could be seen from outside the sidecars, by either engine.
+"""The event log of a run: what can be observed from outside the sidecars, the same for every engine.
 
-One JSON object a line.  Times are whole microseconds from the day's start, by one clock for all writers.  A
-day is written by several processes, each into a part of its own; `merge` puts them together by time, and at
-equal times by cause.  Who reads must not rely on time alone between writers: what a request's own events mean
-follows from their kinds.
+The file holds one JSON object per line.  Times are whole microseconds since the start of the run, by one
+clock that all writers share.  Several processes write a run, each to a part of its own; `merge_parts` sorts
+their events by time, and at equal times puts causes before effects.  A reader must not rely on time alone to
+order the events of different writers: how the events of one request relate follows from their kinds.
+
+Attributes whose name differs from the log's key are pinned to the key by `msgspec.field(name=...)`.
 """
 
 from __future__ import annotations
@@ -14,115 +16,126 @@
 
 import msgspec
 
-from testbed.scenario.day import Day
+from testbed.scenario.scenario_run import ScenarioRun
 
 
 class _Event(msgspec.Struct, tag_field="is", kw_only=True, omit_defaults=True):
-    at: int
+    """Base class of events; the key `is` holds the kind."""
+
+    at_us: int = msgspec.field(name="at")
 
 
-class Began(_Event, tag="began"):
-    """The day that is played, by which engine, and which variant of the program."""
+class RunStarted(_Event, tag="began"):
+    """The run that is played, by which engine, and with which variant of the program."""
 
-    day: Day
+    run: ScenarioRun = msgspec.field(name="day")
     engine: str
     variant: str = "this tree"
 
 
-class Copy(_Event, tag="copy"):
-    """What became of a copy; `life` counts its processes from 1.
+class ReplicaStateChanged(_Event, tag="copy"):
+    """A process of a replica changed its state; `incarnation` counts the replica's processes from 1.
 
-    started, ready, killed, stopping (SIGTERM), ended (after that, or by itself: `code`), paused, resumed.
+    The states are started, ready, killed, stopping (after SIGTERM), ended (by itself or after SIGTERM, with
+    an exit code), paused and resumed.
     """
 
-    copy: int
-    life: int
-    what: str
-    code: int | None = None
+    replica: int = msgspec.field(name="copy")
+    incarnation: int = msgspec.field(name="life")
+    state: str = msgspec.field(name="what")
+    exit_code: int | None = msgspec.field(default=None, name="code")
 
 
-class Server(_Event, tag="server"):
-    """What became of a server: up (cold from here), down, silent, heard, draining, gone."""
+class ServerStateChanged(_Event, tag="server"):
+    """A server changed its state: up (its slow start begins), down, draining or gone."""
 
     server: int
-    what: str
+    state: str = msgspec.field(name="what")
 
 
-class Trouble(_Event, tag="trouble"):
-    """A trouble of the day begins or ends."""
+class FaultChanged(_Event, tag="trouble"):
+    """A fault of the run begins or ends."""
 
-    number: int
+    fault_number: int = msgspec.field(name="number")
     begins: bool
 
 
-class Told(_Event, tag="told"):
-    """Discovery's word reached a copy: (server, state, start of its last life) of each line.
+class EndpointListDelivered(_Event, tag="told"):
+    """An endpoint list, or changes of it, reached a replica.
 
-    A state is active, leaving or left; a start is None where the server ran from the beginning.
+    An entry holds the server, its state (active, leaving or left) and when its current process was started;
+    None for a server that has run since the start of the run.
     """
 
-    copy: int
+    replica: int = msgspec.field(name="copy")
     version: int
-    full: bool
-    lines: list[tuple[int, str, int | None]]
+    is_full: bool = msgspec.field(name="full")
+    entries: list[tuple[int, str, int | None]] = msgspec.field(name="lines")
 
 
-class Called(_Event, tag="called"):
-    """A copy called discovery, and the call ended: well or not."""
+class DiscoveryPolled(_Event, tag="called"):
+    """A replica polled discovery, and the poll ended: with a list, or in a failure."""
 
-    copy: int
-    well: bool
+    replica: int = msgspec.field(name="copy")
+    succeeded: bool = msgspec.field(name="well")
 
 
-class Taken(_Event, tag="taken"):
-    """The last byte of a request was written to a connection that the copy's machine accepted.
+class RequestSent(_Event, tag="taken"):
+    """A client wrote the last byte of a request to a connection that the replica's machine had accepted.
 
-    `first` is the number of the client's first try, `due` the end of the client's patience with this one, and
-    `meant` when the first try should have left, whatever held it up.
+    Each attempt of a client has a `request` number of its own; the attempts of one client request share its
+    number.  `scheduled_at_us` is when the first attempt was due, regardless of what delayed it.
+    `timeout_at_us` is when the client stops waiting for a response to this attempt.
     """
 
     request: int
-    first: int
-    copy: int
+    client_request: int = msgspec.field(name="first")
+    replica: int = msgspec.field(name="copy")
     service_class: int
     tenant: int
-    meant: int
-    due: int
+    scheduled_at_us: int = msgspec.field(name="meant")
+    timeout_at_us: int = msgspec.field(name="due")
 
 
-class Unreached(_Event, tag="unreached"):
-    """No copy took the request: its connection was refused, or closed before it was written."""
+class RequestNotSent(_Event, tag="unreached"):
+    """A client could not send a request: its connection was refused, or closed before it was written."""
 
     request: int
-    first: int
-    copy: int
+    client_request: int = msgspec.field(name="first")
+    replica: int = msgspec.field(name="copy")
     service_class: int
-    meant: int
+    scheduled_at_us: int = msgspec.field(name="meant")
 
 
-class Arrived(_Event, tag="arrived"):
-    """The last byte of an attempt reached a server; `sent` is when its first byte did."""
+class AttemptReceived(_Event, tag="arrived"):
+    """A server received the last byte of an attempt.
+
+    `sent_at_us` is earlier: in the simulation, when the replica wrote the attempt; in the emulator, when its
+    first byte reached the server.
+    """
 
     request: int
-    copy: int
+    replica: int = msgspec.field(name="copy")
     server: int
-    attempt: int  # unique over the day
-    sent: int
-    work: int
+    attempt: int  # unique in the run
+    sent_at_us: int = msgspec.field(name="sent")
+    work_us: int = msgspec.field(name="work")
 
 
-class Ended(_Event, tag="ended"):
-    """What a server made of an attempt: served, error, full (never ran), lost (the process ended)."""
+class AttemptEnded(_Event, tag="ended"):
+    """An attempt ended at a server: served, error, full (not executed) or lost (server process ended)."""
 
     attempt: int
     request: int
-    how: str
+    outcome: str = msgspec.field(name="how")
 
 
-class Answered(_Event, tag="answered"):
-    """What the client got: a status, and for a 200 which attempt's body (-1: none that a server made).
+class ResponseReceived(_Event, tag="answered"):
+    """A client got a response, or stopped waiting for one.
 
-    Status 0: the connection ended, or patience and slack did, without a whole answer.
+    `attempt` is the attempt whose body a response with status 200 holds; -1 if no server wrote that body.
+    Status 0 means no complete response: the connection ended, or (`timed_out`) the client's timeout and the
+    slack after it passed.
     """
 
     request: int
@@ -131,106 +144,107 @@
     timed_out: bool = False
 
 
-class Connected(_Event, tag="connected"):
-    """A connection from a copy to a server came up (`opened`) or ended."""
+class ConnectionChanged(_Event, tag="connected"):
+    """A connection from a replica to a server was opened or closed."""
 
-    copy: int
+    replica: int = msgspec.field(name="copy")
     server: int
     opened: bool
 
 
-class Datagram(_Event, tag="datagram"):
-    """A datagram between copies, when it was passed on or lost."""
+class DatagramSent(_Event, tag="datagram"):
+    """A datagram from one replica to another was delivered or lost."""
 
     sender: int
     receiver: int
-    size: int
-    passed: bool
+    size_bytes: int = msgspec.field(name="size")
+    delivered: bool = msgspec.field(name="passed")
 
 
-class Figures(_Event, tag="figures"):
-    """What a copy says of itself (`/api/telemetry`)."""
+class MetricsReported(_Event, tag="figures"):
+    """The metrics of a replica, as its admin interface reports them (`/api/telemetry`)."""
 
-    copy: int
-    life: int
-    pending: int
-    members: int
-    unavailable: int
-    tier: dict[str, str] = {}
+    replica: int = msgspec.field(name="copy")
+    incarnation: int = msgspec.field(name="life")
+    pending_requests: int = msgspec.field(name="pending")
+    listed_endpoints: int = msgspec.field(name="members")
+    unavailable_endpoints: int = msgspec.field(name="unavailable")
+    membership: dict[str, str] = msgspec.field(default={}, name="tier")
 
 
-class Late(_Event, tag="late"):
-    """A writer of this log was late itself: the load, or a stand-in."""
+class WriterLate(_Event, tag="late"):
+    """A writer of this log, the load generator or a stand-in, did something later than it was due."""
 
-    who: str
-    by: int
+    writer: str = msgspec.field(name="who")
+    late_us: int = msgspec.field(name="by")
 
 
-class Finished(_Event, tag="finished"):
-    """The day was played to its end; a log without this line was cut off."""
+class RunFinished(_Event, tag="finished"):
+    """The run was played to its end; a log without this event is incomplete."""
 
 
 Event = (
-    Began
-    | Copy
-    | Server
-    | Trouble
-    | Told
-    | Called
-    | Taken
-    | Unreached
-    | Arrived
-    | Ended
-    | Answered
-    | Connected
-    | Datagram
-    | Figures
-    | Late
-    | Finished
+    RunStarted
+    | ReplicaStateChanged
+    | ServerStateChanged
+    | FaultChanged
+    | EndpointListDelivered
+    | DiscoveryPolled
+    | RequestSent
+    | RequestNotSent
+    | AttemptReceived
+    | AttemptEnded
+    | ResponseReceived
+    | ConnectionChanged
+    | DatagramSent
+    | MetricsReported
+    | WriterLate
+    | RunFinished
 )
 
-# At equal times, causes before effects.
+# The order at equal times: causes before effects.
 _KINDS: tuple[type, ...] = (
-    Began,
-    Trouble,
-    Server,
-    Copy,
-    Called,
-    Told,
-    Unreached,
-    Taken,
-    Connected,
-    Arrived,
-    Ended,
-    Answered,
-    Datagram,
-    Figures,
-    Late,
-    Finished,
+    RunStarted,
+    FaultChanged,
+    ServerStateChanged,
+    ReplicaStateChanged,
+    DiscoveryPolled,
+    EndpointListDelivered,
+    RequestNotSent,
+    RequestSent,
+    ConnectionChanged,
+    AttemptReceived,
+    AttemptEnded,
+    ResponseReceived,
+    DatagramSent,
+    MetricsReported,
+    WriterLate,
+    RunFinished,
 )
 _ORDER: dict[type, int] = {kind: place for place, kind in enumerate(_KINDS)}
 _ENCODER = msgspec.json.Encoder()
 _DECODER: msgspec.json.Decoder[Event] = msgspec.json.Decoder(Event)
-_BUFFER = 1 << 16
-BEFORE = -(1 << 50)  # when a log begins: before everything that comes ahead of its day
+_BUFFER_BYTES = 1 << 16
+# The time of RunStarted: earlier than what happens before the run's time 0, such as starts of replicas.
+BEFORE_RUN_US = -(1 << 50)
 
 
-class LogError(Exception):
-    """A log that can't be judged."""
+class EventLogError(Exception):
+    """An event log that can't be read or checked."""
 
 
-class Writer:
-    """Appends events to one part of a log, 64 KiB at a time and what is left at `flush` and `close`."""
+class EventLogWriter:
+    """Appends events to one part of a log, in blocks of 64 KiB; `flush` and `close` write the rest."""
 
     def __init__(self, path: Path) -> None:
         self._file = path.open("ab", buffering=0)
         self._buffer = bytearray()
 
     def write(self, event: Event) -> None:
-        """Append an event to the buffer; flush it when it is full."""
+        """Append an event to the buffer; flush the buffer when it is full."""
         self._buffer += _ENCODER.encode(event)
         self._buffer += b"\n"
-        if len(self._buffer) >= _BUFFER:
+        if len(self._buffer) >= _BUFFER_BYTES:
             self.flush()
 
     def flush(self) -> None:
@@ -244,65 +258,76 @@
         self.flush()
         self._file.close()
 
-    def __enter__(self) -> Writer:
+    def __enter__(self) -> EventLogWriter:
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+        self,
+        error_type: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
         self.close()
 
 
-def read(path: Path) -> Iterator[Event]:
-    """The events of one file in its order; a last line that was cut off is left out.
+def read_events(path: Path) -> Iterator[Event]:
+    """Yield the events of one file in its order, without an incomplete last line.
 
-    Raise LogError on any other line that is none of these events.
+    Raises:
+        EventLogError: The file can't be read, or another line is not an event.
     """
     try:
         with path.open("rb") as file:
             for number, line in enumerate(file, 1):
                 try:
                     yield _DECODER.decode(line)
-                except msgspec.DecodeError as fault:
+                except msgspec.DecodeError as error:
                     if not line.endswith(b"\n"):
                         return
-                    raise LogError(f"{path}, line {number}: {fault}") from None
-    except OSError as fault:
-        raise LogError(f"{path}: {fault.strerror}") from None
+                    raise EventLogError(f"{path}, line {number}: {error}") from None
+    except OSError as error:
+        raise EventLogError(f"{path}: {error.strerror}") from None
 
 
-def ordered(events: Iterable[Event]) -> list[Event]:
-    """By time, and at equal times by cause."""
-    return sorted(events, key=lambda each: (each.at, _ORDER[type(each)]))
+def sort_events(events: Iterable[Event]) -> list[Event]:
+    """Sort events by time, and at equal times causes before effects."""
+    return sorted(events, key=lambda event: (event.at_us, _ORDER[type(event)]))
 
 
-def parts(folder: Path) -> list[Path]:
-    """The partial logs in a folder, sorted by name."""
+def log_parts(folder: Path) -> list[Path]:
+    """Return the parts of a log in a folder, sorted by name."""
     return sorted(folder.glob("part-*.jsonl"))
 
 
-def merge(folder: Path) -> Path:
-    """Put the parts in a folder together into `log.jsonl`, as a whole or not at all; the parts go then."""
-    own = parts(folder)
-    fresh, whole = folder / "log.new", folder / "log.jsonl"
-    fresh.unlink(missing_ok=True)
-    with Writer(fresh) as writer:
-        for event in ordered(event for part in own for event in read(part)):
+def merge_parts(folder: Path) -> Path:
+    """Merge the parts in a folder into `log.jsonl` and delete them; return the path of the log.
+
+    The log appears complete or not at all, and the parts are deleted only after that.
+    """
+    parts = log_parts(folder)
+    unfinished, merged = folder / "log.new", folder / "log.jsonl"
+    unfinished.unlink(missing_ok=True)
+    with EventLogWriter(unfinished) as writer:
+        for event in sort_events(event for part in parts for event in read_events(part)):
             writer.write(event)
-    fresh.replace(whole)
-    for part in own:
+    unfinished.replace(merged)
+    for part in parts:
         part.unlink()
-    return whole
+    return merged
 
 
 def load(path: Path) -> list[Event]:
-    """A log by its file, or by the folder of a day, also of one that was cut off; raise LogError."""
+    """Load a log from its file, or from the folder of a run, even one that was interrupted.
+
+    Raises:
+        EventLogError: There is no log, or it can't be read.
+    """
     if path.is_dir():
-        whole = path / "log.jsonl"
-        if whole.exists():
-            return list(read(whole))
-        own = parts(path)
-        if not own:
-            raise LogError(f"{path}: holds no log")
-        return ordered(event for part in own for event in read(part))
-    return list(read(path))
+        merged = path / "log.jsonl"
+        if merged.exists():
+            return list(read_events(merged))
+        parts = log_parts(path)
+        if not parts:
+            raise EventLogError(f"{path}: contains no event log")
+        return sort_events(event for part in parts for event in read_events(part))
+    return list(read_events(path))
--- a/testbed/scenario/schema.py
+++ b/testbed/scenario/schema.py
@@ -1,7 +1,8 @@
-"""A world file: what may stand in it, with units, bounds and defaults.
+"""The format of a scenario file: its keys with their units, bounds and defaults.
 
-A figure is a number, or a range `[low, high]` that each day draws from.  Names end in their unit; what has
-none is a count, a part from 0 to 1, or a multiple.
+A quantity is a number, or a range `[low, high]` from which each run draws a number.  The name of a key ends
+in its unit; a key without one is a count, a fraction from 0 to 1, or a multiple.  Attributes whose name
+differs from the file's key are pinned to the key by an alias; the attribute's own name is not accepted.
 """
 
 from __future__ import annotations
@@ -11,7 +12,8 @@
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field
 
 Range = Annotated[list[float], Field(min_length=2, max_length=2)]
-Figure = float | Range
+Quantity = float | Range
+# Discovery; replicas (`copy`) or servers: all (*), one by its number, or a random part; all of a zone.
 Party = Annotated[
     str,
     Field(pattern=r"^(discovery|(copy|server):(\*|[0-9]{1,4}|[0-9]{1,3}%)|zone:[A-Za-z0-9._-]{1,64})$"),
@@ -20,208 +22,240 @@
 
 
 def _bounded(low: float, high: float) -> AfterValidator:
-    """A figure, or both ends of its range, from `low` to `high`."""
+    """Check that a quantity, or both ends of its range, lie from `low` to `high`."""
 
-    def check(figure: Figure) -> Figure:
-        ends = figure if isinstance(figure, list) else [figure]
-        if not all(low <= each <= high for each in ends):
-            raise ValueError(f"give a number, or a range [low, high], from {low:g} to {high:g}")
+    def check(quantity: Quantity) -> Quantity:
+        ends = quantity if isinstance(quantity, list) else [quantity]
+        if not all(low <= end <= high for end in ends):
+            raise ValueError(f"must be a number, or a range [low, high], from {low:g} to {high:g}")
         if ends[0] > ends[-1]:
-            raise ValueError("give the lower end of the range first")
-        return figure
+            raise ValueError("the lower end of a range must come first")
+        return quantity
 
     return AfterValidator(check)
 
 
-Part = Annotated[Figure, _bounded(0.0, 1.0)]
-Positive = Annotated[Figure, _bounded(1e-3, 1e6)]
-Amount = Annotated[Figure, _bounded(0.0, 1e6)]
-Count = Annotated[Figure, _bounded(1, 2_000)]
-Millis = Annotated[Figure, _bounded(0.0, 600_000.0)]
-Seconds = Annotated[Figure, _bounded(0.0, 3_600.0)]
+Fraction = Annotated[Quantity, _bounded(0.0, 1.0)]
+Positive = Annotated[Quantity, _bounded(1e-3, 1e6)]
+Amount = Annotated[Quantity, _bounded(0.0, 1e6)]
+Count = Annotated[Quantity, _bounded(1, 2_000)]
+Millis = Annotated[Quantity, _bounded(0.0, 600_000.0)]
+Seconds = Annotated[Quantity, _bounded(0.0, 3_600.0)]
 
 
-class Table(BaseModel):
-    """A table of the file; unknown keys are faults."""
+class _Table(BaseModel):
+    """A table of the file; an unknown key is an error."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class ServiceClass(Table):
-    """A class of requests."""
+class ServiceClass(_Table):
+    """A service class.  Idempotency scope and window apply to classes with idempotency keys."""
 
     name: Name
-    repeat: Literal["read_like", "idempotency_key", "non_idempotent"] = "read_like"
-    group: Literal["all", "zone", "cell"] = "cell"  # of idempotency_key: which servers drop repeats
-    memory_ms: Millis = 5_000.0  # of idempotency_key: for how long
-    deadline_ms: Annotated[Figure, _bounded(10.0, 60_000.0)] = 1_000.0
-    aim_ms: Annotated[Figure, _bounded(1.0, 60_000.0)] = 250.0
-    worth: Positive = 1.0
-    late_worth: Part = 0.2  # what is left of the worth past the aim
+    idempotency: Literal["read_like", "idempotency_key", "non_idempotent"] = Field(
+        default="read_like", alias="repeat"
+    )
+    # Which servers drop a request whose key one of them has already processed, and for how long.
+    idempotency_scope: Literal["all", "zone", "cell"] = Field(default="cell", alias="group")
+    idempotency_window_ms: Millis = Field(default=5_000.0, alias="memory_ms")
+    deadline_ms: Annotated[Quantity, _bounded(10.0, 60_000.0)] = 1_000.0
+    latency_objective_ms: Annotated[Quantity, _bounded(1.0, 60_000.0)] = Field(default=250.0, alias="aim_ms")
+    priority_weight: Positive = Field(default=1.0, alias="worth")
+    # The fraction of the priority weight that a response earns after the latency objective.
+    late_priority_weight: Fraction = Field(default=0.2, alias="late_worth")
     share: Positive = 1.0  # of the requests, relative to the other classes
-    work_ms: Annotated[Figure, _bounded(0.01, 10_000.0)] = 5.0  # mean, on one slot of speed 1
+    # Mean processing time on one slot of a server of speed 1.
+    mean_work_ms: Annotated[Quantity, _bounded(0.01, 10_000.0)] = Field(default=5.0, alias="work_ms")
 
 
-class Zone(Table):
-    """A zone; zones of one region are nearer to each other."""
+class Zone(_Table):
+    """A zone.  Links between zones of one region have a shorter delay than links between regions."""
 
     name: Name
     region: Name = "here"
 
 
-class Servers(Table):
-    """Servers, spread evenly over the zones, or in the one named."""
+class ServerGroup(_Table):
+    """A group of servers: all in the named zone, or spread evenly over all zones."""
 
     count: Count
     zone: Name | None = None
-    slots: Count = 4.0  # requests in work at once
-    queue: Annotated[Figure, _bounded(0.0, 1e6)] = 16.0  # and waiting; more are turned away
+    slots: Count = 4.0  # requests processed at once
+    # Requests that may wait for a slot; further ones are answered with "full".
+    queue_limit: Annotated[Quantity, _bounded(0.0, 1e6)] = Field(default=16.0, alias="queue")
     speed: Positive = 1.0
-    cells: Count = 1.0  # groups that drop the repeats of keyed requests
-    cold_from: Annotated[Figure, _bounded(0.01, 1.0)] = 0.2  # part of the capacity right after a start
-    cold_s: Seconds = 10.0  # and until it has all of it
-    crowd_from: Count = 1_000.0  # requests held from which it loses speed
-    crowd_loss: Part = 0.0  # part of its speed lost where it holds twice as many
-    connections: Annotated[Figure, _bounded(1, 1e5)] = 10_000.0
-    error_rate: Part = 0.0
-
-
-class Sidecars(Table):
-    """The copies of the program, spread evenly over the zones."""
+    cells: Count = 1.0  # sets of servers, each of which may be the scope of idempotency keys
+    # The fraction of the capacity right after a start, and the time until the full capacity is reached.
+    slow_start_initial_capacity: Annotated[Quantity, _bounded(0.01, 1.0)] = Field(
+        default=0.2, alias="cold_from"
+    )
+    slow_start_s: Seconds = Field(default=10.0, alias="cold_s")
+    # Requests processed or waiting above which speed is lost, and the fraction lost at twice that number.
+    overload_threshold: Count = Field(default=1_000.0, alias="crowd_from")
+    overload_slowdown: Fraction = Field(default=0.0, alias="crowd_loss")
+    max_connections: Annotated[Quantity, _bounded(1, 1e5)] = Field(default=10_000.0, alias="connections")
+    error_rate: Fraction = 0.0
+
+
+class Sidecars(_Table):
+    """The replicas of the sidecar, spread evenly over the zones."""
 
     count: Count
-    uneven: Annotated[Figure, _bounded(1.0, 100.0)] = 1.0  # the busiest gets so many times the mean
-    attempts: Annotated[Figure, _bounded(1, 16)] = 4.0  # for one request
-    datagrams: bool = True  # whether they may send to each other
-    membership: dict[str, bool | float] = {}  # of the configuration, as it is
-    console: bool = False  # with a door for operators
-    operated: bool = False  # with that, and a listening socket that the platform holds
-    folder: Literal["kept", "fresh"] = "kept"  # at a restart
-    memory_mb: Annotated[Figure, _bounded(32, 4_096)] = 192.0
-    sockets: Annotated[Figure, _bounded(64, 65_536)] = 1_024.0
-
-
-class Discovery(Table):
-    """The one service that lists servers."""
-
-    late_ms: Millis = 100.0  # from a change to when it can tell
-    call_ms: Millis = 1.0  # of its time for a call; it handles one after another
-    wait_ms: Annotated[Figure, _bounded(1.0, 60_000.0)] = 500.0  # a call that would wait longer fails
-    fail_rate: Part = 0.0
-    ask_within_ms: Annotated[Figure, _bounded(500.0, 60_000.0)] = 10_000.0
-    pushed: bool = False
-
-
-class Network(Table):
-    """What lies between any two parties.  Delays are one way."""
-
-    delay_ms: Annotated[Figure, _bounded(0.0, 1_000.0)] = 0.0
-    other_zone_ms: Annotated[Figure, _bounded(0.0, 1_000.0)] = 0.0  # added
-    other_region_ms: Annotated[Figure, _bounded(0.0, 1_000.0)] = 0.0  # added on top
-    datagram_loss: Part = 0.0
-    dial_timeout_ms: Annotated[Figure, _bounded(10.0, 10_000.0)] = 200.0
-
-
-class Clients(Table):
-    """The application beside each sidecar: open loop, arrivals wait for no answer."""
+    # The load of the busiest replica as a multiple of that of the least busy one.
+    max_to_min_load: Annotated[Quantity, _bounded(1.0, 100.0)] = Field(default=1.0, alias="uneven")
+    max_attempts: Annotated[Quantity, _bounded(1, 16)] = Field(default=4.0, alias="attempts")  # for a request
+    may_message_peers: bool = Field(default=True, alias="datagrams")
+    membership: dict[str, bool | float] = {}  # passed on unchanged in each replica's configuration
+    has_admin_interface: bool = Field(default=False, alias="console")
+    # The platform holds the listening socket and passes it to each process; implies the admin interface.
+    has_inherited_listener: bool = Field(default=False, alias="operated")
+    # Whether the folder for temporary files survives a restart.
+    temp_folder: Literal["kept", "fresh"] = Field(default="kept", alias="folder")
+    memory_limit_mb: Annotated[Quantity, _bounded(32, 4_096)] = Field(default=192.0, alias="memory_mb")
+    socket_limit: Annotated[Quantity, _bounded(64, 65_536)] = Field(default=1_024.0, alias="sockets")
+
+
+class Discovery(_Table):
+    """The discovery service, which lists the servers.  It handles polls one after another."""
+
+    notification_delay_ms: Millis = Field(default=100.0, alias="late_ms")  # from a change until it is listed
+    service_time_ms: Millis = Field(default=1.0, alias="call_ms")  # per poll
+    # A poll that would wait longer for its turn fails.
+    max_queueing_ms: Annotated[Quantity, _bounded(1.0, 60_000.0)] = Field(default=500.0, alias="wait_ms")
+    failure_rate: Fraction = Field(default=0.0, alias="fail_rate")
+    max_poll_interval_ms: Annotated[Quantity, _bounded(500.0, 60_000.0)] = Field(
+        default=10_000.0, alias="ask_within_ms"
+    )
+    is_pushed: bool = Field(default=False, alias="pushed")
+
+
+class Network(_Table):
+    """The network between any two parties.  Delays are one-way and add up."""
+
+    delay_ms: Annotated[Quantity, _bounded(0.0, 1_000.0)] = 0.0
+    cross_zone_delay_ms: Annotated[Quantity, _bounded(0.0, 1_000.0)] = Field(
+        default=0.0, alias="other_zone_ms"
+    )
+    cross_region_delay_ms: Annotated[Quantity, _bounded(0.0, 1_000.0)] = Field(
+        default=0.0, alias="other_region_ms"
+    )
+    datagram_loss: Fraction = 0.0
+    connect_timeout_ms: Annotated[Quantity, _bounded(10.0, 10_000.0)] = Field(
+        default=200.0, alias="dial_timeout_ms"
+    )
+
+
+class Clients(_Table):
+    """The application beside each sidecar: an open loop, in which arrivals do not wait for responses."""
 
     rate_per_s: Positive
-    patience: Annotated[Figure, _bounded(0.05, 1.0)] = 1.0  # part of the class's deadline for one try
-    retries: Annotated[Figure, _bounded(0, 10)] = 0.0
+    # The timeout of each attempt of a client, as a fraction of the class's deadline.
+    timeout_fraction: Annotated[Quantity, _bounded(0.05, 1.0)] = Field(default=1.0, alias="patience")
+    max_retries: Annotated[Quantity, _bounded(0, 10)] = Field(default=0.0, alias="retries")
     backoff_ms: Millis = 50.0
-    connections: Annotated[Figure, _bounded(1, 1_000)] = 32.0  # to one sidecar
-    body_bytes: Annotated[Figure, _bounded(0, 65_536)] = 0.0  # of requests that are no GET
-    keys: Annotated[Figure, _bounded(1, 1e7)] = 1_000.0
-    work: Literal["fixed", "exponential"] = "exponential"
+    # To one replica; further requests wait for a connection.
+    max_connections: Annotated[Quantity, _bounded(1, 1_000)] = Field(default=32.0, alias="connections")
+    body_bytes: Annotated[Quantity, _bounded(0, 65_536)] = 0.0  # of requests other than GET
+    key_count: Annotated[Quantity, _bounded(1, 1e7)] = Field(default=1_000.0, alias="keys")
+    work_distribution: Literal["fixed", "exponential"] = Field(default="exponential", alias="work")
 
 
-class Tenant(Table):
+class Tenant(_Table):
     """A tenant and its share of the requests."""
 
     name: Name
-    share: Positive = 1.0
+    share: Positive = 1.0  # relative to the other tenants
 
 
-class Timed(Table):
-    """A trouble: when it begins, and for how long it holds."""
+class TimedFault(_Table):
+    """Base class of faults: start and duration."""
 
-    at_s: Seconds
-    for_s: Seconds = 0.0
+    start_s: Seconds = Field(alias="at_s")
+    duration_s: Seconds = Field(default=0.0, alias="for_s")
 
 
-class OfCopies(Timed):
-    """What happens to processes of the program.
+class ReplicaFault(TimedFault):
+    """A fault of replica processes.
 
-    kill: SIGKILL, started again after `for_s` (never, if 0).  term: SIGTERM, started again once it ended.
-    pause: SIGSTOP, SIGCONT after `for_s`.  hup: SIGHUP.  upgrade: a second process beside the first, which
-    then gets SIGTERM.  clock: it starts again with a clock that is `amount` seconds ahead.  full, read_only,
-    damaged: its folder, for `for_s`; a damaged one is garbage once, at a restart.
+    kill: SIGKILL; restarted after `for_s`, or never if that is 0.  term: SIGTERM; restarted when it has
+    ended.  pause: SIGSTOP, and SIGCONT after `for_s`.  hup: SIGHUP.  upgrade: a second process is started;
+    when it is ready, the first one gets SIGTERM.  clock: killed and restarted with a wall clock that is
+    `amount` seconds ahead.  full, read_only: for `for_s`, no file of the process may grow, or its folder for
+    temporary files is read-only.  damaged: killed and restarted, with each file of that folder truncated or
+    ending in garbage.
     """
 
     kind: Literal["kill", "term", "pause", "hup", "upgrade", "clock", "full", "read_only", "damaged"]
-    who: Annotated[list[Party], Field(min_length=1)]
-    amount: Annotated[Figure, _bounded(-1e9, 1e9)] = 0.0
-    step_s: Seconds = 0.0  # between one copy and the next
+    parties: Annotated[list[Party], Field(min_length=1)] = Field(alias="who")
+    amount: Annotated[Quantity, _bounded(-1e9, 1e9)] = 0.0
+    stagger_s: Seconds = Field(default=0.0, alias="step_s")  # between one replica and the next
 
 
-class OfServers(Timed):
-    """What happens to servers.
+class ServerFault(TimedFault):
+    """A fault of servers.
 
-    crash: its process ends, and comes back cold after `for_s` (never, if 0).  silent: its machine says
-    nothing.  slow: `amount` times its speed.  errors: an `amount` part of its answers.  drain: listed as
-    leaving, gone after `for_s`.
+    crash: the process ends; restarted after `for_s`, in slow start, or never if that is 0.  silent: cut off
+    from all replicas.  slow: speed multiplied by `amount`.  errors: a fraction of `amount` of the responses
+    are errors.  drain: listed as leaving, and gone after `for_s`.
     """
 
     kind: Literal["crash", "silent", "slow", "errors", "drain"]
-    who: Annotated[list[Party], Field(min_length=1)]
+    parties: Annotated[list[Party], Field(min_length=1)] = Field(alias="who")
     amount: Amount = 0.5
-    step_s: Seconds = 0.0
+    stagger_s: Seconds = Field(default=0.0, alias="step_s")  # between one server and the next
 
 
-class OfLinks(Timed):
-    """What happens between two sets of parties, one way or both.
+class LinkFault(TimedFault):
+    """A fault of the links between two sets of parties, in one direction or both.
 
-    cut: nothing passes; what waits is passed on afterwards.  hold: what is sent meanwhile comes when it
-    ends (bytes of connections too).  delay: `amount` ms more.  loss, double, reorder: an `amount` part of
-    the datagrams.  reset: an `amount` part of the answers is cut off in the middle.
+    cut: nothing passes; bytes of connections arrive after its end, datagrams are lost.  hold: all that is
+    sent meanwhile arrives when it ends, datagrams too.  delay: `amount` ms more delay.  loss, double,
+    reorder: applies to a fraction of `amount` of the datagrams.  reset: a fraction of `amount` of the
+    responses is cut off in the middle.
     """
 
     kind: Literal["cut", "hold", "delay", "loss", "double", "reorder", "reset"]
-    between: Annotated[list[Party], Field(min_length=1)]
-    to: Annotated[list[Party], Field(min_length=1)]
+    parties: Annotated[list[Party], Field(min_length=1)] = Field(alias="between")
+    other_parties: Annotated[list[Party], Field(min_length=1)] = Field(alias="to")
     both_ways: bool = True
     amount: Amount = 0.0
 
 
-class OfDiscovery(Timed):
-    """discovery_down: calls fail and watches end.  discovery_late: changes are told `amount` ms later."""
+class DiscoveryFault(TimedFault):
+    """A fault of the discovery service.
+
+    discovery_down: polls fail and watches end.  discovery_late: changes are listed `amount` ms later.
+    """
 
     kind: Literal["discovery_down", "discovery_late"]
     amount: Amount = 0.0
 
 
-class OfLoad(Timed):
-    """surge: `amount` times the rate."""
+class LoadFault(TimedFault):
+    """A change of the load.  surge: the request rate is multiplied by `amount`."""
 
     kind: Literal["surge"]
     amount: Positive = 1.5
 
 
-Trouble = Annotated[OfCopies | OfServers | OfLinks | OfDiscovery | OfLoad, Field(discriminator="kind")]
+Fault = Annotated[
+    ReplicaFault | ServerFault | LinkFault | DiscoveryFault | LoadFault, Field(discriminator="kind")
+]
 
 
-class World(Table):
-    """The whole file."""
+class Scenario(_Table):
+    """A scenario file."""
 
     name: Name
     about: str = ""
-    seconds: Annotated[float, Field(ge=1.0, le=3_600.0)] = 30.0
+    duration_s: Annotated[float, Field(ge=1.0, le=3_600.0)] = Field(default=30.0, alias="seconds")
     classes: Annotated[list[ServiceClass], Field(min_length=1, max_length=32)]
     zones: Annotated[list[Zone], Field(min_length=1, max_length=64)] = [Zone(name="a")]
     tenants: Annotated[list[Tenant], Field(max_length=256)] = []
-    servers: Annotated[list[Servers], Field(min_length=1, max_length=64)]
+    servers: Annotated[list[ServerGroup], Field(min_length=1, max_length=64)]
     sidecars: Sidecars
     discovery: Discovery = Discovery()
     network: Network = Network()
     clients: Clients
-    troubles: Annotated[list[Trouble], Field(max_length=1_000)] = []
+    faults: Annotated[list[Fault], Field(max_length=1_000)] = Field(default=[], alias="troubles")
--- a/tests/test_cluster_membership.py
+++ b/tests/test_cluster_membership.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from loopback import free_for_datagrams, play, until
+from loopback import free_udp_addresses, run_async, wait_until
 
 from sidecar.address import Address
 from sidecar.clock import Clock
@@ -63,41 +63,41 @@
 
 def test_members_report_each_other_present_and_one_that_leaves() -> None:
     async def work() -> None:
-        one, two, three = await start_replicas(free_for_datagrams(3), 3)
+        one, two, three = await start_replicas(free_udp_addresses(3), 3)
         replicas = (one, two, three)
-        await until(lambda: all(replica.metric("present") == 3 for replica in replicas))
+        await wait_until(lambda: all(replica.metric("present") == 3 for replica in replicas))
         three.membership.leave()
-        await until(lambda: one.metric("left") == two.metric("left") == 1)
+        await wait_until(lambda: one.metric("left") == two.metric("left") == 1)
         assert three.membership.metrics() is None
         assert one.sizes[-1].at_most == 2 and one.metric("view") == "ppl"
         assert "member" in str(one.metric("absent"))
-        await until(lambda: any("2 left (by 2)" in line for line in one.lines))
+        await wait_until(lambda: any("2 left (by 2)" in line for line in one.lines))
         for replica in replicas:
             replica.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_size_is_the_configured_one_after_membership_is_switched_off() -> None:
     async def work() -> None:
-        one, two = await start_replicas(free_for_datagrams(2), 2)
-        await until(lambda: one.metric("present") == 2)
+        one, two = await start_replicas(free_udp_addresses(2), 2)
+        await wait_until(lambda: one.metric("present") == 2)
         two.membership.leave()
-        await until(lambda: one.sizes[-1].at_most == 1)
+        await wait_until(lambda: one.sizes[-1].at_most == 1)
         one.membership.configure(MembershipSettings(on=False))
         assert one.sizes[-1] == ClusterSize(2, 2, 0, 0, 0, 0) and one.membership.metrics() is None
         for replica in (one, two):
             replica.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_size_is_reported_at_once_when_informing_is_switched_on_again() -> None:
     async def work() -> None:
-        one, two = await start_replicas(free_for_datagrams(2), 2)
-        await until(lambda: one.metric("present") == 2)
+        one, two = await start_replicas(free_udp_addresses(2), 2)
+        await wait_until(lambda: one.metric("present") == 2)
         two.membership.leave()
-        await until(lambda: one.sizes[-1].at_most == 1)
+        await wait_until(lambda: one.sizes[-1].at_most == 1)
         one.membership.configure(MembershipSettings(informs=False))
         assert one.sizes[-1].at_most == 2
         one.membership.configure(SHORT_PERIOD)
@@ -105,14 +105,14 @@
         for replica in (one, two):
             replica.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_reconfigured_peers_change_the_cluster_size() -> None:
     async def work() -> None:
-        addresses = free_for_datagrams(3)
+        addresses = free_udp_addresses(3)
         one, two = await start_replicas(addresses[:2], 2)
-        await until(lambda: one.metric("present") == 2)
+        await wait_until(lambda: one.metric("present") == 2)
         for replica in (one, two):
             replica.peers.set_addresses(addresses, None)
             replica.membership.configure(SHORT_PERIOD)
@@ -120,19 +120,19 @@
         for replica in (one, two):
             replica.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_invalid_datagrams_are_counted_by_reason() -> None:
     async def work() -> None:
-        addresses = free_for_datagrams(2)
+        addresses = free_udp_addresses(2)
         (one,) = await start_replicas(addresses, 1)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"hello", addresses[0])
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.bind(addresses[1])
             other.sendto(b"hello", addresses[0])
-            await until(lambda: one.metric("dropped") == {"malformed": 1, "a stranger": 1})
+            await wait_until(lambda: one.metric("dropped") == {"malformed": 1, "a stranger": 1})
         one.close()
 
-    play(work)
+    run_async(work)
--- a/tests/test_configuration_rollout.py
+++ b/tests/test_configuration_rollout.py
@@ -16,10 +16,10 @@
 from typing import Any
 
 import pytest
-from loopback import HOST, free_for_datagrams, play, until
+from loopback import HOST, free_udp_addresses, run_async, wait_until
 from test_emulator import PROGRAM, ROOT, read_small
-from test_ground import a_day, trouble
-from test_program import GOOD
+from test_program import VALID_CONFIGURATION
+from test_testbed_models import fault_table, make_run
 
 from sidecar.address import Address
 from sidecar.cluster.aggregation import AggregationRound
@@ -90,12 +90,12 @@
     """Start replicas between which datagrams are lost, duplicated and reordered, 20% of each."""
     everywhere = {"between": ["copy:*"], "to": ["copy:*"]}
     faults = "".join(
-        trouble(kind, 0.001, 300, amount=0.2, **everywhere) for kind in ("loss", "double", "reorder")
+        fault_table(kind, 0.001, 300, amount=0.2, **everywhere) for kind in ("loss", "double", "reorder")
     )
     base = read_small().replace("count = 2", f"count = {count}\nconsole = true")
-    day = a_day(faults, base)
+    day = make_run(faults, base)
     clock = DayClock()
-    with log.Writer(folder / "log.jsonl") as writer:
+    with log.EventLogWriter(folder / "log.jsonl") as writer:
         relay = Relay(clock, Links(day), writer, random.Random(1))
         replicas = [
             ReplicaProcess(
@@ -109,13 +109,13 @@
                 random.Random(2),
                 30.0,
             )
-            for replica in day.copies
+            for replica in day.replicas
         ]
         await relay.start("127.15.0.1", [replica.peer_listen for replica in replicas])
         for replica in replicas:
             replica.configure(f"{HOST}:9", relay.peers, relay.everyone)
             replica.config |= {**SHORT_ROUNDS, "version": 1}
-            replica.listing = lambda: GOOD["known"]
+            replica.listing = lambda: VALID_CONFIGURATION["known"]
         clock.begin(0)
         try:
             await asyncio.gather(*(replica.start() for replica in replicas))
@@ -137,7 +137,7 @@
             for number in range(4):
                 assert cluster.has_logged(number, "configuration_reloaded: discovery is at")
                 line = "configuration_in_force_everywhere: version 2 "
-                await until(partial(cluster.has_logged, number, line))
+                await wait_until(partial(cluster.has_logged, number, line))
             await cluster.replicas[1].kill()
             cluster.publish(1, 1)
             await cluster.replicas[1].start()
@@ -147,11 +147,13 @@
             await cluster.until(version=2, in_force_everywhere=True, behind=[])
             cluster.publish(0, 1)
             cluster.replicas[0].hang_up()
-            await until(lambda: cluster.has_logged(0, "configuration_rejected: version: 1 is older than 2"))
+            await wait_until(
+                lambda: cluster.has_logged(0, "configuration_rejected: version: 1 is older than 2")
+            )
             assert (await cluster.metrics(0))["refused"] == 1
             await cluster.until(version=2)
 
-    play(work)
+    run_async(work)
 
 
 # One replica in the process of the test
@@ -160,10 +162,10 @@
 def document(local: Address, other: Address, **changes: object) -> dict[str, Any]:
     """Return a configuration file of a cluster of two, with some keys added or replaced."""
     return {
-        **GOOD,
+        **VALID_CONFIGURATION,
         "peer_listen": f"{local[0]}:{local[1]}",
         "peers": [f"{host}:{port}" for host, port in (local, other)],
-        "settings": {**GOOD["settings"], "bounds": {"mayTell": True}},
+        "settings": {**VALID_CONFIGURATION["settings"], "bounds": {"mayTell": True}},
         **changes,
     }
 
@@ -179,7 +181,7 @@
 @pytest.mark.parametrize("changes", ROLLOUT_OFF, ids=str)
 def test_without_rollout_no_version_is_sent_or_rejected(changes: dict[str, Any]) -> None:
     async def work() -> None:
-        local, other = free_for_datagrams(2)
+        local, other = free_udp_addresses(2)
         received: list[bytes] = []
 
         class Receiver(asyncio.DatagramProtocol):
@@ -196,7 +198,7 @@
         )
         assert sidecar.reconfigure(lower) == []  # applied, even if its version is lower
         if sidecar._cluster.membership is not None:
-            await until(lambda: len(received) >= 2)
+            await wait_until(lambda: len(received) >= 2)
             exchange = encode(cluster_id("0"), 1, ExchangeKind.PUSH_PULL, AggregationRound(9, 1, 1, 0), 0, 0)
             sidecar._cluster.message_received(1, exchange)
             assert sidecar._cluster.membership.membership is not None
@@ -205,7 +207,7 @@
         sidecar.close()
         receiver.close()
 
-    play(work)
+    run_async(work)
 
 
 ROLLOUT_MODULES = {
@@ -219,7 +221,7 @@
 
 def test_without_version_rollout_modules_are_not_imported() -> None:
     assert len(ROLLOUT_MODULES) >= 11 and all(map(importlib.util.find_spec, ROLLOUT_MODULES))
-    local, other = free_for_datagrams(2)
+    local, other = free_udp_addresses(2)
     program = f"""
 import asyncio, sys
 from sidecar.configuration import parse
@@ -240,7 +242,7 @@
 
 def test_rollout_is_switched_on_and_off_by_reload() -> None:
     async def work() -> None:
-        local, other = free_for_datagrams(2)
+        local, other = free_udp_addresses(2)
 
         def config(**changes: object) -> Configuration:
             return parse(document(local, other, **changes))
@@ -267,16 +269,16 @@
         assert sidecar.version is None
         sidecar.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_version_pending_a_restart_is_not_in_force() -> None:
     async def work() -> None:
-        local, other = free_for_datagrams(2)
+        local, other = free_udp_addresses(2)
         sidecar = Sidecar(parse(document(local, other, version=5)), print)
         await sidecar.start()
         assert sidecar.reconfigure(
-            parse(document(local, other, version=6, limits={**GOOD["limits"], "sockets": 999}))
+            parse(document(local, other, version=6, limits={**VALID_CONFIGURATION["limits"], "sockets": 999}))
         ) == ["sockets"]
         assert sidecar.version == 5
         metrics = sidecar.administration.metrics()["configuration"]
@@ -286,26 +288,26 @@
         assert sidecar.version == 7
         sidecar.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_file_pending_a_restart_does_not_switch_rollout_on() -> None:
     async def work() -> None:
-        local, other = free_for_datagrams(2)
+        local, other = free_udp_addresses(2)
         sidecar = Sidecar(parse(document(local, other)), print)
         await sidecar.start()
         sidecar.reconfigure(
-            parse(document(local, other, version=6, limits={**GOOD["limits"], "sockets": 999}))
+            parse(document(local, other, version=6, limits={**VALID_CONFIGURATION["limits"], "sockets": 999}))
         )
         assert sidecar.version is None and "configuration" not in sidecar.administration.metrics()
         sidecar.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_rejected_file_leaves_peers_and_discovery_unchanged() -> None:
     async def work() -> None:
-        local, other = free_for_datagrams(2)
+        local, other = free_udp_addresses(2)
         sidecar = Sidecar(parse(document(local, other, version=5)), print)
         await sidecar.start()
         changed = document(local, other, version=4, discovery=f"{HOST}:10")
@@ -315,7 +317,7 @@
         assert sidecar._cluster.peers.size == 2 and sidecar._discovery._address == (HOST, 9)
         sidecar.close()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -341,12 +343,12 @@
 )
 def test_error_about_invalid_setting_begins_with_its_key(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigurationError) as error:
-        parse({**GOOD, **changes})
+        parse({**VALID_CONFIGURATION, **changes})
     assert str(error.value).startswith(key)
 
 
 def test_digest_covers_only_the_keys_shared_by_all_files() -> None:
-    local, other = free_for_datagrams(2)
+    local, other = free_udp_addresses(2)
     first = parse(document(local, other, version=1))
     assert (
         parse(document(local, other, version=1, name="n7", seed="77", console=f"{HOST}:5")).digest
