--- a/sidecar/__init__.py
+++ b/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy process: executes the decisions of the balancer on real sockets."""
+"""The sidecar process: an HTTP/1.1 proxy that executes the decisions of the balancer."""
--- a/sidecar/attempts.py
+++ b/sidecar/attempts.py
@@ -43,7 +43,7 @@
         attempt_number = len(request.attempts)
 
         def on_ended(outcome: Outcome, response: Response | None) -> None:
-            self._ended(number, attempt_number, outcome, response)
+            self._attempt_ended(number, attempt_number, outcome, response)
 
         def on_streaming_response(
             source: UpstreamConnection, head: Response, length: int | None
@@ -85,7 +85,7 @@
         path = b"/_load" if is_report_in_body else b"/ping"
         health_check = OutgoingRequest(b"GET", path, [(b"host", server.encode())])
         self._upstream.start(
-            Attempt(server, sent_at + _HEALTH_CHECK_TIMEOUT_US, lambda _left_us: health_check, on_ended)
+            Attempt(server, sent_at + _HEALTH_CHECK_TIMEOUT_US, lambda _remaining_us: health_check, on_ended)
         )
 
     def _response_started(
@@ -107,7 +107,9 @@
         self._dispatch(ResponseStarted(number, attempt_number, attempt.server, elapsed_us))
         return request.client
 
-    def _ended(self, number: int, attempt_number: int, outcome: Outcome, response: Response | None) -> None:
+    def _attempt_ended(
+        self, number: int, attempt_number: int, outcome: Outcome, response: Response | None
+    ) -> None:
         request = self._requests[number]
         request.attempts_in_flight -= 1
         request.last_outcome = outcome
--- a/sidecar/configuration.py
+++ b/sidecar/configuration.py
@@ -230,7 +230,9 @@
     try:
         return int(value, 16)  # type: ignore[call-overload, no-any-return]
     except (TypeError, ValueError):
-        raise ConfigurationError(f"seed: must be hexadecimal digits, got {value!r:.60}") from None
+        raise ConfigurationError(
+            f"seed: must be hexadecimal digits or a non-negative integer, got {value!r:.60}"
+        ) from None
 
 
 def _descriptor(value: str | None) -> int | None:
--- a/sidecar/configuration_reload.py
+++ b/sidecar/configuration_reload.py
@@ -20,7 +20,7 @@
         self._sidecar = sidecar
         self._log = log
         self._environment = environment
-        self._last_checksum: int | None = None  # of the content of the file when it was last read
+        self._last_checksum: int | None = None  # checksum of the file's content when it was last read
 
     def reload(self) -> None:
         """Read and apply the file; if it is invalid or of an older version, log that and change nothing."""
--- a/sidecar/connection_socket.py
+++ b/sidecar/connection_socket.py
@@ -19,7 +19,7 @@
 
 
 class ConnectionSocket:
-    """The socket of a connection; after `release` it reports no unread or unsent data and an open peer."""
+    """The socket of a connection; after `release`, all queries return that there is nothing to report."""
 
     __slots__ = ("_getsockopt", "_poll", "_socket")
 
--- a/sidecar/discovery/hedged_poll.py
+++ b/sidecar/discovery/hedged_poll.py
@@ -100,6 +100,6 @@
 
 
 def _retrieve_exception(task: asyncio.Task[EndpointList]) -> None:
-    """Retrieve a task's exception, so that the event loop does not log it: other connections may succeed."""
+    """Retrieve a task's exception, so that the event loop does not log it if another connection answers."""
     if not task.cancelled():
         task.exception()
--- a/sidecar/graceful_shutdown.py
+++ b/sidecar/graceful_shutdown.py
@@ -10,13 +10,13 @@
 from sidecar.open_requests import OpenRequests
 from sidecar.shutdown_state import ShutdownState
 
-_ACCEPT_PERIOD_S = 0.4  # from SIGTERM; new connections may still arrive for as long as this
+_ACCEPT_PERIOD_S = 0.4  # after SIGTERM, in which new connections are always accepted
 _ACCEPT_QUIET_PERIOD_S = 0.05  # without a new connection, after which the listener is closed
-_KILL_DELAY_S = 0.7  # SIGKILL follows SIGTERM after at least the longest deadline plus this time
-_MAX_DEADLINE_S = 3.0  # longer deadlines do not delay SIGKILL any further
-_MAX_STREAMING_S = 600.0  # for which a response that is being streamed may delay the exit
-_RESPONSE_RESERVE_S = 0.1  # before SIGKILL, reserved for sending the last responses
-_CLOSE_TIMEOUT_S = 0.08  # within that reserve, for clients to read the last responses and close
+_KILL_DELAY_S = 0.7  # SIGKILL follows SIGTERM no sooner than the longest deadline plus this time
+_MAX_DEADLINE_S = 3.0  # longer deadlines count as this time for the delay of SIGKILL
+_MAX_STREAMING_S = 600.0  # longest delay of the exit by responses that are being streamed
+_RESPONSE_RESERVE_S = 0.1  # reserved before SIGKILL for sending the last responses
+_CLOSE_TIMEOUT_S = 0.08  # part of that reserve in which clients may read the last responses and close
 _POLL_INTERVAL_S = 0.01
 _CLOSE_POLL_INTERVAL_S = 0.005
 
--- a/sidecar/log_events.py
+++ b/sidecar/log_events.py
@@ -336,7 +336,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerLine(LogEvent):
-    """A line that the balancer requested with a Log action; it begins with a name of its own."""
+    """A line that the balancer requested with a Log action; its text includes the name of the event."""
 
     text: str
 
--- a/sidecar/request_intake.py
+++ b/sidecar/request_intake.py
@@ -75,9 +75,8 @@
         """Stop work for a client that has disconnected."""
         request = self._requests.get(number)
         if request is not None and request.streaming_attempt is not None:
-            self._upstream.cancel(
-                request.attempts[request.streaming_attempt]
-            )  # its response can't be delivered
+            # The rest of the response can't be delivered.
+            self._upstream.cancel(request.attempts[request.streaming_attempt])
         self._requests.release_client(number)
         self._dispatch(ClientDisconnected(number))
         self._requests.remove_if_finished(number)
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -1,6 +1,7 @@
 """What may have changed while a connection comes up: the write is judged, not the decision before it.
 
-Each peer that comes up late does so by `SlowToAccept.let_go`, so that what crosses the dial is done by then.
+Each peer that comes up late does so by `SlowAcceptServer.accept`, so that what crosses the dial is done by
+then.
 """
 
 from __future__ import annotations
