--- a/sidecar/graceful_shutdown.py
+++ b/sidecar/graceful_shutdown.py
@@ -57,7 +57,7 @@
         if self._owns_listener:
             await self._accept_late_connections()
         # Connections that are queued in a socket held by the platform are accepted by the new process.
-        self._downstream.stop_listening(accept_the_rest=self._owns_listener)
+        self._downstream.stop_listening(accept_queued=self._owns_listener)
         await self._wait_for_responses()
         self._answer_overdue_requests()
         await self._wait_for_streaming()
@@ -68,7 +68,7 @@
         loop = asyncio.get_running_loop()
         await asyncio.sleep(_ACCEPT_PERIOD_S)
         ends_at_s = self._started_at_s + _KILL_DELAY_S
-        while loop.time() < min(self._downstream.last_opened + _ACCEPT_QUIET_PERIOD_S, ends_at_s):
+        while loop.time() < min(self._downstream.last_opened_at + _ACCEPT_QUIET_PERIOD_S, ends_at_s):
             await asyncio.sleep(_ACCEPT_QUIET_PERIOD_S / 2)
 
     async def _wait_for_responses(self) -> None:
--- a/sidecar/sidecar.py
+++ b/sidecar/sidecar.py
@@ -52,7 +52,7 @@
         self._persisted_exclusions = self._create_persisted_exclusions()
         self._metrics = Metrics(service_class.name for service_class in configuration.settings.classes)
         self._upstream = self._create_upstream()
-        self._requests = OpenRequests(self._metrics, self._upstream.withdraw)
+        self._requests = OpenRequests(self._metrics, self._upstream.cancel_unwritten)
         self._balancer = Balancer(configuration.settings, configuration.seed)
         self._dispatcher = EventDispatcher(self._balancer, self._clock, self._requests, log)
         self._cluster = self._create_cluster()
@@ -95,7 +95,7 @@
         self._cluster.check_version(configuration)
         keys_requiring_restart = self._configuration.keys_requiring_restart(configuration)
         self._discovery.change_address(configuration.discovery_address)
-        self._cluster.reconfigure(configuration, is_complete=not keys_requiring_restart)
+        self._cluster.reconfigure(configuration, is_fully_applied=not keys_requiring_restart)
         return keys_requiring_restart
 
     @property
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -168,10 +168,10 @@
             )
             (connection,) = harness.sidecar.downstream._connections
             now, got, steps = asyncio.get_running_loop().time(), b"", 0
-            while before := connection._untaken_bytes():
-                while connection._untaken_bytes() >= before:
+            while before := connection._undelivered_bytes():
+                while connection._undelivered_bytes() >= before:
                     got += await within_timeout(asyncio.get_running_loop().sock_recv(raw.socket, 2_048))
-                if not connection._untaken_bytes():
+                if not connection._undelivered_bytes():
                     break  # all is with its machine: nothing can cut it any more
                 now += 2.5  # it has taken some, so it may go on
                 harness.sidecar.downstream.close_overdue(now)
@@ -205,7 +205,7 @@
                 )
             )
             (connection,) = harness.sidecar.downstream._connections
-            assert connection.has_untaken_bytes
+            assert connection.has_undelivered_bytes
             silent = [Raw(harness.sidecar.downstream.port) for _ in range(most - 1)]
             await wait_until(lambda: harness.sidecar.downstream.open_connections == most)
             harness.sidecar.downstream._awaited_since[connection] -= 10.0  # it waits for longest
@@ -230,7 +230,7 @@
             for raw in raws:
                 raw.send(request_bytes("lodge"))
             harness.sidecar.downstream.drain()
-            harness.sidecar.downstream.stop_listening(accept_the_rest=True)
+            harness.sidecar.downstream.stop_listening(accept_queued=True)
             assert not harness.sidecar.downstream.is_empty
             for raw in raws:
                 assert (await raw.read_all()).startswith(b"HTTP/1.1 200")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -459,7 +459,7 @@
 def test_retry_delays_end_before_changes_count_as_notified() -> None:
     # The longest times from when discovery becomes reachable until it receives the first poll.  The rest of
     # the 6 s until changes count as notified is for its queue: polls of a cluster are answered one by one.
-    max_backoff_s = discovery_polling.MAX_BACKOFF_OF_RECOVERY * discovery_polling.RECOVERY_US / 1e6
+    max_backoff_s = discovery_polling.MAX_BACKOFF_RECOVERY_FRACTION * discovery_polling.MAX_RECOVERY_US / 1e6
     last_hedge_s = hedged_poll.POLL_OVERDUE_S + hedged_poll.HEDGE_OVERDUE_S
     delays_s = {
         "a backoff had just started": max_backoff_s,
@@ -470,4 +470,4 @@
         + max_backoff_s,
     }
     assert hedged_poll.MAX_CONNECTIONS == 3  # assumed above: a poll and two hedges
-    assert max(delays_s.values()) <= discovery_polling.RECOVERY_US / 1e6 - 1.2
+    assert max(delays_s.values()) <= discovery_polling.MAX_RECOVERY_US / 1e6 - 1.2
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -202,7 +202,7 @@
         async with late_pool() as pool:
             call = pool.call()
             pool.upstream.cancel(call)
-            pool.upstream.withdraw(call)
+            pool.upstream.cancel_unwritten(call)
             await wait_until(lambda: pool.ends == [Outcome.NOT_SENT])
             assert await pool.first_bytes() == b""
 
@@ -212,7 +212,7 @@
 def test_connection_that_outlives_its_attempt_counts_against_the_limit_and_is_kept() -> None:
     async def work() -> None:
         async with late_pool(most=1) as pool:
-            pool.upstream.withdraw(pool.call())
+            pool.upstream.cancel_unwritten(pool.call())
             pool.call()  # no room: the first is still coming up
             await wait_until(lambda: pool.ends == [Outcome.NOT_SENT] * 2)
             accepted = await pool.slow.accept()
@@ -291,7 +291,7 @@
             client = await harness.client()
             client.send(request_bytes("lodge", timeout="50", body=b"x" * 70_000, Content_Length="200000"))
             connections = harness.sidecar.downstream._connections
-            await wait_until(lambda: [each.receiving.paused_since for each in connections] != [None])
+            await wait_until(lambda: [each.receive_progress.paused_since for each in connections] != [None])
             client.close()
             await wait_until(lambda: at_the_sidecar(harness) == 0)
             await nothing_was_written(harness, slow)
--- a/tests/test_recorded_samples.py
+++ b/tests/test_recorded_samples.py
@@ -206,7 +206,7 @@
 
 def test_recorded_event_log_is_read_and_written_unchanged(tmp_path: Path) -> None:
     recorded = SAMPLES / "event-log.jsonl"
-    with events.Writer(tmp_path / "log.jsonl") as writer:
+    with events.EventLogWriter(tmp_path / "log.jsonl") as writer:
         for event in events.load(recorded):
             writer.write(event)
     assert (tmp_path / "log.jsonl").read_bytes() == recorded.read_bytes()
