--- a/balancer/admission_control.py
+++ b/balancer/admission_control.py
@@ -14,9 +14,9 @@
 from balancer.moving_average import DecayingRate
 from balancer.settings import ServiceClass
 
-# Negative exponent of the admission probability at middle rank just below full pressure: one in fifty passes.
+# At middle rank the admission probability is exp(-this * pressure): one in fifty just below a full window.
 PRESSURE_EXPONENT = 4.0
-# Factor on that exponent for the lowest rank; it falls linearly to 0 for the highest rank.
+# Factor on that exponent for the lowest rank; it falls linearly with the rank, to 0 for the highest rank.
 LOWEST_RANK_FACTOR = 2.0
 # Averaging time of the demand of a class and tenant, in multiples of the longest latency objective.
 DEMAND_AVERAGING_OBJECTIVES = 4.0
--- a/balancer/attempt_timeouts.py
+++ b/balancer/attempt_timeouts.py
@@ -95,7 +95,7 @@
             self._scheduler.schedule_attempt(due, request.request_id, attempt.index)
             return
         is_endpoint_ejected = attempt.endpoint.ejected_until is not None
-        if attempt.is_counted_late or is_endpoint_ejected or attempt.is_blamed_on_idle_connection:
+        if attempt.is_counted_late or is_endpoint_ejected or attempt.is_blamed_on_stale_connection:
             return
         attempt.is_counted_late = True
         self._window.record_missing_response()
@@ -125,7 +125,7 @@
             and not self._connections.record_silence(attempt)
         ):
             self._outliers.eject(endpoint, EjectionReason.SILENT)
-        return endpoint.ejected_until is not None or attempt.is_blamed_on_idle_connection
+        return endpoint.ejected_until is not None or attempt.is_blamed_on_stale_connection
 
     def _have_others_responded(self, attempt: Attempt) -> bool:
         return self._outliers.response_count - attempt.responses_before >= MIN_OTHER_RESPONSES
--- a/balancer/balancer.py
+++ b/balancer/balancer.py
@@ -190,7 +190,7 @@
     def _client_disconnected(self, event: ClientDisconnected) -> None:
         request = self._requests.get(event.request)
         if request is not None and not request.is_answered:
-            self._close(request)
+            self._mark_answered(request)
 
     # Sending attempts and final responses
 
@@ -241,9 +241,9 @@
         else:
             action = Fail(request.request_id)
         self._context.actions.append(action)
-        self._close(request)
+        self._mark_answered(request)
 
-    def _close(self, request: Request) -> None:
+    def _mark_answered(self, request: Request) -> None:
         """Mark a request as answered and cancel its pending attempts if settings allow it."""
         request.is_answered = True
         self._cancel_attempts(request)
@@ -300,7 +300,7 @@
         self._record_outcome(request, attempt, event, was_in_flight=was_in_flight)
         if event.is_request_answered:
             if not request.is_answered:
-                self._close(request)
+                self._mark_answered(request)
         elif not request.is_answered and not request.is_streaming_response():
             self._retry_or_finish(request, attempt, event.outcome)
         self._remove_if_ended(request)
--- a/balancer/concurrency_window.py
+++ b/balancer/concurrency_window.py
@@ -167,7 +167,7 @@
         allowed = self._allowed_ratio()
         excess = self._excess(allowed, factor)
         if excess > 0.0 and self._late_fraction < ALLOWED_LATE_FRACTION and not self._are_servers_saturated():
-            return  # slower than allowed, but still within the latency objective
+            return  # slower than the allowed ratio, but within the latency objective
         if excess > 0.0:
             self.size = min(self.size, max(in_flight, self._in_flight.mean / FREE_UTILIZATION))
         elif not self._has_rejected:
--- a/balancer/connection_reuse.py
+++ b/balancer/connection_reuse.py
@@ -56,13 +56,12 @@
     def record_silence(self, attempt: Attempt) -> bool:
         """Learn from an attempt without a response; return whether a stale connection may be the cause."""
         if attempt.is_silence_recorded:
-            return attempt.is_blamed_on_idle_connection
+            return attempt.is_blamed_on_stale_connection
         attempt.is_silence_recorded = True
         probability = self._decayed_probability()
         if not attempt.idle_us:
-            self._stale_probability = probability * (
-                1.0 - STALE_STEP
-            )  # the connection was in use, so the server is silent
+            # The connection was in steady use, so the server is silent.
+            self._stale_probability = probability * (1.0 - STALE_STEP)
             return False
         if probability < MAX_STALE_PROBABILITY or attempt.idle_us < self._min_stale_idle_us:
             self._min_stale_idle_us = attempt.idle_us
--- a/balancer/discovery_polling.py
+++ b/balancer/discovery_polling.py
@@ -22,6 +22,7 @@
 # The longest backoff in a large cluster, as a fraction of MAX_RECOVERY_US; the rest is for the call and its
 # time in the queue of discovery.
 MAX_BACKOFF_RECOVERY_FRACTION = 0.6
+# Consecutive failures are counted up to this, which bounds the exponent of the backoff.
 MAX_COUNTED_FAILURES = 8
 # The lower limit of the random factor of later backoffs; close to 1, so that calls that the first, fully
 # random backoff has spread out stay spread out.
--- a/balancer/endpoint_updates.py
+++ b/balancer/endpoint_updates.py
@@ -82,9 +82,8 @@
         endpoint.is_excluded = True
         self._first_request_due.pop(endpoint, None)
         if endpoint.ejected_until is not None:
-            self._outliers.release(
-                endpoint
-            )  # no trial requests; it does not count towards the limit of ejected endpoints
+            # It gets no trial requests and does not count towards the limit of ejected endpoints.
+            self._outliers.release(endpoint)
         self.close_idle_if_unavailable(endpoint)
         self._endpoints.refresh()
         self._context.actions.append(Log(f"excluded {name}"))
--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -54,9 +54,7 @@
 
     def __init__(self, name: str, subset_position: float) -> None:
         self.name = name
-        self.subset_position = (
-            subset_position  # random, so that each balancer orders the endpoints differently
-        )
+        self.subset_position = subset_position  # random, so that each balancer has an order of its own
         self.zone = ""
         self.cell = 0
         self.nominal_capacity = 1.0
--- a/balancer/outlier_detection.py
+++ b/balancer/outlier_detection.py
@@ -22,6 +22,7 @@
 EJECTION_OBJECTIVES = 2.0
 # ... up to this limit.
 MAX_EJECTION_OBJECTIVES = 16.0
+# Consecutive ejections are counted up to this, which bounds the exponent of the duration.
 MAX_COUNTED_EJECTIONS = 8
 # At most this fraction of the endpoints is ejected, so that the other endpoints are not overloaded.
 MAX_EJECTED_FRACTION = 0.6
@@ -111,8 +112,8 @@
         endpoint = attempt.endpoint
         if outcome is Outcome.TIMED_OUT and endpoint.last_response_at > attempt.sent_at:
             return  # the endpoint is slow, but it answered other attempts meanwhile
-        may_be_idle_connection = outcome in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
-        if may_be_idle_connection and self._connections.record_silence(attempt) and not was_trial:
+        may_be_stale_connection = outcome in (Outcome.TIMED_OUT, Outcome.CONNECTION_LOST)
+        if may_be_stale_connection and self._connections.record_silence(attempt) and not was_trial:
             return
         endpoint.consecutive_failures += 1
         has_reached_limit = endpoint.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
--- a/balancer/requests.py
+++ b/balancer/requests.py
@@ -48,7 +48,7 @@
         self.is_counted_late = False  # whether it was counted as a sign of overload before it ended
 
     @property
-    def is_blamed_on_idle_connection(self) -> bool:
+    def is_blamed_on_stale_connection(self) -> bool:
         """Whether its missing response is attributed to a stale idle connection."""
         return self.is_silence_recorded and self.idle_us > 0
 
@@ -90,9 +90,7 @@
         self.failed_endpoints: list[Endpoint] = []  # includes those that answered "full"
         self.full_responses = 0
         self.is_answered = False
-        self.has_streamed_body = (
-            has_streamed_body  # a streamed body is not held, so the request can't be hedged
-        )
+        self.has_streamed_body = has_streamed_body  # such a body is not held, which rules out hedging
         self.is_body_arriving = has_streamed_body
         self.is_body_consumed = False  # part of a streamed body is no longer held, so no retry is possible
 
--- a/balancer/slow_start.py
+++ b/balancer/slow_start.py
@@ -103,7 +103,10 @@
         return endpoint.slow_start_budget >= min(relative_cost, max_budget)
 
     def _warm_endpoints(self) -> list[Endpoint]:
-        """Return the available endpoints that are not warming up; cheap, as it walks the complete list."""
+        """Return the available endpoints that are not warming up.
+
+        Compares start times instead of calling `is_warming_up`, which would be slow on a long list.
+        """
         warm_if_since = self._context.now - self._duration_us
         return [
             endpoint
