--- a/balancer/events.py
+++ b/balancer/events.py
@@ -25,7 +25,7 @@
 
     CHANGES = "changes"  # changed entries only
     COMPLETE = "complete"  # all entries; endpoints without an entry are gone
-    CACHED = "remembered"  # all entries as last known before a restart
+    CACHED = "cached"  # all entries as last known before a restart
     FAILED = "failed"  # a call to discovery failed or the watch broke; nothing changes
 
 
--- a/balancer/mapping_reader.py
+++ b/balancer/mapping_reader.py
@@ -20,7 +20,7 @@
 
     def __init__(self, mapping: object, path: str = "") -> None:
         if not isinstance(mapping, Mapping):
-            raise ValueError(f"{path}: must be a mapping, not {mapping!r:.60}")  # noqa: TRY004 - callers catch ValueError for any invalid input
+            raise ValueError(f"{path}: must be a mapping, not {type(mapping).__name__}")  # noqa: TRY004 - callers catch ValueError for any invalid input
         self._mapping = mapping
         self._prefix = f"{path}." if path else ""
 
--- a/balancer/settings_wire.py
+++ b/balancer/settings_wire.py
@@ -50,7 +50,7 @@
     Raises ValueError for an invalid value; the message begins with the path of its key.
     """
     if not isinstance(wire, Mapping):
-        raise ValueError(f"settings: must be an object, not {wire!r:.60}")  # noqa: TRY004 - callers catch ValueError for any invalid input
+        raise ValueError(f"settings: must be an object, not {type(wire).__name__}")  # noqa: TRY004 - callers catch ValueError for any invalid input
     top = MappingReader(wire)
     classes = tuple(_service_class(section) for section in top.sections("lanes"))
     if not classes:
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -135,7 +135,7 @@
 def _endpoint_entry(entry: object) -> EndpointEntry:
     if not isinstance(entry, list) or len(entry) < _MIN_ENTRY_LENGTH:
         raise WireError(f"an entry of an endpoint list needs at least {_MIN_ENTRY_LENGTH} values")
-    nominal = _number(entry[5], f"a nominal capacity must be a number, not {entry[5]!r:.60}")
+    nominal = _number(entry[5], "a nominal capacity must be a number")
     started_at = _optional_integer(entry[6]) if len(entry) > _MIN_ENTRY_LENGTH else None
     return EndpointEntry(
         server=_text(entry[0]),
--- a/tests/test_discovery_polling.py
+++ b/tests/test_discovery_polling.py
@@ -84,9 +84,8 @@
 @pytest.mark.parametrize("cluster_size", [40, 200])
 def test_calls_that_failed_together_are_spread_over_time(cluster_size: int) -> None:
     calls = sorted(at for polled_at in _calls_of_a_cluster(cluster_size) for at in polled_at)
-    mean_calls = (
-        cluster_size * 500 * MS / (3_600 * MS)
-    )  # in half a second, if spread evenly over the longest wait
+    # Calls in half a second if they were spread evenly over the longest wait.
+    mean_calls = cluster_size * 500 * MS / (3_600 * MS)
     for begin in range(0, 19 * S, 100 * MS):
         calls_in_window = sum(1 for at in calls if begin < at <= begin + 500 * MS)
         assert calls_in_window <= 1.4 * mean_calls + 3 * mean_calls**0.5
