--- a/balancer/mapping_reader.py
+++ b/balancer/mapping_reader.py
@@ -38,7 +38,7 @@
             raise self._error(key, "a list")
         return [MappingReader(item, f"{self._prefix}{key}[{index}]") for index, item in enumerate(value)]
 
-    def text(self, key: str, default: str | None = None) -> str:
+    def string(self, key: str, default: str | None = None) -> str:
         """Read a string; it is required if `default` is None."""
         value = self._value(key)
         if value is None and default is not None:
@@ -47,7 +47,7 @@
             raise self._error(key, "a string")
         return value
 
-    def texts(self, key: str) -> tuple[str, ...]:
+    def strings(self, key: str) -> tuple[str, ...]:
         """Read a list of strings; an absent one is read as empty."""
         value = self._value(key)
         if value is None:
--- a/balancer/settings_wire.py
+++ b/balancer/settings_wire.py
@@ -62,7 +62,7 @@
     return Settings(
         classes=classes,
         tenants=tenants,
-        zone=top.text("zone", ""),
+        zone=top.string("zone", ""),
         instance_index=top.integer("me", 0),
         cluster_size=top.integer("groupSize", 1, low=1),
         clock_resolution_us=top.integer("quantumUs", 1_000, low=1),
@@ -71,12 +71,12 @@
         priority_weight_unit=top.choice("worthBy", PriorityWeightUnit, PriorityWeightUnit.REQUEST),
         over_quota_weight=top.number("overShareWorth", 1.0, high=1.0),
         load_report_source=report.named_choice("source", _LOAD_REPORT_NAMES, LoadReportSource.NONE),
-        load_report_columns=report.texts("columns"),
+        load_report_columns=report.strings("columns"),
         limits=_limits(top.section("bounds")),
         guarantees=_guarantees(top.section("guarantees")),
         costs=_costs(top.section("prices")),
         objective=_objective(top.section("goal")),
-        machine_types=top.texts("kinds"),
+        machine_types=top.strings("kinds"),
         clients_mark_retries=top.section("clientHabits").boolean("marksRetry", default=False),
         warm_keys=top.section("domain").boolean("warmKeys", default=False),
     )
@@ -91,7 +91,7 @@
 def _service_class(lane: MappingReader) -> ServiceClass:
     deadline_us = lane.integer("giveUpUs", None, low=1)
     return ServiceClass(
-        name=lane.text("name"),
+        name=lane.string("name"),
         deadline_us=deadline_us,
         latency_objective_us=min(lane.integer("promiseUs", deadline_us, low=1), deadline_us),
         priority_weight=lane.number("worth", 1.0),
@@ -106,7 +106,7 @@
 
 def _tenant(realm: MappingReader) -> Tenant:
     return Tenant(
-        name=realm.text("name"),
+        name=realm.string("name"),
         quota_share=realm.number("portion", 1.0),
         quota_per_s=realm.number("quotaRps", 0.0),
     )
--- a/balancer/simulator_adapter.py
+++ b/balancer/simulator_adapter.py
@@ -90,7 +90,7 @@
     return None if value is None else _integer(value)
 
 
-def _text(value: object) -> str:
+def _string(value: object) -> str:
     if type(value) is not str:
         raise WireError(f"expected a string, not {value!r:.60}")
     return value
@@ -127,7 +127,7 @@
 
 def _payload(value: object) -> bytes:
     try:
-        return bytes.fromhex(_text(value))
+        return bytes.fromhex(_string(value))
     except ValueError:
         raise WireError(f"expected hex digits, not {value!r:.60}") from None
 
@@ -138,9 +138,9 @@
     nominal = _number(entry[5], "a nominal capacity must be a number")
     started_at = _optional_integer(entry[6]) if len(entry) > _MIN_ENTRY_LENGTH else None
     return EndpointEntry(
-        server=_text(entry[0]),
-        zone=_text(entry[1]),
-        machine_type=_text(entry[2]),
+        server=_string(entry[0]),
+        zone=_string(entry[1]),
+        machine_type=_string(entry[2]),
         cell=_integer(entry[3]),
         state=_enum_member(entry[4], _STATES),
         nominal_capacity=float(nominal),
@@ -156,8 +156,8 @@
     flags = _integer(message[8])
     return RequestArrived(
         request=_integer(message[2]),
-        service_class=_text(message[3]),
-        tenant=None if message[4] is None or message[4] == 0 else _text(message[4]),
+        service_class=_string(message[3]),
+        tenant=None if message[4] is None or message[4] == 0 else _string(message[4]),
         key=_optional_integer(message[5]),
         remaining_us=_integer(message[6]),
         cost_us=_optional_integer(message[7]) if flags & _HAS_COST_HINT else None,
@@ -170,7 +170,7 @@
     return ResponseStarted(
         request=_integer(message[2]),
         attempt=_integer(message[3]),
-        server=_text(message[5]),
+        server=_string(message[5]),
         elapsed_us=_integer(message[4]),
     )
 
@@ -179,7 +179,7 @@
     return AttemptEnded(
         request=_integer(message[2]),
         attempt=_integer(message[3]),
-        server=_text(message[4]),
+        server=_string(message[4]),
         outcome=_enum_member(message[5], _OUTCOMES),
         elapsed_us=_integer(message[6]),
         is_request_answered=_boolean(message[7]),
@@ -189,7 +189,7 @@
 
 def _health_check_ended(message: _Message) -> Event:
     return HealthCheckEnded(
-        server=_text(message[4]),
+        server=_string(message[4]),
         outcome=_enum_member(message[3], _OUTCOMES),
         elapsed_us=_integer(message[2]),
         load_report=_load_report(message[5]) if len(message) > 5 else None,
@@ -201,7 +201,7 @@
 
 
 def _timer_fired(message: _Message) -> Event:
-    return TimerFired(_text(message[2]))
+    return TimerFired(_string(message[2]))
 
 
 def _peer_message_received(message: _Message) -> Event:
@@ -315,7 +315,7 @@
         if not isinstance(name, str) or name not in ("BEGIN", "EXIT", "TARGETS", *_EVENTS):
             raise WireError(f"unknown message {name!r:.60}")
         self._require_values(message, 2)
-        instance = _text(message[1])
+        instance = _string(message[1])
         if name == "BEGIN":
             self._begin(instance, message)
             return
