--- a/tests/test_admission_control.py
+++ b/tests/test_admission_control.py
@@ -5,6 +5,7 @@
 import random
 
 import pytest
+from component_factories import make_context, make_endpoint
 from helpers import (
     IDEMPOTENT,
     MS,
@@ -16,7 +17,6 @@
     server_names,
     settings,
 )
-from mechanisms import make_context, make_endpoint
 
 from balancer.actions import CancelAttempt, Reject
 from balancer.admission_control import AdmissionController
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
+from component_factories import make_context, make_endpoint
 from helpers import MS, START, BalancerDriver, S, serve_singly, server_names, settings
-from mechanisms import make_context, make_endpoint
 
 from balancer.actions import CloseIdleConnections, Log
 from balancer.connection_reuse import ConnectionReuse
--- a/tests/test_discovery_polling.py
+++ b/tests/test_discovery_polling.py
@@ -5,8 +5,8 @@
 import itertools
 
 import pytest
+from component_factories import make_context
 from helpers import MS, START, BalancerDriver, S, server_names, settings
-from mechanisms import make_context
 
 from balancer.actions import PollEndpoints, WatchEndpoints
 from balancer.discovery_polling import DiscoveryPoller
--- a/tests/test_in_flight.py
+++ b/tests/test_in_flight.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from component_factories import make_context, make_endpoint
 from helpers import MS, START, S
-from mechanisms import make_context, make_endpoint
 
 from balancer.in_flight import InFlightTracker
 from balancer.requests import Attempt
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
+from component_factories import make_context, make_endpoint, make_request
 from helpers import IDEMPOTENT, MS
-from mechanisms import make_context, make_endpoint, make_request
 
 from balancer.endpoints import EndpointTable
 from balancer.in_flight import InFlightTracker
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -5,6 +5,7 @@
 from dataclasses import replace
 
 import pytest
+from component_factories import make_context, make_endpoint, make_request
 from helpers import (
     IDEMPOTENT,
     MS,
@@ -17,7 +18,6 @@
     server_names,
     settings,
 )
-from mechanisms import make_context, make_endpoint, make_request
 
 from balancer.actions import CancelAttempt, Fail, Reject
 from balancer.events import EndpointEntry, EndpointListKind, Outcome
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import pytest
+from component_factories import make_context, make_endpoint
 from helpers import MS, START, BalancerDriver, S, server_names
-from mechanisms import make_context, make_endpoint
 
 from balancer.endpoints import EndpointTable
 from balancer.events import EndpointEntry, EndpointListKind, Outcome
