--- a/testbed/scale/hollow.py
+++ b/testbed/scale/hollow.py
@@ -104,11 +104,11 @@
     def send(self, receiver: int | None, payload: bytes) -> bool:
         """Send a datagram to one member, or to all; lost ones count as sent."""
         if receiver is None:
-            others = [each for each in range(len(self._peers)) if each != self._own_number]
+            others = [each for each in range(len(self._peers)) if each != self._local_number]
             told = [self.send(each, payload) for each in others]
             return all(told)
         self._counts.sent.add(payload)
-        if self._ground.loses(self._own_number, receiver):
+        if self._ground.loses(self._local_number, receiver):
             return True  # nobody who sends a datagram hears that it is lost
         if receiver < len(self._ground.real):
             self._ground.real[receiver].heard.add(payload)
@@ -123,7 +123,7 @@
                 self._ground.real[sender].sent.add(data)
             # A hollow sender has asked already whether it is lost.
             is_lost = self._ground.loses if is_real else self._ground.is_cut
-            if is_lost(sender, self._own_number):
+            if is_lost(sender, self._local_number):
                 return
             self._counts.heard.add(data)
         super().datagram_received(data, addr)
@@ -161,7 +161,7 @@
         peers = configuration.peer_addresses
         return GroundPeers(self._ground, self._counts, self._own, peers, self._number, self.message_received)
 
-    def create_members(self) -> ClusterMembership:
+    def create_membership(self) -> ClusterMembership:
         """A membership that reports each death it learns of."""
         own, number = self._configuration, self._number
         members = GroundMembers(
@@ -195,7 +195,7 @@
     @property
     def members(self) -> ClusterMembership | None:
         """The cluster membership; None while it is off."""
-        return self._cluster.members
+        return self._cluster.membership
 
     def _endpoint_list_received(self, endpoint_list: EndpointList) -> None:
         self._ground.on_told(self.number)
