--- a/testbed/checker/account.py
+++ b/testbed/checker/account.py
@@ -1,4 +1,7 @@
-"""What a day was worth: by class, zone and second, its prices, and how soon it came back after each fault."""
+"""The account of a run: value served by class, zone and second, prices, latency, and recovery from faults.
+
+The value of a client request is the priority weight of its class; late responses earn a part of it.
+"""
 
 from __future__ import annotations
 
@@ -12,149 +15,175 @@
 from testbed.events import Event
 from testbed.scenario.scenario_run import US_PER_S
 
+# What extra work costs, as a fraction of the value requested; each at the unit that `_prices` states.
 PRICES = {"cross_zone": 0.03, "handshake": 0.05, "connection": 0.05, "waste": 0.05, "peer": 0.01}
-_PEER_BYTES = 256  # delivered for each first try, at which the whole price of peers is due
-_BACK = 0.95  # a day is back at this part of what was served before its first trouble
-_BACK_FOR = 2  # and stays there for so many seconds
-_LONGEST_US = 120 * US_PER_S
+_PEER_BYTES = 256  # of delivered datagrams per client request at which the price of peer messages is due
+_RECOVERED_FRACTION = 0.95  # of the value served before the first fault, from which a run has recovered
+_RECOVERED_SECONDS = 2  # for which that fraction must last
+_MAX_LATENCY_US = 120 * US_PER_S
+_REJECTED = (429, 503)
 
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """The figures of one day.  Parts are of the worth asked for; times are seconds."""
+    """The account of one run.  Value is given as a fraction of the value requested; times are in seconds."""
 
-    client_requests: int  # first tries
+    client_requests: int
     served_fraction: float
     by_class: dict[str, float]
     by_zone: dict[str, float]
-    by_second: list[float]  # served; of a second that asked for nothing, that of the one before
-    rejected_fraction: float  # part of the first tries whose last answer was a refusal
-    failed_fraction: float
-    attempts_per_request: float  # a first try
+    by_second: list[float]  # for a second without requests, that of the second before
+    rejected_fraction: float  # of the client requests: not served, and the last response was a rejection
+    failed_fraction: float  # of the client requests: not served for any other reason
+    attempts_per_request: float
     prices: dict[str, float]
-    latency_ms: dict[str, float]  # of what was served, from when it was meant to leave
-    recovery_s: list[
-        tuple[int, str, float | None]
-    ]  # a trouble's number, kind and time to be back; None: never
+    latency_ms: dict[str, float]  # percentiles of served client requests, since their first attempt was due
+    # For each fault its number, its kind and the recovery time; None: not recovered by the end.
+    recovery_s: list[tuple[int, str, float | None]]
 
     @property
     def net_value_served(self) -> float:
-        """What is left after prices."""
+        """The value served less the prices."""
         return max(self.served_fraction - sum(self.prices.values()), 0.0)
 
 
 @dataclass(slots=True)
 class _ClientRequest:
-    """A first try with its retries."""
+    """A client request with its retries."""
 
     replica: int
     service_class: int
     scheduled_at_us: int
-    value: float = 0.0
+    value: float = 0.0  # of the response
     last_status: int = 0
-    latency_us: int | None = None
+    latency_us: int | None = None  # None: not served in time
 
 
 def compute_account(events: Iterable[Event] | History) -> Account:
-    """Count what was served on a day; raise LogError where the log is none of a day."""
+    """Compute the account of a run.
+
+    Raises:
+        EventLogError: The events do not begin with a run.
+    """
     history = events if isinstance(events, History) else build_history(events)
     requests = _client_requests(history)
-    day = history.run
-    worth_of = [kind.priority_weight for kind in day.classes]
+    run = history.run
+    weights = [service_class.priority_weight for service_class in run.classes]
     by_second = _by_second(history, requests)
     return Account(
         client_requests=len(requests),
-        served_fraction=_part(requests, worth_of),
+        served_fraction=_served_fraction(requests, weights),
         by_class={
-            kind.name: _part([request for request in requests if request.service_class == place], worth_of)
-            for place, kind in enumerate(day.classes)
+            service_class.name: _served_fraction(
+                [request for request in requests if request.service_class == place], weights
+            )
+            for place, service_class in enumerate(run.classes)
         },
         by_zone={
-            zone.name: _part(
-                [request for request in requests if day.replicas[request.replica].zone == zone.name], worth_of
+            zone.name: _served_fraction(
+                [request for request in requests if run.replicas[request.replica].zone == zone.name], weights
             )
-            for zone in day.zones
+            for zone in run.zones
         },
         by_second=by_second,
-        rejected_fraction=_share(
-            requests, lambda request: request.value == 0 and request.last_status in (429, 503)
+        rejected_fraction=_fraction(
+            requests, lambda request: request.value == 0 and request.last_status in _REJECTED
         ),
-        failed_fraction=_share(
-            requests, lambda request: request.value == 0 and request.last_status not in (429, 503)
+        failed_fraction=_fraction(
+            requests, lambda request: request.value == 0 and request.last_status not in _REJECTED
         ),
         attempts_per_request=sum(len(request.attempts) for request in history.requests.values())
         / max(len(requests), 1),
         prices=_prices(history, len(requests)),
-        latency_ms=_latency(requests),
+        latency_ms=_latency_percentiles(requests),
         recovery_s=_recovery(history, by_second),
     )
 
 
 def _client_requests(history: History) -> list[_ClientRequest]:
-    requests = []
-    for first, numbers in history.client_requests.items():
-        request = _first_attempt(history, first, numbers)
-        kind = history.run.classes[request.service_class]
+    """Return all client requests with their outcome; the first response in time decides their value."""
+    client_requests = []
+    for client_request, numbers in history.client_requests.items():
+        request = _new_client_request(history, client_request, numbers)
+        service_class = history.run.classes[request.service_class]
         for number in numbers:
-            answered = history.requests[number].response
-            if answered is None:
+            response = history.requests[number].response
+            if response is None:
                 continue
-            request.last_status = answered.status
-            took = answered.at_us - request.scheduled_at_us
-            if answered.status == 200 and took <= kind.deadline_us and request.latency_us is None:
-                request.latency_us = took
-                request.value = kind.priority_weight * (
-                    1.0 if took <= kind.latency_objective_us else kind.late_priority_weight
+            request.last_status = response.status
+            latency_us = response.at_us - request.scheduled_at_us
+            is_in_time = response.status == 200 and latency_us <= service_class.deadline_us
+            if is_in_time and request.latency_us is None:
+                is_on_objective = latency_us <= service_class.latency_objective_us
+                request.latency_us = latency_us
+                request.value = service_class.priority_weight * (
+                    1.0 if is_on_objective else service_class.late_priority_weight
                 )
-        requests.append(request)
-    return requests
+        client_requests.append(request)
+    return client_requests
 
 
-def _first_attempt(history: History, first: int, numbers: list[int]) -> _ClientRequest:
-    taken = next((history.requests[number].sent for number in numbers if history.requests[number].sent), None)
-    if taken is not None:
-        return _ClientRequest(taken.replica, taken.service_class, taken.scheduled_at_us)
-    unreached = history.not_sent[first]
-    return _ClientRequest(unreached.replica, unreached.service_class, unreached.scheduled_at_us)
+def _new_client_request(history: History, client_request: int, numbers: list[int]) -> _ClientRequest:
+    sent = next((history.requests[number].sent for number in numbers if history.requests[number].sent), None)
+    if sent is not None:
+        return _ClientRequest(sent.replica, sent.service_class, sent.scheduled_at_us)
+    not_sent = history.not_sent[client_request]
+    return _ClientRequest(not_sent.replica, not_sent.service_class, not_sent.scheduled_at_us)
 
 
-def _part(requests: list[_ClientRequest], worth_of: list[float]) -> float:
-    asked = sum(worth_of[request.service_class] for request in requests)
-    return sum(request.value for request in requests) / asked if asked else 1.0
+def _served_fraction(requests: list[_ClientRequest], weights: list[float]) -> float:
+    """Return the value served as a fraction of the value requested; 1 if nothing was requested."""
+    requested = sum(weights[request.service_class] for request in requests)
+    return sum(request.value for request in requests) / requested if requested else 1.0
 
 
-def _share(requests: list[_ClientRequest], is_such: Callable[[_ClientRequest], bool]) -> float:
-    return sum(is_such(request) for request in requests) / max(len(requests), 1)
+def _fraction(requests: list[_ClientRequest], applies: Callable[[_ClientRequest], bool]) -> float:
+    """Return the fraction of the requests to which a condition applies."""
+    return sum(applies(request) for request in requests) / max(len(requests), 1)
 
 
 def _by_second(history: History, requests: list[_ClientRequest]) -> list[float]:
+    """Return the value served as a fraction of the value requested, by the second it was due."""
     count = max(-(-history.run.duration_us // US_PER_S), 1)
-    asked, earned = np.zeros(count), np.zeros(count)
+    requested, served = np.zeros(count), np.zeros(count)
     for request in requests:
         second = min(max(request.scheduled_at_us // US_PER_S, 0), count - 1)
-        asked[second] += history.run.classes[request.service_class].priority_weight
-        earned[second] += request.value
-    shares: list[float] = []
-    for asked_worth, served_worth in zip(asked, earned, strict=True):
-        shares.append(float(served_worth / asked_worth) if asked_worth else (shares[-1] if shares else 1.0))
-    return shares
-
-
-def _latency(requests: list[_ClientRequest]) -> dict[str, float]:
-    histogram = HdrHistogram(1, _LONGEST_US, 3)
+        requested[second] += history.run.classes[request.service_class].priority_weight
+        served[second] += request.value
+    fractions: list[float] = []
+    for requested_value, served_value in zip(requested, served, strict=True):
+        if requested_value:
+            fractions.append(float(served_value / requested_value))
+        else:
+            fractions.append(fractions[-1] if fractions else 1.0)
+    return fractions
+
+
+def _latency_percentiles(requests: list[_ClientRequest]) -> dict[str, float]:
+    """Return percentiles of the latency in milliseconds; empty if nothing was served."""
+    histogram = HdrHistogram(1, _MAX_LATENCY_US, 3)
     for request in requests:
         if request.latency_us is not None:
-            histogram.record_value(min(max(request.latency_us, 1), _LONGEST_US))
+            histogram.record_value(min(max(request.latency_us, 1), _MAX_LATENCY_US))
     if not histogram.get_total_count():
         return {}
-    return {f"p{part:g}": histogram.get_value_at_percentile(part) / 1e3 for part in (50, 90, 99, 99.9)}
+    return {
+        f"p{percentile:g}": histogram.get_value_at_percentile(percentile) / 1e3
+        for percentile in (50, 90, 99, 99.9)
+    }
+
 
+def _prices(history: History, client_requests: int) -> dict[str, float]:
+    """Return what extra work cost in the run.
 
-def _prices(history: History, asked: int) -> dict[str, float]:
-    day = history.run
+    The full price is due for one unit per client request: an attempt to another zone, a connection opened,
+    256 bytes of datagrams between replicas.  For open connections the unit is a mean of a hundred per server,
+    for waste all of the work that servers did.
+    """
+    run = history.run
     attempts = [attempt for request in history.requests.values() for attempt in request.attempts]
-    crossing = sum(
-        day.replicas[attempt.received.replica].zone != day.servers[attempt.received.server].zone
+    cross_zone = sum(
+        run.replicas[attempt.received.replica].zone != run.servers[attempt.received.server].zone
         for attempt in attempts
     )
     useful = {
@@ -162,54 +191,57 @@
         for request in history.requests.values()
         if request.response and request.response.status == 200
     }
-    work = sum(attempt.received.work_us for attempt in attempts)
-    wasted = sum(
+    work_us = sum(attempt.received.work_us for attempt in attempts)
+    wasted_us = sum(
         attempt.received.work_us
         for attempt in attempts
         if attempt.outcome != "full" and attempt.received.attempt not in useful
     )
     peer_bytes = sum(datagram.size_bytes for datagram in history.datagrams if datagram.delivered)
-    asked = max(asked, 1)
-    shares = {
-        "cross_zone": crossing / asked,
-        "handshake": sum(connection.opened for connection in history.connection_changes) / asked,
-        "connection": _mean_open(history) / (100 * len(day.servers)),
-        "waste": wasted / work if work else 0.0,
-        "peer": peer_bytes / (_PEER_BYTES * asked),
+    client_requests = max(client_requests, 1)
+    units = {
+        "cross_zone": cross_zone / client_requests,
+        "handshake": sum(change.opened for change in history.connection_changes) / client_requests,
+        "connection": _mean_open_connections(history) / (100 * len(run.servers)),
+        "waste": wasted_us / work_us if work_us else 0.0,
+        "peer": peer_bytes / (_PEER_BYTES * client_requests),
     }
-    return {name: PRICES[name] * share for name, share in shares.items()}
+    return {name: PRICES[name] * amount for name, amount in units.items()}
 
 
-def _mean_open(history: History) -> float:
-    """Connections to servers that were open, on average over the day."""
-    area, open_connections, before = 0, 0, 0
-    for connection in history.connection_changes:
-        area += open_connections * (connection.at_us - before)
-        open_connections += 1 if connection.opened else -1
-        before = connection.at_us
-    area += open_connections * max(history.last_at_us - before, 0)
-    return area / max(history.last_at_us, 1)
+def _mean_open_connections(history: History) -> float:
+    """Return the mean number of open connections to servers over the run."""
+    connection_us, open_connections, last_at_us = 0, 0, 0
+    for change in history.connection_changes:
+        connection_us += open_connections * (change.at_us - last_at_us)
+        open_connections += 1 if change.opened else -1
+        last_at_us = change.at_us
+    connection_us += open_connections * max(history.last_at_us - last_at_us, 0)
+    return connection_us / max(history.last_at_us, 1)
 
 
 def _recovery(history: History, by_second: list[float]) -> list[tuple[int, str, float | None]]:
-    """For each trouble, from its end to the first of some seconds that are all as good as before any."""
+    """Return the recovery time of each fault.
+
+    A run has recovered at the first of two seconds after the fault's end in which nearly as much is served as
+    before the first fault.
+    """
     faults = history.run.faults
     if not faults:
         return []
     before = by_second[: max(faults[0].start_us // US_PER_S, 1)]
-    wanted = _BACK * sum(before) / len(before)
+    required = _RECOVERED_FRACTION * sum(before) / len(before)
     recoveries: list[tuple[int, str, float | None]] = []
     for fault in faults:
-        end = fault.end_us / US_PER_S
-        recovered_at = next(
+        end_s = fault.end_us / US_PER_S
+        recovered_at_s = next(
             (
                 second
-                for second in range(int(end), len(by_second))
-                if all(part >= wanted for part in by_second[second : second + _BACK_FOR])
+                for second in range(int(end_s), len(by_second))
+                if all(served >= required for served in by_second[second : second + _RECOVERED_SECONDS])
             ),
             None,
         )
-        recoveries.append(
-            (fault.number, fault.kind, None if recovered_at is None else max(recovered_at - end, 0.0))
-        )
+        recovery_s = None if recovered_at_s is None else max(recovered_at_s - end_s, 0.0)
+        recoveries.append((fault.number, fault.kind, recovery_s))
     return recoveries
--- a/testbed/checker/history.py
+++ b/testbed/checker/history.py
@@ -1,4 +1,4 @@
-"""A log put in order by subject: requests and their attempts, copies and their lives, starts of servers."""
+"""The events of a log, ordered by what they concern: requests, replica processes, servers and lists."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 from testbed import events as log
 from testbed.scenario.scenario_run import ScenarioRun
 
-_ENDS = ("killed", "ended")
+_EXITS = ("killed", "ended")
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt as servers saw it."""
+    """One attempt of a replica, as a server received and ended it."""
 
     received: log.AttemptReceived
-    outcome: str | None = None  # None: the log does not tell
+    outcome: str | None = None  # None: its end is not in the log
     ended_at_us: int | None = None
 
 
 @dataclass(slots=True)
 class Request:
-    """One try of a client."""
+    """One attempt of a client: a request to a replica."""
 
     sent: log.RequestSent | None = None
     not_sent: bool = False
-    response: log.ResponseReceived | None = None
+    response: log.ResponseReceived | None = None  # the first one
     response_count: int = 0
-    attempts: list[Attempt] = field(default_factory=list)  # in the order they left the copy
+    attempts: list[Attempt] = field(default_factory=list)  # in the order in which the replica sent them
 
     def may_have_executed(self) -> list[Attempt]:
-        """The attempts that a server may have processed: all that it did not reject as full."""
+        """Return the attempts that a server may have executed: all that it did not reject as full."""
         return [attempt for attempt in self.attempts if attempt.outcome != "full"]
 
 
 @dataclass(slots=True)
 class ProcessIncarnation:
-    """A process of a copy, as far as the log goes; times that did not come are None."""
+    """A process of a replica; the time of a state that is not in the log is None."""
 
     replica: int
     incarnation: int
@@ -51,48 +51,52 @@
 
 @dataclass(slots=True)
 class History:
-    """Everything of one day."""
+    """All that a log says about one run."""
 
     run: ScenarioRun
     engine: str
     variant: str
-    requests: dict[int, Request]
-    client_requests: dict[int, list[int]]  # requests by the first try that they belong to, in order
-    not_sent: dict[int, log.RequestNotSent]  # by first try, where its first request was
-    incarnations: dict[tuple[int, int], ProcessIncarnation]
-    pauses: dict[int, list[tuple[int, int]]]  # of copies
-    server_starts: dict[int, list[int]]  # of servers, after the day's beginning
-    delivered_lists: dict[int, list[log.EndpointListDelivered]]  # to copies, in order
+    requests: dict[int, Request]  # by request number
+    client_requests: dict[int, list[int]]  # request numbers by client request: first attempt and retries
+    not_sent: dict[int, log.RequestNotSent]  # by client request: its first attempt that could not be sent
+    incarnations: dict[tuple[int, int], ProcessIncarnation]  # by replica and incarnation
+    pauses: dict[int, list[tuple[int, int]]]  # start and end of each, by replica
+    server_starts: dict[int, list[int]]  # by server, without the start before the run
+    delivered_lists: dict[int, list[log.EndpointListDelivered]]  # by replica, in order
     writer_delays: list[log.WriterLate]
     connection_changes: list[log.ConnectionChanged]
     datagrams: list[log.DatagramSent]
     metrics_reports: list[log.MetricsReported]
     fault_changes: list[log.FaultChanged]
     last_at_us: int
-    is_complete: bool
+    is_complete: bool  # the run was played to its end
 
 
 def build_history(events: Iterable[log.Event]) -> History:
-    """Read a log; raise LogError where it does not begin with its day."""
-    own = iter(events)
-    began = next(own, None)
-    if not isinstance(began, log.RunStarted):
-        raise log.EventLogError("the log does not begin with its day")
-    return _Gathering(began).build(own)
+    """Build the history of a run from the events of its log.
 
+    Raises:
+        EventLogError: The first event is not the start of a run.
+    """
+    remaining = iter(events)
+    start = next(remaining, None)
+    if not isinstance(start, log.RunStarted):
+        raise log.EventLogError("the first event of the log is not the start of a run")
+    return _HistoryBuilder(start).build(remaining)
 
-class _Gathering:
-    """The pass over a log.  A request's events may come in any order among writers."""
 
-    def __init__(self, began: log.RunStarted) -> None:
+class _HistoryBuilder:
+    """One pass over a log.  The events of a request may come in any order, as several writers log them."""
+
+    def __init__(self, start: log.RunStarted) -> None:
         self._requests: defaultdict[int, Request] = defaultdict(Request)
         self._attempts: dict[int, Attempt] = {}
-        self._ends: dict[int, log.AttemptEnded] = {}
-        self._paused: dict[int, int] = {}
-        self._out = History(
-            run=began.run,
-            engine=began.engine,
-            variant=began.variant,
+        self._attempt_ends: dict[int, log.AttemptEnded] = {}
+        self._paused_since: dict[int, int] = {}  # by replica
+        self._history = History(
+            run=start.run,
+            engine=start.engine,
+            variant=start.variant,
             requests=self._requests,
             client_requests=defaultdict(list),
             not_sent={},
@@ -110,22 +114,22 @@
         )
 
     def build(self, events: Iterable[log.Event]) -> History:
-        out = self._out
+        history = self._history
         for event in events:
-            out.last_at_us = max(out.last_at_us, event.at_us)
+            history.last_at_us = max(history.last_at_us, event.at_us)
             self._add(event)
-        for copy, since in self._paused.items():
-            out.pauses[copy].append((since, out.last_at_us))
-        for number, ended in self._ends.items():
+        for replica, since_us in self._paused_since.items():
+            history.pauses[replica].append((since_us, history.last_at_us))
+        for number, end in self._attempt_ends.items():
             attempt = self._attempts.get(number)
             if attempt is not None:
-                attempt.outcome, attempt.ended_at_us = ended.outcome, ended.at_us
+                attempt.outcome, attempt.ended_at_us = end.outcome, end.at_us
         for request in self._requests.values():
             request.attempts.sort(key=lambda attempt: (attempt.received.sent_at_us, attempt.received.attempt))
-        return out
+        return history
 
     def _add(self, event: log.Event) -> None:
-        out = self._out
+        history = self._history
         match event:
             case (
                 log.RequestSent()
@@ -138,21 +142,21 @@
             case log.ReplicaStateChanged():
                 self._add_replica_event(event)
             case log.ServerStateChanged(state="up"):
-                out.server_starts[event.server].append(event.at_us)
+                history.server_starts[event.server].append(event.at_us)
             case log.EndpointListDelivered():
-                out.delivered_lists[event.replica].append(event)
+                history.delivered_lists[event.replica].append(event)
             case log.WriterLate():
-                out.writer_delays.append(event)
+                history.writer_delays.append(event)
             case log.ConnectionChanged():
-                out.connection_changes.append(event)
+                history.connection_changes.append(event)
             case log.DatagramSent():
-                out.datagrams.append(event)
+                history.datagrams.append(event)
             case log.MetricsReported():
-                out.metrics_reports.append(event)
+                history.metrics_reports.append(event)
             case log.FaultChanged():
-                out.fault_changes.append(event)
+                history.fault_changes.append(event)
             case log.RunFinished():
-                out.is_complete = True
+                history.is_complete = True
             case _:
                 pass
 
@@ -164,22 +168,23 @@
         | log.AttemptEnded
         | log.ResponseReceived,
     ) -> None:
-        out = self._out
+        history = self._history
         match event:
             case log.RequestSent():
                 request = self._requests[event.request]
-                if request.sent is None:  # else it crossed a close, and was sent once more
-                    out.client_requests[event.client_request].append(event.request)
+                # A request that crossed the closing of its connection is sent again, under the same number.
+                if request.sent is None:
+                    history.client_requests[event.client_request].append(event.request)
                 request.sent = event
             case log.RequestNotSent():
                 self._requests[event.request].not_sent = True
-                out.not_sent.setdefault(event.client_request, event)
-                out.client_requests[event.client_request].append(event.request)
+                history.not_sent.setdefault(event.client_request, event)
+                history.client_requests[event.client_request].append(event.request)
             case log.AttemptReceived():
                 attempt = self._attempts[event.attempt] = Attempt(event)
                 self._requests[event.request].attempts.append(attempt)
             case log.AttemptEnded():
-                self._ends.setdefault(event.attempt, event)
+                self._attempt_ends.setdefault(event.attempt, event)
             case log.ResponseReceived():
                 request = self._requests[event.request]
                 request.response_count += 1
@@ -187,14 +192,15 @@
 
     def _add_replica_event(self, event: log.ReplicaStateChanged) -> None:
         if event.state == "paused":
-            self._paused.setdefault(event.replica, event.at_us)
-        elif event.state == "resumed" or event.state in _ENDS:
-            since = self._paused.pop(event.replica, None)
-            if since is not None:
-                self._out.pauses[event.replica].append((since, event.at_us))
-        key = event.replica, event.incarnation
-        life = self._out.incarnations.setdefault(key, ProcessIncarnation(event.replica, event.incarnation))
+            self._paused_since.setdefault(event.replica, event.at_us)
+        elif event.state == "resumed" or event.state in _EXITS:
+            since_us = self._paused_since.pop(event.replica, None)
+            if since_us is not None:
+                self._history.pauses[event.replica].append((since_us, event.at_us))
+        process = self._history.incarnations.setdefault(
+            (event.replica, event.incarnation), ProcessIncarnation(event.replica, event.incarnation)
+        )
         if event.state in ("ready", "stopping", "killed", "ended"):
-            setattr(life, f"{event.state}_at_us", event.at_us)
+            setattr(process, f"{event.state}_at_us", event.at_us)
         if event.state == "ended":
-            life.exit_code = event.exit_code
+            process.exit_code = event.exit_code
--- a/testbed/checker/invariants.py
+++ b/testbed/checker/invariants.py
@@ -1,6 +1,6 @@
-"""The rules of the platform, each held against one day's history.
+"""The invariants of the platform, checked against the history of a run.
 
-What a request's events mean never rests on two writers' clocks agreeing to better than `_WRITERS_US`.
+A check never relies on the clocks of two writers of the log agreeing to better than `_CLOCK_TOLERANCE_US`.
 """
 
 from __future__ import annotations
@@ -19,40 +19,43 @@
     RESPONSE_SLACK_US,
 )
 
-_SOCKETS_US = 50_000  # every limit is so much longer on sockets
-_WRITERS_US = 100_000  # how far two writers of a log may part on when something was
-_RESUMED_US = 1_000_000  # and what is due up to so long after a pause
-_COLD_CHANCE = 5.0  # requests of mean work that a cold server may get over its budget, by chance
-_LATE_US = 50_000  # a writer later than this distorts what it writes
-_LATE_PART = 0.02  # and a day with a larger part of such seconds is not scored
+_SOCKET_TOLERANCE_US = 50_000  # added to every time limit, for the delays of real sockets
+_CLOCK_TOLERANCE_US = 100_000  # how much two writers of a log may differ on the time of one event
+_RESUME_GRACE_US = 1_000_000  # a pause also excuses requests sent up to this long after its end
+# Requests of mean work that a server in slow start may get above its limit, as arrivals are random.
+_SLOW_START_TOLERANCE_REQUESTS = 5.0
+_MAX_LATENESS_US = 50_000  # events of a writer that is later than this are distorted
+_MAX_LATE_FRACTION = 0.02  # of the seconds of a run; with more late seconds the run is not scored
 _REJECTED = (429, 503)
+_FOREVER_US = 1 << 62
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One rule broken once."""
+    """One violation of an invariant."""
 
     invariant: str  # lost, late, twice, refused, foreign, drained, cold, crash
-    at_us: int  # microseconds from the day's start
+    at_us: int  # since the start of the run
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What the rules say of a day."""
+    """The result of checking a run."""
 
     violations: tuple[Violation, ...]
-    is_complete: bool  # the log goes to the day's end
-    unscored_reasons: tuple[str, ...]  # why the day says nothing of the program: the ground itself was late
+    is_complete: bool  # the log goes to the end of the run
+    # Why the run does not count for or against the program: a writer of the log was late itself.
+    unscored_reasons: tuple[str, ...]
 
     @property
     def holds(self) -> bool:
-        """Whether no invariant was breached."""
+        """Whether no invariant was violated."""
         return not self.violations
 
     @property
     def label(self) -> str:
-        """kept, broken, cut off or unfair: the first that holds from the worst on."""
+        """The verdict in a word; the first that applies of broken, cut off, unfair and kept."""
         if self.violations:
             return "broken"
         if not self.is_complete:
@@ -61,166 +64,179 @@
 
 
 def check_invariants(
-    events: Iterable[Event] | History, slack_us: int = RESPONSE_SLACK_US + _SOCKETS_US
+    events: Iterable[Event] | History, slack_us: int = RESPONSE_SLACK_US + _SOCKET_TOLERANCE_US
 ) -> Verdict:
-    """Hold a log against every rule; raise LogError where it is no log of a day.
+    """Check a run against every invariant.
 
-    `slack_us` is how long after a client's patience an answer still counts.
+    Args:
+        events: The events of a log, or the history built from them.
+        slack_us: How long after the client timeout a response is still in time.
+
+    Raises:
+        EventLogError: The events do not begin with a run.
     """
     history = events if isinstance(events, History) else build_history(events)
-    breaches: list[Violation] = []
+    violations: list[Violation] = []
     for number, request in history.requests.items():
-        breaches += _missing_or_late_responses(history, number, request, slack_us)
-        breaches += _forbidden_retries(history, number, request)
-    breaches += _requests_to_draining_servers(history)
-    breaches += _slow_start_overloads(history)
-    breaches += _unexpected_exits(history)
-    breaches.sort(key=lambda breach: breach.at_us)
-    return Verdict(tuple(breaches), history.is_complete, tuple(_late_writers(history)))
+        violations += _missing_or_late_responses(history, number, request, slack_us)
+        violations += _forbidden_retries(history, number, request)
+    violations += _requests_to_draining_servers(history)
+    violations += _slow_start_overloads(history)
+    violations += _unexpected_exits(history)
+    violations.sort(key=lambda violation: violation.at_us)
+    return Verdict(tuple(violations), history.is_complete, tuple(_late_writers(history)))
 
 
-# One final answer a request, in time
+# Each request gets exactly one final response, in time.
 
 
 def _missing_or_late_responses(
     history: History, number: int, request: Request, slack_us: int
 ) -> Iterator[Violation]:
-    taken, answered = request.sent, request.response
-    if taken is None:
+    sent, response = request.sent, request.response
+    if sent is None:
         return
-    name = f"request {number:x} of copy {taken.replica}"
+    name = f"request {number:x} of replica {sent.replica}"
     if request.response_count > 1:
-        yield Violation("lost", taken.at_us, f"{name} got {request.response_count} answers")
-    if answered is None or answered.status == 0:
-        at = answered.at_us if answered is not None else taken.timeout_at_us + slack_us
-        if at <= history.last_at_us and not _is_excused(history, request, at):
-            how = (
-                "was never answered" if answered is None or answered.timed_out else "ended without an answer"
+        yield Violation("lost", sent.at_us, f"{name} got {request.response_count} responses")
+    if response is None or response.status == 0:
+        at_us = response.at_us if response is not None else sent.timeout_at_us + slack_us
+        if at_us <= history.last_at_us and not _is_excused(history, request, at_us):
+            problem = (
+                "was never answered" if response is None or response.timed_out else "ended without a response"
             )
-            yield Violation("lost", at, f"{name}, due at {taken.timeout_at_us / US_PER_S:.3f} s, {how}")
-    elif answered.at_us > taken.timeout_at_us + slack_us and not _is_excused(
-        history, request, answered.at_us
-    ):
-        late_ms = (answered.at_us - taken.timeout_at_us) / 1e3
-        yield Violation("late", answered.at_us, f"{name} was answered {late_ms:.0f} ms after its time")
-    elif answered.status == 200 and answered.attempt not in {
+            timeout_s = sent.timeout_at_us / US_PER_S
+            yield Violation("lost", at_us, f"{name} {problem} (client timeout at {timeout_s:.3f} s)")
+    elif response.at_us > sent.timeout_at_us + slack_us and not _is_excused(history, request, response.at_us):
+        late_ms = (response.at_us - sent.timeout_at_us) / 1e3
+        yield Violation(
+            "late", response.at_us, f"{name} was answered {late_ms:.0f} ms after the client timeout"
+        )
+    elif response.status == 200 and response.attempt not in {
         attempt.received.attempt for attempt in request.attempts
     }:
-        yield Violation("foreign", answered.at_us, f"{name} was served what no server made for it")
+        yield Violation("foreign", response.at_us, f"{name} got a response that no server wrote for it")
 
 
-def _is_excused(history: History, request: Request, at: int) -> bool:
-    """Whether its copy could not have answered by then: it was killed, paused, or about to end."""
-    taken = request.sent
-    assert taken is not None
-    for life in history.incarnations.values():
-        if life.replica != taken.replica:
+def _is_excused(history: History, request: Request, at_us: int) -> bool:
+    """Return whether its replica could not respond by a time: it was killed, paused or about to end."""
+    sent = request.sent
+    assert sent is not None
+    for process in history.incarnations.values():
+        if process.replica != sent.replica:
             continue
         is_killed = (
-            life.killed_at_us is not None
-            and taken.at_us - _WRITERS_US <= life.killed_at_us <= at + _WRITERS_US
+            process.killed_at_us is not None
+            and sent.at_us - _CLOCK_TOLERANCE_US <= process.killed_at_us <= at_us + _CLOCK_TOLERANCE_US
         )
         if is_killed and (
-            life.stopping_at_us is None or taken.at_us > life.stopping_at_us + ACCEPT_AFTER_SIGTERM_US
+            process.stopping_at_us is None or sent.at_us > process.stopping_at_us + ACCEPT_AFTER_SIGTERM_US
         ):
             return True
         if (
-            life.stopping_at_us is not None
-            and life.ended_at_us is not None
-            and life.stopping_at_us + ACCEPT_AFTER_SIGTERM_US < taken.at_us <= life.ended_at_us + _WRITERS_US
+            process.stopping_at_us is not None
+            and process.ended_at_us is not None
+            and process.stopping_at_us + ACCEPT_AFTER_SIGTERM_US
+            < sent.at_us
+            <= process.ended_at_us + _CLOCK_TOLERANCE_US
         ):
             return True
     return any(
-        since - _WRITERS_US <= taken.timeout_at_us and taken.at_us <= until + _RESUMED_US
-        for since, until in history.pauses.get(taken.replica, ())
+        start_us - _CLOCK_TOLERANCE_US <= sent.timeout_at_us and sent.at_us <= end_us + _RESUME_GRACE_US
+        for start_us, end_us in history.pauses.get(sent.replica, ())
     )
 
 
-# Nothing that may have run is sent again, or called harmless, unless its class allows it
+# A request that may have been executed is neither sent again nor rejected, unless its class allows it.
 
 
 def _forbidden_retries(history: History, number: int, request: Request) -> Iterator[Violation]:
     if request.sent is None or not request.attempts:
         return
-    kind = history.run.classes[request.sent.service_class]
-    ran = request.may_have_executed()
-    if kind.idempotency == "read_like" or not ran:
+    service_class = history.run.classes[request.sent.service_class]
+    executed = request.may_have_executed()
+    if service_class.idempotency == "read_like" or not executed:
         return
-    name = f"request {number:x} ({kind.name})"
-    first = ran[0]
-    for later in request.attempts[request.attempts.index(first) + 1 :]:
-        if kind.idempotency == "non_idempotent":
-            why = "went out again though it may have run"
-        elif not _same_group(history.run.servers, kind.idempotency_scope, first, later):
-            why = f"went out again outside its {kind.idempotency_scope}"
-        elif later.received.sent_at_us - first.received.sent_at_us > kind.idempotency_window_us + _SOCKETS_US:
-            why = "went out again after its memory ended"
+    name = f"request {number:x} ({service_class.name})"
+    first = executed[0]
+    for retry in request.attempts[request.attempts.index(first) + 1 :]:
+        elapsed_us = retry.received.sent_at_us - first.received.sent_at_us
+        if service_class.idempotency == "non_idempotent":
+            problem = "was sent again although it may have been executed"
+        elif not _are_in_one_scope(history.run.servers, service_class.idempotency_scope, first, retry):
+            problem = f"was sent again outside its {service_class.idempotency_scope}"
+        elif elapsed_us > service_class.idempotency_window_us + _SOCKET_TOLERANCE_US:
+            problem = "was sent again after its idempotency window"
         else:
             continue
-        servers = f"server {first.received.server}, then {later.received.server}"
-        yield Violation("twice", later.received.sent_at_us, f"{name} {why}: {servers}")
-    answered = request.response
-    is_rejected = answered is not None and answered.status in _REJECTED
+        servers = f"server {first.received.server}, then {retry.received.server}"
+        yield Violation("twice", retry.received.sent_at_us, f"{name} {problem}: {servers}")
+    response = request.response
+    is_rejected = response is not None and response.status in _REJECTED
     if (
-        answered is not None
+        response is not None
         and is_rejected
-        and (kind.idempotency == "non_idempotent" or kind.idempotency_scope != "all")
+        and (service_class.idempotency == "non_idempotent" or service_class.idempotency_scope != "all")
     ):
-        yield Violation("refused", answered.at_us, f"{name} was refused though it may have run")
+        yield Violation("refused", response.at_us, f"{name} was rejected although it may have been executed")
 
 
-def _same_group(servers: tuple[Server, ...], group: str, one: Attempt, other: Attempt) -> bool:
-    first, second = servers[one.received.server], servers[other.received.server]
-    if group == "all":
+def _are_in_one_scope(servers: tuple[Server, ...], scope: str, first: Attempt, second: Attempt) -> bool:
+    """Return whether the servers of two attempts belong to one idempotency scope."""
+    first_server, second_server = servers[first.received.server], servers[second.received.server]
+    if scope == "all":
         return True
-    return first.zone == second.zone if group == "zone" else first.cell == second.cell
+    if scope == "zone":
+        return first_server.zone == second_server.zone
+    return first_server.cell == second_server.cell
 
 
-# No new work to a server after word that it drains or is gone
+# A replica sends no new requests to a server after the notification that the server drains or has left.
 
 
 def _requests_to_draining_servers(history: History) -> Iterator[Violation]:
-    out = {copy: _draining_intervals(told) for copy, told in history.delivered_lists.items()}
-    limit = DRAIN_GRACE_US + _SOCKETS_US
+    intervals = {replica: _draining_intervals(lists) for replica, lists in history.delivered_lists.items()}
+    grace_us = DRAIN_GRACE_US + _SOCKET_TOLERANCE_US
     for number, request in history.requests.items():
         for attempt in request.attempts:
-            sent = attempt.received.sent_at_us
-            for since, until in out.get(attempt.received.replica, {}).get(attempt.received.server, ()):
-                if since + limit < sent < until:
-                    late_ms = (sent - since) / 1e3
+            replica, server = attempt.received.replica, attempt.received.server
+            sent_at_us = attempt.received.sent_at_us
+            for start_us, end_us in intervals.get(replica, {}).get(server, ()):
+                if start_us + grace_us < sent_at_us < end_us:
+                    late_ms = (sent_at_us - start_us) / 1e3
                     text = (
-                        f"request {number:x} went to server {attempt.received.server} {late_ms:.0f} ms"
-                        f" after copy {attempt.received.replica} was told that it leaves"
+                        f"request {number:x} was sent to server {server} {late_ms:.0f} ms"
+                        f" after replica {replica} was notified that it leaves"
                     )
-                    yield Violation("drained", sent, text)
+                    yield Violation("drained", sent_at_us, text)
 
 
-def _draining_intervals(told: list[EndpointListDelivered]) -> dict[int, list[tuple[int, int]]]:
-    """When each server was leaving or gone, as one copy was told."""
-    since: dict[int, int] = {}
+def _draining_intervals(lists: list[EndpointListDelivered]) -> dict[int, list[tuple[int, int]]]:
+    """Return by server when it was leaving or gone, according to the lists that one replica received."""
+    draining_since: dict[int, int] = {}
     known: set[int] = set()
-    out: dict[int, list[tuple[int, int]]] = {}
+    intervals: dict[int, list[tuple[int, int]]] = {}
 
-    def record(server: int, at: int, *, is_draining: bool) -> None:
+    def record(server: int, at_us: int, *, is_draining: bool) -> None:
         if is_draining:
-            since.setdefault(server, at)
-        elif server in since:
-            out.setdefault(server, []).append((since.pop(server), at))
+            draining_since.setdefault(server, at_us)
+        elif server in draining_since:
+            intervals.setdefault(server, []).append((draining_since.pop(server), at_us))
 
-    for update in told:
+    for update in lists:
         for server, state, _ in update.entries:
             record(server, update.at_us, is_draining=state != "active")
-        named = {server for server, _, _ in update.entries}
+        listed = {server for server, _, _ in update.entries}
         if update.is_full:
-            for server in known - named:
+            for server in known - listed:
                 record(server, update.at_us, is_draining=True)
-        known |= named
-    for server, at in since.items():
-        out.setdefault(server, []).append((at, 1 << 62))
-    return out
+        known |= listed
+    for server, since_us in draining_since.items():
+        intervals.setdefault(server, []).append((since_us, _FOREVER_US))
+    return intervals
 
 
-# No cold server overloaded by all copies together
+# All replicas together do not overload a server in slow start.
 
 
 def _slow_start_overloads(history: History) -> Iterator[Violation]:
@@ -229,84 +245,100 @@
         for attempt in request.attempts:
             by_server.setdefault(attempt.received.server, []).append(attempt)
     for server, starts in history.server_starts.items():
-        arrived = sorted(by_server.get(server, ()), key=lambda attempt: attempt.received.at_us)
-        for start in starts:
-            yield from _overload_after_start(history, history.run.servers[server], start, arrived)
+        attempts = sorted(by_server.get(server, []), key=lambda attempt: attempt.received.at_us)
+        for start_us in starts:
+            yield from _overload_after_start(history, history.run.servers[server], start_us, attempts)
 
 
 def _overload_after_start(
-    history: History, server: Server, start: int, arrived: list[Attempt]
+    history: History, server: Server, start_us: int, attempts: list[Attempt]
 ) -> Iterator[Violation]:
-    """The work of each window against what the server could do; the first breach of a start is told."""
-    mean = sum(kind.share * kind.mean_work_us for kind in history.run.classes)
+    """Compare the work received within each window with what the server could do; report the first excess.
+
+    An excess counts only if at least two thirds of the work came from replicas notified of the start.
+    """
+    mean_work_us = sum(
+        service_class.share * service_class.mean_work_us for service_class in history.run.classes
+    )
     window: list[Attempt] = []
-    for attempt in arrived:
-        at = attempt.received.at_us
-        if not start <= at < start + server.slow_start_us:
+    for attempt in attempts:
+        at_us = attempt.received.at_us
+        if not start_us <= at_us < start_us + server.slow_start_us:
             continue
-        window = [one for one in window if one.received.at_us > at - OVERLOAD_WINDOW_US] + [attempt]
-        part = (
+        window = [earlier for earlier in window if earlier.received.at_us > at_us - OVERLOAD_WINDOW_US] + [
+            attempt
+        ]
+        capacity = (
             server.slow_start_initial_capacity
-            + (1 - server.slow_start_initial_capacity) * (at - start) / server.slow_start_us
+            + (1 - server.slow_start_initial_capacity) * (at_us - start_us) / server.slow_start_us
         )
-        allowed = (
-            OVERLOAD_MULTIPLE * part * server.slots * server.speed * OVERLOAD_WINDOW_US + _COLD_CHANCE * mean
+        limit_us = (
+            OVERLOAD_MULTIPLE * capacity * server.slots * server.speed * OVERLOAD_WINDOW_US
+            + _SLOW_START_TOLERANCE_REQUESTS * mean_work_us
         )
-        work = sum(one.received.work_us for one in window)
-        if work <= allowed:
+        work_us = sum(earlier.received.work_us for earlier in window)
+        if work_us <= limit_us:
             continue
-        told = sum(
-            one.received.work_us for one in window if _was_notified(history, one, server.number, start)
+        notified_work_us = sum(
+            earlier.received.work_us
+            for earlier in window
+            if _was_notified(history, earlier, server.number, start_us)
         )
-        if told * 3 >= work * 2:
+        if notified_work_us * 3 >= work_us * 2:
             text = (
-                f"server {server.number}, {(at - start) / US_PER_S:.2f} s after its start,"
-                f" got {work / 1e3:.0f} ms of work within {OVERLOAD_WINDOW_US / US_PER_S:g} s"
-                f" and bears {allowed / 1e3:.0f}"
+                f"server {server.number}, {(at_us - start_us) / US_PER_S:.2f} s after its start,"
+                f" got {work_us / 1e3:.0f} ms of work within {OVERLOAD_WINDOW_US / US_PER_S:g} s;"
+                f" its limit is {limit_us / 1e3:.0f} ms"
             )
-            yield Violation("cold", at, text)
+            yield Violation("cold", at_us, text)
             return
 
 
-def _was_notified(history: History, attempt: Attempt, server: int, start: int) -> bool:
-    """Whether the copy had been told of this start."""
+def _was_notified(history: History, attempt: Attempt, server: int, start_us: int) -> bool:
+    """Return whether the replica had been notified of a server's start when it sent an attempt."""
     return any(
         update.at_us <= attempt.received.sent_at_us
         and any(
-            number == server and since is not None and since >= start for number, _, since in update.entries
+            listed == server and started_at_us is not None and started_at_us >= start_us
+            for listed, _, started_at_us in update.entries
         )
         for update in history.delivered_lists.get(attempt.received.replica, ())
     )
 
 
-# No copy ends by itself
+# No replica process exits by itself, or with an error after SIGTERM.
 
 
 def _unexpected_exits(history: History) -> Iterator[Violation]:
-    for life in history.incarnations.values():
-        if life.ended_at_us is None or life.killed_at_us is not None:
+    for process in history.incarnations.values():
+        if process.ended_at_us is None or process.killed_at_us is not None:
             continue
-        name = f"copy {life.replica}, life {life.incarnation},"
-        if life.stopping_at_us is None:
-            yield Violation("crash", life.ended_at_us, f"{name} ended by itself with code {life.exit_code}")
-        elif life.exit_code != 0:
+        name = f"replica {process.replica}, incarnation {process.incarnation},"
+        if process.stopping_at_us is None:
+            yield Violation(
+                "crash", process.ended_at_us, f"{name} exited by itself with code {process.exit_code}"
+            )
+        elif process.exit_code != 0:
             yield Violation(
-                "crash", life.ended_at_us, f"{name} ended with code {life.exit_code} after SIGTERM"
+                "crash", process.ended_at_us, f"{name} exited with code {process.exit_code} after SIGTERM"
             )
 
 
-# Whether the ground held
+# The test bed itself was not late.
 
 
 def _late_writers(history: History) -> Iterator[str]:
+    """Describe each writer that was late in too many seconds of the run."""
     seconds = max(history.run.duration_us / US_PER_S, 1.0)
-    late: dict[str, dict[int, int]] = {}
+    by_writer: dict[str, dict[int, int]] = {}
     for delay in history.writer_delays:
-        if delay.late_us > _LATE_US:
-            worst = late.setdefault(delay.writer, {})
+        if delay.late_us > _MAX_LATENESS_US:
+            worst_by_second = by_writer.setdefault(delay.writer, {})
             second = delay.at_us // US_PER_S
-            worst[second] = max(worst.get(second, 0), delay.late_us)
-    for who, worst in sorted(late.items()):
-        if len(worst) > seconds * _LATE_PART:
-            most_ms = max(worst.values()) / 1e3
-            yield f"{who} was late in {len(worst)} of {seconds:.0f} s, by {most_ms:.0f} ms at most"
+            worst_by_second[second] = max(worst_by_second.get(second, 0), delay.late_us)
+    for writer, worst_by_second in sorted(by_writer.items()):
+        if len(worst_by_second) > seconds * _MAX_LATE_FRACTION:
+            max_ms = max(worst_by_second.values()) / 1e3
+            yield (
+                f"{writer} was late in {len(worst_by_second)} of {seconds:.0f} s, by up to {max_ms:.0f} ms"
+            )
--- a/testbed/checker/membership.py
+++ b/testbed/checker/membership.py
@@ -1,4 +1,4 @@
-"""What the copies of a day believed of each other, by their own figures; and when they agreed."""
+"""What the replicas of a run believed of each other, according to their metrics, and when they agreed."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 from testbed.checker.history import History
 
 PRESENT, DEAD, LEFT = "p", "d", "l"
+# The states of a member by the letter that stands for it in the metrics.
 MEMBER_STATES = {
     PRESENT: "present",
     "s": "suspected",
     "?": "unknown",
     LEFT: "left",
     DEAD: "dead",
-}  # a view's letters
+}
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """What one copy believed of all members at a time: a letter each."""
+    """The states of all members at a time, as one replica believed them; one letter each."""
 
     at_us: int
     replica: int
@@ -27,56 +28,64 @@
 
 @dataclass(frozen=True, slots=True)
 class Agreement:
-    """How the views of a day ended."""
+    """Whether the replicas that ran at the end of a run agreed on the membership."""
 
-    agreed_at_us: (
-        int | None
-    )  # from when on all looks of copies that lived at the end were equal; None: they never were
-    last_fault_end_us: int  # when the last trouble ended
-    wrongly_dead: tuple[tuple[int, int], ...]  # (by, of): at the end called dead or gone, though it lived
+    # From when on all their latest views were equal and correct; None if they were not at the end.
+    agreed_at_us: int | None
+    last_fault_end_us: int
+    # (replica, member): at the end the replica believed that a member which ran was dead or had left.
+    wrongly_dead: tuple[tuple[int, int], ...]
 
 
 def membership_views(history: History) -> list[MembershipView]:
-    """All looks, in order of time."""
-    reports = sorted(history.metrics_reports, key=lambda figures: figures.at_us)
+    """Return the membership views of all replicas, in order of time."""
+    reports = sorted(history.metrics_reports, key=lambda report: report.at_us)
     return [
-        MembershipView(figures.at_us, figures.replica, figures.membership["view"])
-        for figures in reports
-        if "view" in figures.membership
+        MembershipView(report.at_us, report.replica, report.membership["view"])
+        for report in reports
+        if "view" in report.membership
     ]
 
 
 def agreement(history: History) -> Agreement:
-    """When the copies agreed for good on who is present."""
-    alive = _alive_at_end(history)
+    """Return when the replicas agreed on the membership for good, and what they had wrong at the end."""
+    running = _running_at_end(history)
     latest: dict[int, str] = {}
-    at: int | None = None
-    for look in membership_views(history):
-        if look.replica not in alive:
+    agreed_at_us: int | None = None
+    for view in membership_views(history):
+        if view.replica not in running:
             continue
-        latest[look.replica] = look.states
-        agreed = len(latest) == len(alive) and len(set(latest.values())) == 1 and _is_true(look.states, alive)
-        at = (at if at is not None else look.at_us) if agreed else None
+        latest[view.replica] = view.states
+        have_agreed = (
+            len(latest) == len(running)
+            and len(set(latest.values())) == 1
+            and _is_correct(view.states, running)
+        )
+        agreed_at_us = (agreed_at_us if agreed_at_us is not None else view.at_us) if have_agreed else None
     wrongly_dead = [
-        (by, of) for by, view in sorted(latest.items()) for of in sorted(alive) if view[of] in (DEAD, LEFT)
+        (replica, member)
+        for replica, states in sorted(latest.items())
+        for member in sorted(running)
+        if states[member] in (DEAD, LEFT)
     ]
-    ends = [max(fault.start_us, fault.end_us) for fault in history.run.faults]
-    return Agreement(at, max(ends, default=0), tuple(wrongly_dead))
+    fault_ends = [max(fault.start_us, fault.end_us) for fault in history.run.faults]
+    return Agreement(agreed_at_us, max(fault_ends, default=0), tuple(wrongly_dead))
 
 
-def _is_true(view: str, alive: set[int]) -> bool:
-    return all((letter == PRESENT) == (number in alive) for number, letter in enumerate(view))
+def _is_correct(states: str, running: set[int]) -> bool:
+    """Return whether exactly the running replicas are believed to be present."""
+    return all((state == PRESENT) == (member in running) for member, state in enumerate(states))
 
 
-def _alive_at_end(history: History) -> set[int]:
-    """Copies with a process that got ready and neither was killed nor ended, nor is paused."""
-    running = {
-        life.replica
-        for life in history.incarnations.values()
-        if life.ready_at_us is not None and life.killed_at_us is None and life.ended_at_us is None
+def _running_at_end(history: History) -> set[int]:
+    """Return the replicas with a process that became ready, has not exited and is not paused at the end."""
+    ready = {
+        process.replica
+        for process in history.incarnations.values()
+        if process.ready_at_us is not None and process.killed_at_us is None and process.ended_at_us is None
     }
     return {
-        copy
-        for copy in running
-        if all(until < history.last_at_us for _, until in history.pauses.get(copy, ()))
+        replica
+        for replica in ready
+        if all(end_us < history.last_at_us for _, end_us in history.pauses.get(replica, ()))
     }
