--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The judge, on logs that break each rule by one event, and on the same logs without it."""
+"""The checker, on logs that violate each invariant by one event, and on similar logs without a violation."""
 
 from __future__ import annotations
 
@@ -57,295 +57,328 @@
     return draw_run(parse_scenario(SCENARIO, "judged"), 1)
 
 
-class Played:
-    """A log under construction."""
+class RunLog:
+    """Builds the events of a log, with two replicas that are ready from the start."""
 
     def __init__(self) -> None:
         self.events: list[log.Event] = [
             log.RunStarted(at_us=0, run=checked_run(), engine="model"),
             *(
-                log.ReplicaStateChanged(at_us=0, replica=copy, incarnation=1, state="ready")
-                for copy in (0, 1)
+                log.ReplicaStateChanged(at_us=0, replica=replica, incarnation=1, state="ready")
+                for replica in (0, 1)
             ),
         ]
         self._attempt = 0
 
-    def add(self, *events: log.Event) -> Played:
+    def add(self, *events: log.Event) -> RunLog:
         self.events += events
         return self
 
-    def taken(
-        self, request: int, at: int, kind: int = LOOK, copy: int = 0, first: int | None = None
-    ) -> Played:
+    def send(
+        self,
+        request: int,
+        at_us: int,
+        service_class: int = LOOK,
+        replica: int = 0,
+        client_request: int | None = None,
+    ) -> RunLog:
+        """Add a request of a client, with a timeout of 1 s."""
         return self.add(
             log.RequestSent(
-                at_us=at,
+                at_us=at_us,
                 request=request,
-                client_request=request if first is None else first,
-                replica=copy,
-                service_class=kind,
+                client_request=request if client_request is None else client_request,
+                replica=replica,
+                service_class=service_class,
                 tenant=-1,
-                scheduled_at_us=at,
-                timeout_at_us=at + 1 * S,
+                scheduled_at_us=at_us,
+                timeout_at_us=at_us + 1 * S,
             )
         )
 
     def attempt(
-        self, request: int, at: int, how: str = "served", server: int = 1, copy: int = 0, work: int = 5 * MS
+        self,
+        request: int,
+        at_us: int,
+        outcome: str = "served",
+        server: int = 1,
+        replica: int = 0,
+        work_us: int = 5 * MS,
     ) -> int:
+        """Add an attempt that ends at the server after 10 ms; return its number."""
         number, self._attempt = self._attempt, self._attempt + 1
-        arrived = log.AttemptReceived(
-            at_us=at,
+        received = log.AttemptReceived(
+            at_us=at_us,
             request=request,
-            replica=copy,
+            replica=replica,
             server=server,
             attempt=number,
-            sent_at_us=at,
-            work_us=work,
+            sent_at_us=at_us,
+            work_us=work_us,
         )
-        self.add(arrived, log.AttemptEnded(at_us=at + 10 * MS, attempt=number, request=request, outcome=how))
+        ended = log.AttemptEnded(at_us=at_us + 10 * MS, attempt=number, request=request, outcome=outcome)
+        self.add(received, ended)
         return number
 
-    def answered(self, request: int, at: int, status: int = 200, attempt: int = -1, **more: Any) -> Played:
+    def respond(
+        self, request: int, at_us: int, status: int = 200, attempt: int = -1, *, timed_out: bool = False
+    ) -> RunLog:
+        """Add what the client got."""
         return self.add(
-            log.ResponseReceived(at_us=at, request=request, status=status, attempt=attempt, **more)
+            log.ResponseReceived(
+                at_us=at_us, request=request, status=status, attempt=attempt, timed_out=timed_out
+            )
         )
 
-    def served(self, request: int, at: int, kind: int = LOOK, **how: Any) -> Played:
-        self.taken(request, at, kind, how.get("copy", 0))
-        attempt = self.attempt(request, at + MS, **how)
-        return self.answered(request, at + 20 * MS, attempt=attempt)
-
-    def told(self, at: int, server: int, state: str, started: int | None = None, copy: int = 0) -> Played:
-        line = (server, state, started)
+    def serve(self, request: int, at_us: int, service_class: int = LOOK, **attempt: Any) -> RunLog:
+        """Add a request that is served at once; the options are those of `attempt`."""
+        self.send(request, at_us, service_class, attempt.get("replica", 0))
+        number = self.attempt(request, at_us + MS, **attempt)
+        return self.respond(request, at_us + 20 * MS, attempt=number)
+
+    def deliver(
+        self, at_us: int, server: int, state: str, started_at_us: int | None = None, replica: int = 0
+    ) -> RunLog:
+        """Add a change of the endpoint list that reaches a replica."""
+        entries = [(server, state, started_at_us)]
         return self.add(
-            log.EndpointListDelivered(at_us=at, replica=copy, version=1, is_full=False, entries=[line])
+            log.EndpointListDelivered(at_us=at_us, replica=replica, version=1, is_full=False, entries=entries)
         )
 
-    def rules(self, finished: bool = True) -> list[str]:
-        whole = [*self.events, log.RunFinished(at_us=20 * S)] if finished else self.events
-        return [each.invariant for each in check_invariants(log.sort_events(whole)).violations]
+    def violated(self, is_finished: bool = True) -> list[str]:
+        """Return the invariants that the log violates."""
+        events = [*self.events, log.RunFinished(at_us=20 * S)] if is_finished else self.events
+        violations = check_invariants(log.sort_events(events)).violations
+        return [violation.invariant for violation in violations]
 
 
-def test_a_day_in_order_breaks_nothing() -> None:
-    day = Played()
+def test_run_without_errors_violates_nothing() -> None:
+    run_log = RunLog()
     for number in range(20):
-        day.served(number, number * 500 * MS, number % 3, copy=number % 2, server=number % 4)
-    assert day.rules() == []
-    assert check_invariants([*day.events, log.RunFinished(at_us=20 * S)]).label == "kept"
+        run_log.serve(number, number * 500 * MS, number % 3, replica=number % 2, server=number % 4)
+    assert run_log.violated() == []
+    assert check_invariants([*run_log.events, log.RunFinished(at_us=20 * S)]).label == "kept"
 
 
-def _never(day: Played) -> None:
-    day.taken(1, 1 * S)
+def _never_answered(run_log: RunLog) -> None:
+    run_log.send(1, 1 * S)
 
 
-def _cut_short(day: Played) -> None:
-    day.taken(1, 1 * S).answered(1, 2 * S, status=0)
+def _ended_without_response(run_log: RunLog) -> None:
+    run_log.send(1, 1 * S).respond(1, 2 * S, status=0)
 
 
-def _late(day: Played) -> None:
-    attempt = day.taken(1, 1 * S).attempt(1, 1 * S + 900 * MS)
-    day.answered(1, 2 * S + 150 * MS, attempt=attempt)
+def _late_response(run_log: RunLog) -> None:
+    attempt = run_log.send(1, 1 * S).attempt(1, 1 * S + 900 * MS)
+    run_log.respond(1, 2 * S + 150 * MS, attempt=attempt)
 
 
-def _two_answers(day: Played) -> None:
-    day.served(1, 1 * S).answered(1, 1 * S + 30 * MS, status=500)
+def _two_responses(run_log: RunLog) -> None:
+    run_log.serve(1, 1 * S).respond(1, 1 * S + 30 * MS, status=500)
 
 
-def _foreign(day: Played) -> None:
-    attempt = day.taken(1, 1 * S).attempt(2, 1 * S)
-    day.answered(1, 1 * S + 20 * MS, attempt=attempt)
+def _body_of_another_request(run_log: RunLog) -> None:
+    attempt = run_log.send(1, 1 * S).attempt(2, 1 * S)
+    run_log.respond(1, 1 * S + 20 * MS, attempt=attempt)
 
 
-def _twice(day: Played) -> None:
-    day.taken(1, 1 * S, BOOK).attempt(1, 1 * S, how="error")
-    attempt = day.attempt(1, 1 * S + 50 * MS, server=2)
-    day.answered(1, 1 * S + 80 * MS, attempt=attempt)
+def _retry_of_non_idempotent_request(run_log: RunLog) -> None:
+    run_log.send(1, 1 * S, BOOK).attempt(1, 1 * S, outcome="error")
+    attempt = run_log.attempt(1, 1 * S + 50 * MS, server=2)
+    run_log.respond(1, 1 * S + 80 * MS, attempt=attempt)
 
 
-def _other_cell(day: Played) -> None:
-    day.taken(1, 1 * S, AMEND).attempt(1, 1 * S, how="error", server=1)
-    day.answered(1, 1 * S + 80 * MS, attempt=day.attempt(1, 1 * S + 50 * MS, server=2))
+def _retry_in_another_cell(run_log: RunLog) -> None:
+    run_log.send(1, 1 * S, AMEND).attempt(1, 1 * S, outcome="error", server=1)
+    run_log.respond(1, 1 * S + 80 * MS, attempt=run_log.attempt(1, 1 * S + 50 * MS, server=2))
 
 
-def _forgotten(day: Played) -> None:
-    day.taken(1, 1 * S, AMEND).attempt(1, 1 * S, how="error", server=1)
-    day.answered(1, 1 * S + 700 * MS, attempt=day.attempt(1, 1 * S + 600 * MS, server=3))
+def _retry_after_idempotency_window(run_log: RunLog) -> None:
+    run_log.send(1, 1 * S, AMEND).attempt(1, 1 * S, outcome="error", server=1)
+    run_log.respond(1, 1 * S + 700 * MS, attempt=run_log.attempt(1, 1 * S + 600 * MS, server=3))
 
 
-def _refused(day: Played) -> None:
-    day.taken(1, 1 * S, BOOK).attempt(1, 1 * S, how="error")
-    day.answered(1, 1 * S + 50 * MS, status=503)
+def _rejected_after_execution(run_log: RunLog) -> None:
+    run_log.send(1, 1 * S, BOOK).attempt(1, 1 * S, outcome="error")
+    run_log.respond(1, 1 * S + 50 * MS, status=503)
 
 
-def _drained(day: Played) -> None:
-    day.told(1 * S, 1, "leaving").served(1, 3 * S + 100 * MS, server=1)
+def _request_to_draining_server(run_log: RunLog) -> None:
+    run_log.deliver(1 * S, 1, "leaving").serve(1, 3 * S + 100 * MS, server=1)
 
 
-def _left_out_of_a_whole_list(day: Played) -> None:
-    lines: list[tuple[int, str, int | None]] = [(number, "active", None) for number in range(4)]
-    day.add(log.EndpointListDelivered(at_us=0, replica=0, version=1, is_full=True, entries=lines))
-    day.add(log.EndpointListDelivered(at_us=1 * S, replica=0, version=2, is_full=True, entries=lines[:1]))
-    day.served(1, 4 * S, server=1)
+def _request_to_server_missing_from_full_list(run_log: RunLog) -> None:
+    entries: list[tuple[int, str, int | None]] = [(number, "active", None) for number in range(4)]
+    run_log.add(log.EndpointListDelivered(at_us=0, replica=0, version=1, is_full=True, entries=entries))
+    run_log.add(
+        log.EndpointListDelivered(at_us=1 * S, replica=0, version=2, is_full=True, entries=entries[:1])
+    )
+    run_log.serve(1, 4 * S, server=1)
 
 
-def _cold(day: Played) -> None:
-    day.add(log.ServerStateChanged(at_us=5 * S, server=0, state="up")).told(5 * S, 0, "active", started=5 * S)
-    for number in range(20):  # 3 x 0.2 x 1.5 s bear 900 ms of work a window
-        day.served(number, 5 * S + 100 * MS + number * 10 * MS, server=0, work=60 * MS)
+def _slow_start_overload(run_log: RunLog) -> None:
+    run_log.add(log.ServerStateChanged(at_us=5 * S, server=0, state="up")).deliver(
+        5 * S, 0, "active", started_at_us=5 * S
+    )
+    for number in range(20):  # the limit is 3 x 0.2 x 1.5 s = 900 ms of work a window
+        run_log.serve(number, 5 * S + 100 * MS + number * 10 * MS, server=0, work_us=60 * MS)
 
 
-def _crash(day: Played) -> None:
-    day.add(log.ReplicaStateChanged(at_us=4 * S, replica=0, incarnation=1, state="ended", exit_code=1))
+def _exit_by_itself(run_log: RunLog) -> None:
+    run_log.add(log.ReplicaStateChanged(at_us=4 * S, replica=0, incarnation=1, state="ended", exit_code=1))
 
 
-def _bad_end(day: Played) -> None:
-    day.add(log.ReplicaStateChanged(at_us=3 * S, replica=0, incarnation=1, state="stopping"))
-    day.add(log.ReplicaStateChanged(at_us=4 * S, replica=0, incarnation=1, state="ended", exit_code=1))
+def _error_exit_after_sigterm(run_log: RunLog) -> None:
+    run_log.add(log.ReplicaStateChanged(at_us=3 * S, replica=0, incarnation=1, state="stopping"))
+    run_log.add(log.ReplicaStateChanged(at_us=4 * S, replica=0, incarnation=1, state="ended", exit_code=1))
 
 
-BROKEN: list[tuple[Callable[[Played], None], str]] = [
-    (_never, "lost"),
-    (_cut_short, "lost"),
-    (_two_answers, "lost"),
-    (_late, "late"),
-    (_foreign, "foreign"),
-    (_twice, "twice"),
-    (_other_cell, "twice"),
-    (_forgotten, "twice"),
-    (_refused, "refused"),
-    (_drained, "drained"),
-    (_left_out_of_a_whole_list, "drained"),
-    (_cold, "cold"),
-    (_crash, "crash"),
-    (_bad_end, "crash"),
+VIOLATIONS: list[tuple[Callable[[RunLog], None], str]] = [
+    (_never_answered, "lost"),
+    (_ended_without_response, "lost"),
+    (_two_responses, "lost"),
+    (_late_response, "late"),
+    (_body_of_another_request, "foreign"),
+    (_retry_of_non_idempotent_request, "twice"),
+    (_retry_in_another_cell, "twice"),
+    (_retry_after_idempotency_window, "twice"),
+    (_rejected_after_execution, "refused"),
+    (_request_to_draining_server, "drained"),
+    (_request_to_server_missing_from_full_list, "drained"),
+    (_slow_start_overload, "cold"),
+    (_exit_by_itself, "crash"),
+    (_error_exit_after_sigterm, "crash"),
 ]
 
 
-@pytest.mark.parametrize(("breaks", "rule"), BROKEN, ids=lambda each: getattr(each, "__name__", each))
-def test_one_breach_is_one_breach(breaks: Callable[[Played], None], rule: str) -> None:
-    day = Played()
-    breaks(day)
-    assert day.rules() == [rule]
+@pytest.mark.parametrize(
+    ("violate", "invariant"), VIOLATIONS, ids=lambda value: getattr(value, "__name__", value)
+)
+def test_each_violation_is_reported_once(violate: Callable[[RunLog], None], invariant: str) -> None:
+    run_log = RunLog()
+    violate(run_log)
+    assert run_log.violated() == [invariant]
 
 
-def _killed_meanwhile(day: Played) -> None:
-    day.taken(1, 1 * S).answered(1, 1 * S + 500 * MS, status=0)
-    day.add(log.ReplicaStateChanged(at_us=1 * S + 499 * MS, replica=0, incarnation=1, state="killed"))
+def _replica_killed_meanwhile(run_log: RunLog) -> None:
+    run_log.send(1, 1 * S).respond(1, 1 * S + 500 * MS, status=0)
+    run_log.add(log.ReplicaStateChanged(at_us=1 * S + 499 * MS, replica=0, incarnation=1, state="killed"))
 
 
-def _paused_meanwhile(day: Played) -> None:
-    day.taken(1, 1 * S).answered(1, 3 * S, status=0, timed_out=True)
-    day.add(log.ReplicaStateChanged(at_us=500 * MS, replica=0, incarnation=1, state="paused"))
-    day.add(log.ReplicaStateChanged(at_us=10 * S, replica=0, incarnation=1, state="resumed"))
+def _replica_paused_meanwhile(run_log: RunLog) -> None:
+    run_log.send(1, 1 * S).respond(1, 3 * S, status=0, timed_out=True)
+    run_log.add(log.ReplicaStateChanged(at_us=500 * MS, replica=0, incarnation=1, state="paused"))
+    run_log.add(log.ReplicaStateChanged(at_us=10 * S, replica=0, incarnation=1, state="resumed"))
 
 
-def _came_too_late_for_the_end(day: Played) -> None:
-    day.add(log.ReplicaStateChanged(at_us=1 * S, replica=0, incarnation=1, state="stopping"))
-    day.taken(1, 1 * S + 900 * MS).answered(1, 2 * S, status=0)
-    day.add(log.ReplicaStateChanged(at_us=2 * S, replica=0, incarnation=1, state="ended", exit_code=0))
+def _sent_long_after_sigterm(run_log: RunLog) -> None:
+    run_log.add(log.ReplicaStateChanged(at_us=1 * S, replica=0, incarnation=1, state="stopping"))
+    run_log.send(1, 1 * S + 900 * MS).respond(1, 2 * S, status=0)
+    run_log.add(log.ReplicaStateChanged(at_us=2 * S, replica=0, incarnation=1, state="ended", exit_code=0))
 
 
-def _full_then_served(day: Played) -> None:
-    day.taken(1, 1 * S, BOOK).attempt(1, 1 * S, how="full")
-    day.answered(1, 1 * S + 80 * MS, attempt=day.attempt(1, 1 * S + 50 * MS, server=2))
+def _retry_after_full(run_log: RunLog) -> None:
+    run_log.send(1, 1 * S, BOOK).attempt(1, 1 * S, outcome="full")
+    run_log.respond(1, 1 * S + 80 * MS, attempt=run_log.attempt(1, 1 * S + 50 * MS, server=2))
 
 
-def _same_cell_in_time(day: Played) -> None:
-    day.taken(1, 1 * S, AMEND).attempt(1, 1 * S, how="error", server=1)
-    day.answered(1, 1 * S + 80 * MS, attempt=day.attempt(1, 1 * S + 50 * MS, server=3))
+def _retry_in_the_same_cell_in_time(run_log: RunLog) -> None:
+    run_log.send(1, 1 * S, AMEND).attempt(1, 1 * S, outcome="error", server=1)
+    run_log.respond(1, 1 * S + 80 * MS, attempt=run_log.attempt(1, 1 * S + 50 * MS, server=3))
 
 
-def _within_the_grace(day: Played) -> None:
-    day.told(1 * S, 1, "leaving").served(1, 2 * S + 900 * MS, server=1)
+def _request_within_drain_grace(run_log: RunLog) -> None:
+    run_log.deliver(1 * S, 1, "leaving").serve(1, 2 * S + 900 * MS, server=1)
 
 
-def _active_again(day: Played) -> None:
-    day.told(1 * S, 1, "leaving").told(2 * S, 1, "active").served(1, 6 * S, server=1)
+def _request_to_server_active_again(run_log: RunLog) -> None:
+    run_log.deliver(1 * S, 1, "leaving").deliver(2 * S, 1, "active").serve(1, 6 * S, server=1)
 
 
-def _told_another_copy(day: Played) -> None:
-    day.told(1 * S, 1, "leaving", copy=1).served(1, 6 * S, server=1)
+def _only_another_replica_notified(run_log: RunLog) -> None:
+    run_log.deliver(1 * S, 1, "leaving", replica=1).serve(1, 6 * S, server=1)
 
 
-def _cold_unknown(day: Played) -> None:
-    _cold(day)
-    day.events = [each for each in day.events if not isinstance(each, log.EndpointListDelivered)]
+def _overload_without_notification(run_log: RunLog) -> None:
+    _slow_start_overload(run_log)
+    run_log.events = [event for event in run_log.events if not isinstance(event, log.EndpointListDelivered)]
 
 
-def _cold_no_more(day: Played) -> None:
-    day.add(log.ServerStateChanged(at_us=2 * S, server=0, state="up")).told(2 * S, 0, "active", started=2 * S)
+def _load_after_slow_start(run_log: RunLog) -> None:
+    run_log.add(log.ServerStateChanged(at_us=2 * S, server=0, state="up")).deliver(
+        2 * S, 0, "active", started_at_us=2 * S
+    )
     for number in range(20):
-        day.served(number, 13 * S + number * 10 * MS, server=0, work=60 * MS)
+        run_log.serve(number, 13 * S + number * 10 * MS, server=0, work_us=60 * MS)
 
 
 @pytest.mark.parametrize(
-    "allowed",
+    "allow",
     [
-        _killed_meanwhile,
-        _paused_meanwhile,
-        _came_too_late_for_the_end,
-        _full_then_served,
-        _same_cell_in_time,
-        _within_the_grace,
-        _active_again,
-        _told_another_copy,
-        _cold_unknown,
-        _cold_no_more,
+        _replica_killed_meanwhile,
+        _replica_paused_meanwhile,
+        _sent_long_after_sigterm,
+        _retry_after_full,
+        _retry_in_the_same_cell_in_time,
+        _request_within_drain_grace,
+        _request_to_server_active_again,
+        _only_another_replica_notified,
+        _overload_without_notification,
+        _load_after_slow_start,
     ],
-    ids=lambda each: each.__name__,
+    ids=lambda allow: allow.__name__,
 )
-def test_what_no_rule_forbids_is_no_breach(allowed: Callable[[Played], None]) -> None:
-    day = Played()
-    allowed(day)
-    assert day.rules() == []
+def test_allowed_behaviour_is_no_violation(allow: Callable[[RunLog], None]) -> None:
+    run_log = RunLog()
+    allow(run_log)
+    assert run_log.violated() == []
 
 
-def test_a_log_that_was_cut_off_holds_nobody_to_what_it_does_not_show() -> None:
-    day = Played().taken(1, 1 * S)
-    assert day.rules(finished=False) == []
-    assert check_invariants(day.events).label == "cut off"
+def test_incomplete_log_is_not_checked_beyond_its_end() -> None:
+    run_log = RunLog().send(1, 1 * S)
+    assert run_log.violated(is_finished=False) == []
+    assert check_invariants(run_log.events).label == "cut off"
 
 
-def test_a_ground_that_was_late_itself_is_not_scored() -> None:
+def test_run_with_a_late_writer_is_not_scored() -> None:
     late = [log.WriterLate(at_us=second * S, writer="load 0", late_us=200 * MS) for second in range(4)]
-    verdict = check_invariants([*Played().events, *late, log.RunFinished(at_us=20 * S)])
+    verdict = check_invariants([*RunLog().events, *late, log.RunFinished(at_us=20 * S)])
     assert verdict.label == "unfair" and "load 0 was late in 4 of 20 s" in verdict.unscored_reasons[0]
 
 
-def test_the_account_counts_worth_by_class_and_second() -> None:
-    day = Played().served(1, 1 * S, LOOK).served(2, 2 * S, BOOK)
-    day.taken(3, 3 * S, BOOK).answered(3, 3 * S + MS, status=503)
-    late = day.taken(4, 4 * S, LOOK).attempt(4, 4 * S)
-    day.answered(4, 4 * S + 500 * MS, attempt=late)
-    told = compute_account([*day.events, log.RunFinished(at_us=20 * S)])
-    assert told.client_requests == 4
-    assert told.by_class == {"look": pytest.approx(0.6), "book": pytest.approx(0.5), "amend": 1.0}
-    assert told.served_fraction == pytest.approx((1 + 3 + 0.2) / 8)
-    assert told.by_second[1:5] == [1.0, 1.0, 0.0, pytest.approx(0.2)]
-    assert told.rejected_fraction == pytest.approx(0.25) and told.failed_fraction == 0
+def test_account_counts_value_by_class_and_second() -> None:
+    run_log = RunLog().serve(1, 1 * S, LOOK).serve(2, 2 * S, BOOK)
+    run_log.send(3, 3 * S, BOOK).respond(3, 3 * S + MS, status=503)
+    late = run_log.send(4, 4 * S, LOOK).attempt(4, 4 * S)
+    run_log.respond(4, 4 * S + 500 * MS, attempt=late)
+    account = compute_account([*run_log.events, log.RunFinished(at_us=20 * S)])
+    assert account.client_requests == 4
+    assert account.by_class == {"look": pytest.approx(0.6), "book": pytest.approx(0.5), "amend": 1.0}
+    assert account.served_fraction == pytest.approx((1 + 3 + 0.2) / 8)
+    assert account.by_second[1:5] == [1.0, 1.0, 0.0, pytest.approx(0.2)]
+    assert account.rejected_fraction == pytest.approx(0.25) and account.failed_fraction == 0
 
 
-def test_a_retry_belongs_to_its_first_try() -> None:
-    day = Played().taken(1, 1 * S).answered(1, 1 * S + 10 * MS, status=503)
-    again = day.taken(2, 1 * S + 100 * MS, first=1).attempt(2, 1 * S + 110 * MS)
-    day.answered(2, 1 * S + 130 * MS, attempt=again)
-    told = compute_account([*day.events, log.RunFinished(at_us=20 * S)])
-    assert (told.client_requests, told.served_fraction) == (1, 1.0)
+def test_client_retry_belongs_to_its_client_request() -> None:
+    run_log = RunLog().send(1, 1 * S).respond(1, 1 * S + 10 * MS, status=503)
+    retry = run_log.send(2, 1 * S + 100 * MS, client_request=1).attempt(2, 1 * S + 110 * MS)
+    run_log.respond(2, 1 * S + 130 * MS, attempt=retry)
+    account = compute_account([*run_log.events, log.RunFinished(at_us=20 * S)])
+    assert (account.client_requests, account.served_fraction) == (1, 1.0)
 
 
-def test_recovery_is_counted_from_the_end_of_the_trouble() -> None:
-    day = Played()
+def test_recovery_time_starts_at_the_end_of_the_fault() -> None:
+    run_log = RunLog()
     for second in range(20):
         if 3 <= second < 8:
-            day.taken(second, second * S).answered(second, second * S + MS, status=503)
+            run_log.send(second, second * S).respond(second, second * S + MS, status=503)
         else:
-            day.served(second, second * S)
-    told = compute_account([*day.events, log.RunFinished(at_us=20 * S)])
-    assert told.recovery_s == [(0, "crash", 3.0)]
+            run_log.serve(second, second * S)
+    account = compute_account([*run_log.events, log.RunFinished(at_us=20 * S)])
+    assert account.recovery_s == [(0, "crash", 3.0)]
 
 
-def test_parts_are_put_together_by_time_and_a_torn_line_is_left_out(tmp_path: Path) -> None:
+def test_parts_are_merged_by_time_without_an_incomplete_line(tmp_path: Path) -> None:
     first, second = tmp_path / "part-a.jsonl", tmp_path / "part-b.jsonl"
     with log.EventLogWriter(first) as writer:
         writer.write(log.RunStarted(at_us=0, run=checked_run(), engine="model"))
@@ -354,12 +387,14 @@
         writer.write(log.WriterLate(at_us=20, writer="y", late_us=1))
     with second.open("ab") as file:
         file.write(b'{"is":"late","at":4')
-    whole = log.merge_parts(tmp_path)
-    assert [each.at_us for each in log.load(whole)] == [0, 20, 30] and log.load(tmp_path) == log.load(whole)
-    assert list(tmp_path.iterdir()) == [whole]
+    merged = log.merge_parts(tmp_path)
+    assert [event.at_us for event in log.load(merged)] == [0, 20, 30] and log.load(tmp_path) == log.load(
+        merged
+    )
+    assert list(tmp_path.iterdir()) == [merged]
 
 
-def test_a_line_that_is_no_event_is_named(tmp_path: Path) -> None:
+def test_line_that_is_no_event_is_named_in_the_error(tmp_path: Path) -> None:
     path = tmp_path / "log.jsonl"
     path.write_text('{"is":"late","at":4,"who":"x","by":1}\nnonsense\n{"is":"finished","at":9}\n')
     with pytest.raises(log.EventLogError, match="line 2"):
