--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -388,9 +388,8 @@
     with second.open("ab") as file:
         file.write(b'{"is":"late","at":4')
     merged = log.merge_parts(tmp_path)
-    assert [event.at_us for event in log.load(merged)] == [0, 20, 30] and log.load(tmp_path) == log.load(
-        merged
-    )
+    assert [event.at_us for event in log.load(merged)] == [0, 20, 30]
+    assert log.load(tmp_path) == log.load(merged)
     assert list(tmp_path.iterdir()) == [merged]
 
 
--- a/tests/test_testbed_models.py
+++ b/tests/test_testbed_models.py
@@ -138,7 +138,8 @@
     forward, reverse = links.between("copy:0", "copy:1"), links.between("copy:1", "copy:0")
     assert forward.is_cut(1 * S) and not forward.is_cut(3 * S) and not reverse.is_cut(2 * S)
     assert forward.arrival(2 * S) == 3 * S + 7_000 and reverse.arrival(2 * S) == 2 * S + 7_000
-    assert forward.arrivals(2 * S, (0.9, 0.9, 0.9)) == [] and len(reverse.arrivals(2 * S, (0.9, 0.9, 0.9))) == 1
+    assert forward.arrivals(2 * S, (0.9, 0.9, 0.9)) == []
+    assert len(reverse.arrivals(2 * S, (0.9, 0.9, 0.9))) == 1
 
 
 def test_held_datagrams_arrive_when_the_hold_ends() -> None:
