--- a/tests/oracle.py
+++ b/tests/oracle.py
@@ -1,8 +1,8 @@
-"""Compares the codec with h11: both read the same bytes, in one piece and in several.
+"""Compares the HTTP codec with h11: both read the same bytes, in one piece and in several.
 
-Verdicts hold what matters here: whether a message was accepted, with which body, and whether more followed.
-Where they differ, the codec must be the stricter one, for a reason listed in `STRICTER`; what it accepts and
-h11 rejects would be listed in `MORE_LENIENT`.
+A `ReadResult` holds what is compared: whether a message was accepted, its content, and whether data followed.
+Where the results differ, the codec must be the stricter parser, for a reason listed in `STRICTER`.  A message
+that the codec accepts and h11 rejects needs a reason in `MORE_LENIENT`.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
+class ReadResult:
     """The result of reading some bytes."""
 
     is_rejected: bool = False
@@ -34,19 +34,19 @@
     headers: tuple[tuple[bytes, bytes], ...] = ()
     body: bytes = b""
     is_complete: bool = False
-    is_reusable: bool = False  # nothing more came, and a further message may
+    is_reusable: bool = False  # no data followed, and another message may
 
 
-REJECTED = Verdict(is_rejected=True)
+REJECTED = ReadResult(is_rejected=True)
 
 
 def _normalized(headers: Iterable[tuple[bytes, bytes]]) -> tuple[tuple[bytes, bytes], ...]:
-    """Return headers as h11 does: it writes a transfer coding in lower case."""
+    """Return headers with the transfer coding in lower case, as h11 returns them."""
     return tuple((name, value.lower() if name == b"transfer-encoding" else value) for name, value in headers)
 
 
-def read_by_codec(parts: Iterable[bytes], *, is_request: bool) -> Verdict:
-    """Read bytes that arrive in these parts by the codec, up to the end of one message."""
+def read_by_codec(parts: Iterable[bytes], *, is_request: bool) -> ReadResult:
+    """Read one message with the codec from bytes that arrive in these parts."""
     reader: RequestReader | ResponseReader = RequestReader() if is_request else ResponseReader()
     first: tuple[bytes, ...] = ()
     headers: tuple[tuple[bytes, bytes], ...] = ()
@@ -66,13 +66,13 @@
                     is_complete = True
     except MalformedMessageError:
         return REJECTED
-    return Verdict(
+    return ReadResult(
         False, first, headers, body, is_complete, reader.is_reusable and not reader.has_trailing_data
     )
 
 
-def read_by_h11(raw: bytes, *, is_request: bool) -> Verdict:
-    """Read the same bytes by h11."""
+def read_by_h11(raw: bytes, *, is_request: bool) -> ReadResult:
+    """Read one message with h11."""
     reader = h11.Connection(h11.SERVER if is_request else h11.CLIENT)
     if not is_request:
         reader.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
@@ -96,20 +96,20 @@
     except h11.RemoteProtocolError:
         return REJECTED
     is_reusable = reader.their_state in _COMPLETE_STATES and not reader.trailing_data[0]
-    return Verdict(False, first, headers, body, is_complete, is_reusable)
+    return ReadResult(False, first, headers, body, is_complete, is_reusable)
 
 
 def cuts(raw: bytes) -> Iterable[list[bytes]]:
-    """Yield the bytes in one piece, cut in two at every place, and one by one."""
+    """Yield the bytes in one piece, cut in two at every position, and as single bytes."""
     yield [raw]
-    for at in range(1, len(raw)):
-        yield [raw[:at], raw[at:]]
-    yield [raw[at : at + 1] for at in range(len(raw))]
+    for position in range(1, len(raw)):
+        yield [raw[:position], raw[position:]]
+    yield [raw[position : position + 1] for position in range(len(raw))]
 
 
 @dataclass(frozen=True)
 class Reason:
-    """Why the codec rejects what h11 accepts: a pattern of such bytes, and one example."""
+    """Why the codec and h11 differ: a pattern of the messages concerned, and one example."""
 
     pattern: re.Pattern[bytes]
     example: bytes
@@ -123,74 +123,79 @@
     return Reason(re.compile(pattern, re.DOTALL), example, is_request)
 
 
-def _get(fields: bytes = b"", first: bytes = b"GET / HTTP/1.1") -> bytes:
-    return first + b"\r\nHost: x\r\n" + fields + b"\r\n"
+def _request(fields: bytes = b"", first_line: bytes = b"GET / HTTP/1.1") -> bytes:
+    return first_line + b"\r\nHost: x\r\n" + fields + b"\r\n"
 
 
 def _chunked(body: bytes) -> bytes:
-    return _get(b"Transfer-Encoding: chunked\r\n", b"POST / HTTP/1.1") + body
+    return _request(b"Transfer-Encoding: chunked\r\n", b"POST / HTTP/1.1") + body
 
 
 _METHODS = rb"DELETE|GET|HEAD|POST|PUT|OPTIONS|TRACE|PATCH"
 
-# What h11 accepts and the codec rejects.
+# The rules of the codec by which it rejects messages that h11 accepts.
 STRICTER = {
-    "a bare LF ends no line: others may see one line there": _reason(rb"(?<!\r)\n", _get(b"A: b\n")),
-    "a folded line is one line to some and two to others": _reason(rb"\r\n[ \t]", _get(b"A: b\r\n c\r\n")),
-    "control characters have no business in a field": _reason(
-        rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]", _get(b"A: \x01\r\n")
+    "a bare LF does not end a line, as other parsers may not accept it as a line end": _reason(
+        rb"(?<!\r)\n", _request(b"A: b\n")
     ),
-    "no versions but 1.0 and 1.1 are spoken": _reason(rb"HTTP/(?!1\.[01])", _get(first=b"GET / HTTP/1.2")),
-    "CONNECT, and what llhttp does not know, is the method of no class": _reason(
-        rb"\A(?!(" + _METHODS + rb") )", _get(first=b"get / HTTP/1.1")
+    "a line is not folded, as parsers may read it as one line or as two": _reason(
+        rb"\r\n[ \t]", _request(b"A: b\r\n c\r\n")
     ),
-    "a target is a path or an address": _reason(rb"\A[A-Z]+ [^/]", _get(first=b"GET x HTTP/1.1")),
-    "a length stands once and is no list": _reason(
+    "a field has no control characters": _reason(
+        rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]", _request(b"A: \x01\r\n")
+    ),
+    "the version is 1.0 or 1.1": _reason(rb"HTTP/(?!1\.[01])", _request(first_line=b"GET / HTTP/1.2")),
+    "the method is known to llhttp and not CONNECT, which no service class uses": _reason(
+        rb"\A(?!(" + _METHODS + rb") )", _request(first_line=b"get / HTTP/1.1")
+    ),
+    "a target is a path or a URL": _reason(rb"\A[A-Z]+ [^/]", _request(first_line=b"GET x HTTP/1.1")),
+    "a content-length occurs once and is not a list": _reason(
         rb"(?i)content-length:[^\r]*(,|\r\n.*content-length:)",
-        _get(b"Content-Length: 0\r\nContent-Length: 0\r\n"),
+        _request(b"Content-Length: 0\r\nContent-Length: 0\r\n"),
     ),
-    "a length of over 18 digits is too long": _reason(
-        rb"(?i)content-length:[^\r]*[0-9]{19}", _get(b"Content-Length: 9999999999999999999\r\n")
+    "a content-length has at most 18 digits": _reason(
+        rb"(?i)content-length:[^\r]*[0-9]{19}", _request(b"Content-Length: 9999999999999999999\r\n")
     ),
-    "a transfer coding beside a length gives a body two ends": _reason(
+    "a body with a content-length has no transfer coding, as its end would be ambiguous": _reason(
         rb"(?i)transfer-encoding:.*content-length:|content-length:.*transfer-encoding:",
-        _get(b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n"),
+        _request(b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n"),
     ),
-    "HTTP/1.0 knows no transfer coding": _reason(
-        rb"(?i)HTTP/1\.0.*transfer-encoding:", _get(b"Transfer-Encoding: chunked\r\n", b"POST / HTTP/1.0")
+    "HTTP/1.0 has no transfer coding": _reason(
+        rb"(?i)HTTP/1\.0.*transfer-encoding:", _request(b"Transfer-Encoding: chunked\r\n", b"POST / HTTP/1.0")
     ),
-    "white space behind a size is none of it": _reason(
+    "a chunk size is not followed by white space": _reason(
         rb"\n[0-9a-fA-F]+[ \t]", _chunked(b"5 \r\nhello\r\n0\r\n\r\n")
     ),
-    "an extension is a name, or a name with a token or a text": _reason(
+    "a chunk extension is a name, or a name with a token or a quoted string": _reason(
         rb"\n[0-9a-fA-F]+;", _chunked(b"5; \r\nhello\r\n0\r\n\r\n")
     ),
-    "a size over 64 bits is none": _reason(
+    "a chunk size fits into 64 bits": _reason(
         rb"\n[0-9a-fA-F]{17}", _chunked(b"10000000000000005\r\nhello\r\n")
     ),
-    "a trailer frames nothing": _reason(
+    "a trailer has no framing headers": _reason(
         rb"(?i)\n0+\r\n.*(content-length|transfer-encoding)",
         _chunked(b"0\r\nContent-Length: 3\r\n\r\n"),
     ),
 }
 
-# What h11 rejects and the codec accepts.
+# The reasons why the codec accepts messages that h11 rejects.
 MORE_LENIENT: dict[str, Reason] = {}
 
 
 def disagreement(raw: bytes, *, is_request: bool) -> str | None:
-    """Describe an unexpected difference between the two on these bytes; None if there is none."""
-    own, other = read_by_codec([raw], is_request=is_request), read_by_h11(raw, is_request=is_request)
-    if own == other:
+    """Describe an unexpected difference between the codec and h11 on these bytes; None without one."""
+    codec_result = read_by_codec([raw], is_request=is_request)
+    h11_result = read_by_h11(raw, is_request=is_request)
+    if codec_result == h11_result:
         return None
-    if own.is_rejected and not other.is_rejected:
-        if not other.is_complete and read_by_h11(raw + b"\r\n", is_request=is_request).is_rejected:
-            return None  # h11 waits for the line's end before it says the same
+    if codec_result.is_rejected and not h11_result.is_rejected:
+        if not h11_result.is_complete and read_by_h11(raw + b"\r\n", is_request=is_request).is_rejected:
+            return None  # h11 rejects it too, once the line is complete
         is_expected = any(reason.covers(raw) for reason in STRICTER.values())
-        return None if is_expected else f"h11 accepts it as {other}"
-    if other.is_rejected and not own.is_rejected:
-        if not own.is_complete and not own.first:
-            return None  # it waits for the rest of a head; the client's time to send it is bounded
+        return None if is_expected else f"rejected by the codec, read by h11 as {h11_result}"
+    if h11_result.is_rejected and not codec_result.is_rejected:
+        if not codec_result.is_complete and not codec_result.first:
+            return None  # the codec waits for the rest of the head, which has a timeout
         is_expected = any(reason.covers(raw) for reason in MORE_LENIENT.values())
-        return None if is_expected else f"h11 rejects it, accepted as {own}"
-    return f"h11 has {other}, not {own}"
+        return None if is_expected else f"rejected by h11, read by the codec as {codec_result}"
+    return f"read by h11 as {h11_result}, by the codec as {codec_result}"
--- a/tests/simulated_parts.py
+++ b/tests/simulated_parts.py
@@ -1,4 +1,4 @@
-"""What the simulation of the reference runs holds: servers, requests, attempts and instances."""
+"""The state of a simulated reference run: servers, requests, attempts and sidecar instances."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class SimulatedServer:
-    """A server: how it works, and what service discovery says of it."""
+    """A server: its performance, its faults and its entry in the endpoint list."""
 
     name: str
     zone: str
@@ -27,12 +27,12 @@
     started_at: int | None = None
     is_up: bool = True
     is_reachable: bool = True
-    behaviour: str = "normal"  # or the verdict it gives instead of an answer, or "silent"
-    slowness: float = 1.0
-    idle_dies_us: int = FOREVER_US
+    behaviour: str = "normal"  # or the outcome of its attempts ("app_error" etc.), or "silent"
+    latency_factor: float = 1.0
+    idle_timeout_us: int = FOREVER_US  # after which it ignores requests on an idle connection
     in_flight: int = 0
 
-    def listed(self) -> Message:
+    def list_entry(self) -> Message:
         return [self.name, self.zone, "box", self.cell, self.state, self.nominal, self.started_at]
 
 
@@ -42,36 +42,36 @@
 
     server: SimulatedServer
     sent_at: int
-    until: int
+    timeout_at: int
     is_pending: bool = True
     is_started: bool = False
 
 
 @dataclass
 class SimulatedRequest:
-    """A client's request at one instance."""
+    """A client's request to one sidecar instance."""
 
     number: int
-    kind: dict[str, Any]
+    service_class: dict[str, Any]  # its settings
     work_us: int
     arrived_at: int
     deadline: int
-    arriving: bool
-    is_answered: bool = False
+    is_body_arriving: bool
+    is_settled: bool = False
     attempts: list[SimulatedAttempt] = field(default_factory=list)
 
 
 @dataclass
 class SimulatedInstance:
-    """One balancer's surroundings: its requests, connections and subscription."""
+    """One sidecar instance: its requests, idle connections and subscription to endpoint lists."""
 
     number: int
-    life: int = 0
+    incarnation: int = 0  # the number of its process, from 1
     is_running: bool = False
     is_subscribed: bool = False
     requests: dict[int, SimulatedRequest] = field(default_factory=dict)
     idle_since: dict[str, int] = field(default_factory=dict)
 
     @property
-    def who(self) -> str:
+    def name(self) -> str:
         return f"sidecar-{self.number}"
--- a/tests/test_http_codec.py
+++ b/tests/test_http_codec.py
@@ -1,4 +1,4 @@
-"""The codec's own cases: what each kind of broken message gets, and its bounds."""
+"""Malformed messages and the statuses that they get, limits, framing and trailing data in the HTTP codec."""
 
 from __future__ import annotations
 
@@ -21,16 +21,17 @@
 CHUNKED = b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def refusal(raw: bytes) -> tuple[str, int]:
+def rejection(raw: bytes) -> tuple[str, int]:
+    """Read a request that the codec must reject; return the reason and the status."""
     reader = RequestReader()
 
-    def read_to_the_end() -> None:
+    def read_all() -> None:
         reader.receive(raw)
         while reader.next_event() not in (Signal.NEED_DATA, Signal.PAUSED):
             pass
 
     with pytest.raises(MalformedMessageError) as caught:
-        read_to_the_end()
+        read_all()
     return str(caught.value), caught.value.status
 
 
@@ -49,10 +50,10 @@
 }
 
 
-@pytest.mark.parametrize("rule", [each.name for each in HEAD_RULES])
+@pytest.mark.parametrize("rule", [rule.name for rule in HEAD_RULES])
 def test_head_rule_rejects_its_example(rule: str) -> None:
     raw, status = CASES[rule]
-    assert refusal(raw) == (rule, status)
+    assert rejection(raw) == (rule, status)
 
 
 FRAMED = b"POST / HTTP/1.1\r\nHost: x\r\n%b\r\n\r\n"
@@ -81,7 +82,7 @@
     ],
 )
 def test_ambiguous_framing_is_rejected(fields: bytes, status: int) -> None:
-    assert refusal(FRAMED % fields)[1] == status
+    assert rejection(FRAMED % fields)[1] == status
 
 
 @pytest.mark.parametrize(
@@ -101,27 +102,27 @@
     ],
 )
 def test_malformed_chunks_are_rejected(body: bytes) -> None:
-    assert refusal(CHUNKED + body)[1] == 400
+    assert rejection(CHUNKED + body)[1] == 400
 
 
 def test_head_is_limited_in_length_and_number_of_fields() -> None:
     long = b"GET / HTTP/1.1\r\nHost: x\r\nA: " + b"a" * MAX_HEAD_BYTES
-    assert refusal(long)[1] == 431
-    assert refusal(long + b"\r\n\r\n")[1] == 431
+    assert rejection(long)[1] == 431
+    assert rejection(long + b"\r\n\r\n")[1] == 431
     many = b"GET / HTTP/1.1\r\nHost: x\r\n" + b"a:\r\n" * MAX_FIELDS + b"\r\n"
-    assert refusal(many)[1] == 431
+    assert rejection(many)[1] == 431
 
 
 @pytest.mark.parametrize(
-    "endless", [b"5;" + b"a" * 100, b"0\r\n" + b"A: b\r\n" * 20], ids=["an extension", "trailers"]
+    "framing", [b"5;" + b"a" * 100, b"0\r\n" + b"A: b\r\n" * 20], ids=["an extension", "trailers"]
 )
-def test_chunk_framing_is_limited(endless: bytes) -> None:
-    # Guards against a body that never ends and never grows: each of its bytes would cost time for nothing.
+def test_chunk_framing_is_limited(framing: bytes) -> None:
+    # Guards against a body without data that never ends: its framing would use processing time forever.
     reader = RequestReader()
-    reader.receive(CHUNKED + endless)
+    reader.receive(CHUNKED + framing)
     head = reader.next_event()
     assert isinstance(head, RequestHead) and head.length is None
-    more = b"a" * 100 if endless.startswith(b"5") else b"A: b\r\n" * 16
+    more = b"a" * 100 if framing.startswith(b"5") else b"A: b\r\n" * 16
 
     def read_past_the_limit() -> None:
         for _ in range(MAX_FRAMING_BYTES // len(more) + 2):
@@ -142,14 +143,14 @@
 
 
 @pytest.mark.parametrize("tail", [b"\r", b"\n", b"\r\n", b"G", b"\r\n\r\n", b"GET / HTTP/1.1\r\n\r\n", b"\0"])
-@pytest.mark.parametrize("cut", range(-6, 1))
-def test_trailing_data_after_chunked_body_is_noticed(tail: bytes, cut: int) -> None:
-    # Guards against smuggling: llhttp skips line ends between messages, and begins the next one unasked.
-    whole = CHUNKED + b"1\r\nx\r\n0\r\n\r\n"
-    at = len(whole) + cut
+@pytest.mark.parametrize("split_offset", range(-6, 1))
+def test_trailing_data_after_chunked_body_is_detected(tail: bytes, split_offset: int) -> None:
+    # Guards against request smuggling: llhttp skips line ends between messages and parses the next message.
+    message = CHUNKED + b"1\r\nx\r\n0\r\n\r\n"
+    split_at = len(message) + split_offset
     reader = RequestReader()
     events = []
-    for part in (whole[:at], (whole + tail)[at:]):
+    for part in (message[:split_at], (message + tail)[split_at:]):
         reader.receive(part)
         while (event := reader.next_event()) not in (Signal.NEED_DATA, Signal.PAUSED):
             events.append(event)
@@ -180,7 +181,7 @@
         (b"HTTP/1.1 103 Hints\r\nLink: x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", b"ok", True),
     ],
 )
-def test_response_ends_where_its_head_says(raw: bytes, body: bytes, reusable: bool) -> None:
+def test_response_body_ends_as_its_head_declares(raw: bytes, body: bytes, reusable: bool) -> None:
     reader = ResponseReader()
     reader.receive(raw)
     reader.receive_end()
@@ -200,7 +201,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
         b"HTTP/1.1 200 OK\nContent-Length: 0\n\n",
     ],
-    ids=["another protocol", "too many before the final one", "chunks in 1.0", "two lengths", "bare LF"],
+    ids=["switching protocols", "too many interim responses", "chunked HTTP/1.0", "two lengths", "bare LF"],
 )
 def test_malformed_response_is_rejected(raw: bytes) -> None:
     reader = ResponseReader()
@@ -209,15 +210,15 @@
         reader.next_event()
 
 
-def test_written_messages_read_back_unchanged() -> None:
+def test_written_messages_are_read_unchanged() -> None:
     reader = RequestReader()
     reader.receive(request_head(b"POST", b"/a", [(b"host", b"x"), (b"transfer-encoding", b"chunked")]))
     reader.receive(chunk(b"one") + chunk(b"two") + b"0\r\n\r\n")
     head = reader.next_event()
     assert isinstance(head, RequestHead) and (head.method, head.target) == (b"POST", b"/a")
     assert [reader.next_event(), reader.next_event()] == [b"onetwo", Signal.END]
-    answers = ResponseReader()
-    answers.receive(response_head(503, [(b"retry-after", b"0.5"), (b"content-length", b"0")]))
-    answer = answers.next_event()
-    assert isinstance(answer, ResponseHead) and answer.status == 503
-    assert answers.next_event() is Signal.END
+    response_reader = ResponseReader()
+    response_reader.receive(response_head(503, [(b"retry-after", b"0.5"), (b"content-length", b"0")]))
+    response = response_reader.next_event()
+    assert isinstance(response, ResponseHead) and response.status == 503
+    assert response_reader.next_event() is Signal.END
--- a/tests/test_http_oracle.py
+++ b/tests/test_http_oracle.py
@@ -1,4 +1,4 @@
-"""The codec beside h11, on messages made up of good and bad parts."""
+"""Compares the HTTP codec with h11 on messages composed of valid and invalid parts."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     b"\r\nGET / HTTP/1.1\r\n",
     b"PRI * HTTP/2.0\r\n",
 ]
-ANSWERS = [
+RESPONSES = [
     b"HTTP/1.1 200 OK\r\n",
     b"HTTP/1.1 200\r\n",
     b"HTTP/1.1 200 \r\n",
@@ -108,19 +108,24 @@
 ]
 
 
-def message(first: list[bytes]) -> st.SearchStrategy[bytes]:
-    """Good and bad parts in any order, and now and then one byte that is another."""
+def message(first_lines: list[bytes]) -> st.SearchStrategy[bytes]:
+    """Return a strategy for messages of valid and invalid parts in any order, some with one byte changed."""
     fields = st.lists(st.sampled_from(FIELDS), max_size=4).map(b"".join)
-    whole = st.tuples(st.sampled_from(first), fields, st.sampled_from([HOST, b""]), st.sampled_from(BODIES))
-    plain = whole.map(lambda each: each[0] + each[2] + each[1] + b"\r\n" + each[3])
-    changed = st.tuples(plain, st.integers(0, 400), st.integers(0, 255)).map(_changed)
-    return st.one_of(plain, plain, changed)
+    parts = st.tuples(
+        st.sampled_from(first_lines), fields, st.sampled_from([HOST, b""]), st.sampled_from(BODIES)
+    )
+    unchanged = parts.map(lambda part: part[0] + part[2] + part[1] + b"\r\n" + part[3])
+    changed = st.tuples(unchanged, st.integers(0, 400), st.integers(0, 255)).map(_with_byte_changed)
+    return st.one_of(unchanged, unchanged, changed)
 
 
-def _changed(given: tuple[bytes, int, int]) -> bytes:
-    raw, at, byte = given
-    at %= len(raw)
-    return raw[:at] + bytes([byte]) + raw[at + 1 :]
+def _with_byte_changed(change: tuple[bytes, int, int]) -> bytes:
+    raw, position, byte = change
+    position %= len(raw)
+    return raw[:position] + bytes([byte]) + raw[position + 1 :]
+
+
+# `derandomize` seeds the examples by the source of the test function, so a change of its names changes them.
 
 
 @settings(max_examples=1_200, deadline=None, derandomize=True, database=None)
@@ -131,16 +136,16 @@
 
 
 @settings(max_examples=1_200, deadline=None, derandomize=True, database=None)
-@given(message(ANSWERS))
+@given(message(RESPONSES))
 def test_responses_are_read_as_by_h11_or_rejected_for_a_reason(raw: bytes) -> None:
     assert disagreement(raw, is_request=False) is None
 
 
-@pytest.mark.parametrize("is_request", [True, False], ids=["requests", "answers"])
+@pytest.mark.parametrize("is_request", [True, False], ids=["requests", "responses"])
 def test_result_does_not_depend_on_how_bytes_are_cut(is_request: bool) -> None:
-    # Guards against smuggling by pieces: what is refused whole must not pass when it is cut.
+    # Guards against request smuggling: a message that is rejected in one piece must not pass in several.
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
-    @given(message(REQUESTS if is_request else ANSWERS))
+    @given(message(REQUESTS if is_request else RESPONSES))
     def every_cut(raw: bytes) -> None:
         whole = read_by_codec([raw], is_request=is_request)
         for parts in cuts(raw):
@@ -152,8 +157,8 @@
 @pytest.mark.parametrize(
     "reason", [*STRICTER.values(), *MORE_LENIENT.values()], ids=[*STRICTER, *MORE_LENIENT]
 )
-def test_reason_to_differ_from_h11_covers_its_example(reason: Reason) -> None:
-    own = read_by_codec([reason.example], is_request=reason.is_request)
-    other = read_by_h11(reason.example, is_request=reason.is_request)
+def test_reason_for_a_difference_from_h11_covers_its_example(reason: Reason) -> None:
+    codec_result = read_by_codec([reason.example], is_request=reason.is_request)
+    h11_result = read_by_h11(reason.example, is_request=reason.is_request)
     assert reason.covers(reason.example)
-    assert own.is_rejected != other.is_rejected
+    assert codec_result.is_rejected != h11_result.is_rejected
