--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -1,4 +1,4 @@
-"""Streamed request bodies: buffering, backpressure, and how they end, over loopback sockets."""
+"""Streamed request bodies over loopback sockets: buffering, backpressure, completion and failure."""
 
 from __future__ import annotations
 
@@ -6,14 +6,26 @@
 from typing import Any
 
 import pytest
-from loopback import HOST, LONG_BODY, OK, line, play, read_chunks, read_head, request, soon, stage, until
-from loopback import Stage as Scene
+from loopback import (
+    HOST,
+    LONG_BODY,
+    OK,
+    Stage,
+    line,
+    play,
+    read_chunks,
+    read_head,
+    request,
+    soon,
+    stage,
+    until,
+)
 
 from sidecar.downstream import flow_control
 from sidecar.downstream.body_streaming import Upload
 
 
-class _Outlet:
+class _Sink:
     def __init__(self) -> None:
         self.body, self.is_open, self.is_ended = b"", True, False
 
@@ -25,45 +37,45 @@
         self.is_ended = True
 
 
-def test_upload_buffers_its_beginning_and_pauses_its_client() -> None:
-    told: list[str] = []
-    upload = Upload(None, lambda: told.append("hold"), lambda: told.append("go on"))
+def test_upload_buffers_its_beginning_and_pauses_reading_from_client() -> None:
+    calls: list[str] = []
+    upload = Upload(None, lambda: calls.append("pause"), lambda: calls.append("resume"))
     upload.feed(b"a" * 60_000)
-    assert told == [] and not upload.is_consumed
+    assert calls == [] and not upload.is_consumed
     upload.feed(b"b" * 60_000)
-    assert told == ["hold"]
-    outlet = _Outlet()
-    upload.attach(outlet)
-    assert told == ["hold", "go on"] and upload.is_consumed
-    outlet.is_open = False
+    assert calls == ["pause"]
+    sink = _Sink()
+    upload.attach(sink)
+    assert calls == ["pause", "resume"] and upload.is_consumed
+    sink.is_open = False
     upload.feed(b"c")
     upload.end()
-    assert told[-1] == "hold"
-    assert (len(outlet.body), outlet.body[-1:], outlet.is_ended) == (120_001, b"c", True)
+    assert calls[-1] == "pause"
+    assert (len(sink.body), sink.body[-1:], sink.is_ended) == (120_001, b"c", True)
 
 
 def test_request_is_not_pending_while_its_body_arrives() -> None:
     async def work() -> None:
-        taker = Taker()
-        server = await taker.start()
+        server = UploadServer()
+        listener = await server.start()
         async with stage(listed=False) as scene:
-            await list_only(scene, f"{HOST}:{server.sockets[0].getsockname()[1]}")
+            await list_server(scene, f"{HOST}:{listener.sockets[0].getsockname()[1]}")
             sender = await scene.client()
             sender.send(request("lodge", body=LONG_BODY)[:-1])
-            await until(lambda: taker.begun == 1)
+            await until(lambda: server.requests == 1)
             assert scene.sidecar.administration.metrics()["pending"] == 0
             sender.send(LONG_BODY[-1:])
             assert (await sender.answer()).status == 200
-        server.close()
+        listener.close()
 
     play(work)
 
 
-class Taker:
-    """A server that takes long bodies: what it read, whole or not."""
+class UploadServer:
+    """A server that receives long bodies; it keeps those that arrive completely, and counts requests."""
 
-    def __init__(self, answer: bytes = OK) -> None:
-        self.answer, self.bodies, self.begun = answer, list[bytes](), 0
+    def __init__(self, response: bytes = OK) -> None:
+        self.response, self.bodies, self.requests = response, list[bytes](), 0
         self.may_read = asyncio.Event()
         self.may_read.set()
 
@@ -74,131 +86,137 @@
         try:
             while True:
                 _, headers = await read_head(reader)
-                self.begun += 1
+                self.requests += 1
                 await self.may_read.wait()
                 if "content-length" in headers:
                     body = await reader.readexactly(int(headers["content-length"]))
                 else:
                     body = await read_chunks(reader)
                 self.bodies.append(body)
-                writer.write(self.answer)
+                writer.write(self.response)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
             writer.close()
 
 
-def upload_of(body: bytes, form: str) -> bytes:
-    if form == "length":
+def upload_request(body: bytes, framing: str) -> bytes:
+    if framing == "length":
         return request("lodge", body=body)
     head = request("lodge", Content_Length="", Transfer_Encoding="chunked", Trailer="t")
-    pieces = (body[at : at + 30_000] for at in range(0, len(body), 30_000))
-    return head + b"".join(b"%x;e=1\r\n%s\r\n" % (len(each), each) for each in pieces) + b"0\r\nt: 1\r\n\r\n"
+    pieces = (body[start : start + 30_000] for start in range(0, len(body), 30_000))
+    return (
+        head + b"".join(b"%x;e=1\r\n%s\r\n" % (len(piece), piece) for piece in pieces) + b"0\r\nt: 1\r\n\r\n"
+    )
 
 
-@pytest.mark.parametrize("form", ["length", "chunks"])
-def test_long_body_is_forwarded_completely_and_connection_is_reused(form: str) -> None:
+@pytest.mark.parametrize("framing", ["length", "chunks"])
+def test_long_body_is_forwarded_completely_and_connection_is_reused(framing: str) -> None:
     async def work() -> None:
-        taker = Taker()
-        server = await taker.start()
-        address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
+        server = UploadServer()
+        listener = await server.start()
+        address = f"{HOST}:{listener.sockets[0].getsockname()[1]}"
         async with stage(listed=False, console=True) as scene:
-            await list_only(scene, address)
+            await list_server(scene, address)
             client = await scene.client()
             for _ in range(2):
-                client.send(upload_of(LONG_BODY, form))
+                client.send(upload_request(LONG_BODY, framing))
                 assert (await client.answer()).status == 200
-            assert taker.bodies == [LONG_BODY, LONG_BODY]
-            figures = await scene.figures()
-            assert figures["downstream_requests"]["lodge"]["completed"] == 2
-            assert figures["upstream_requests"] == 2
-        server.close()
+            assert server.bodies == [LONG_BODY, LONG_BODY]
+            metrics = await scene.figures()
+            assert metrics["downstream_requests"]["lodge"]["completed"] == 2
+            assert metrics["upstream_requests"] == 2
+        listener.close()
 
     play(work)
 
 
-async def list_only(scene: Scene, address: str) -> None:
+async def list_server(scene: Stage, address: str) -> None:
     scene.discovery.tell(line("s-0", address))
     await until(lambda: scene.sidecar.administration.metrics()["members"] == 1)
 
 
 def test_server_that_stops_reading_pauses_client() -> None:
     async def work() -> None:
-        taker = Taker()
-        taker.may_read.clear()
-        server = await taker.start()
-        address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
+        server = UploadServer()
+        server.may_read.clear()
+        listener = await server.start()
+        address = f"{HOST}:{listener.sockets[0].getsockname()[1]}"
         body = bytes(24 << 20)
         async with stage(listed=False) as scene:
-            await list_only(scene, address)
+            await list_server(scene, address)
             client = await scene.client()
-            client.send(upload_of(body, "length"))
-            sides = scene.sidecar.downstream._connections
-            await until(lambda: any(side.receive_progress.paused_since is not None for side in sides))
+            client.send(upload_request(body, "length"))
+            connections = scene.sidecar.downstream._connections
+            await until(
+                lambda: any(
+                    connection.receive_progress.paused_since is not None for connection in connections
+                )
+            )
             scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 15.0)
-            taker.may_read.set()  # the time that it was held back is not the client's
+            server.may_read.set()  # a pause by the server does not count as the client's time
             assert (await client.answer()).status == 200
-            assert taker.bodies == [body]
-        server.close()
+            assert server.bodies == [body]
+        listener.close()
 
     play(work)
 
 
-@pytest.mark.parametrize("end", ["silence", "leaving", "broken chunk", "more than one request"])
-def test_incomplete_long_body_never_runs(end: str) -> None:
+@pytest.mark.parametrize("failure", ["timeout", "disconnect", "malformed chunk", "pipelined request"])
+def test_incomplete_long_body_is_never_executed(failure: str) -> None:
     async def work() -> None:
-        taker = Taker()
-        server = await taker.start()
-        address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
+        server = UploadServer()
+        listener = await server.start()
+        address = f"{HOST}:{listener.sockets[0].getsockname()[1]}"
         async with stage(listed=False) as scene:
-            await list_only(scene, address)
+            await list_server(scene, address)
             client = await scene.client()
             head = request("lodge", Content_Length="", Transfer_Encoding="chunked")
             client.send(head + b"%x\r\n%s\r\n" % (100_000, bytes(100_000)))
-            await until(lambda: taker.begun == 1)
-            if end == "silence":
+            await until(lambda: server.requests == 1)
+            if failure == "timeout":
                 scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 5.0)
                 assert (await client.answer()).status == 408
-            elif end == "leaving":
+            elif failure == "disconnect":
                 client.close()
-            elif end == "broken chunk":
+            elif failure == "malformed chunk":
                 client.send(b"zz\r\n")
                 assert (await client.answer()).status == 400
             else:
                 client.send(b"0\r\n\r\n" + request("lodge"))
                 assert (await client.answer()).status == 400
             await until(lambda: scene.sidecar.open_requests == 0)
-            assert taker.bodies == [] or end == "more than one request"
-            assert len(taker.bodies) <= 1
-        server.close()
+            assert server.bodies == [] or failure == "pipelined request"
+            assert len(server.bodies) <= 1
+        listener.close()
 
     play(work)
 
 
 def test_expect_100_continue_is_answered() -> None:
     async def work() -> None:
-        taker = Taker()
-        server = await taker.start()
-        address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
+        server = UploadServer()
+        listener = await server.start()
+        address = f"{HOST}:{listener.sockets[0].getsockname()[1]}"
         async with stage(listed=False) as scene:
-            await list_only(scene, address)
+            await list_server(scene, address)
             client = await scene.client()
             client.send(request("lodge", Content_Length=str(len(LONG_BODY)), Expect="100-continue"))
             assert (await soon(client.reader.readuntil(b"\r\n\r\n"))).startswith(b"HTTP/1.1 100 ")
             client.send(LONG_BODY)
-            assert (await client.answer()).status == 200 and taker.bodies == [LONG_BODY]
-        server.close()
+            assert (await client.answer()).status == 200 and server.bodies == [LONG_BODY]
+        listener.close()
 
     play(work)
 
 
-def test_long_request_without_servers_is_rejected_before_its_body_arrives() -> None:
+def test_long_request_without_servers_is_rejected_before_its_body_is_complete() -> None:
     async def work() -> None:
         async with stage(listed=False) as scene:
             client = await scene.client()
             client.send(request("lodge", Content_Length=str(len(LONG_BODY))) + bytes(70_000))
-            answer = await client.answer()
-            assert (answer.status, answer.headers["connection"]) == (503, "close")
+            response = await client.answer()
+            assert (response.status, response.headers["connection"]) == (503, "close")
 
     play(work)
 
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -1,4 +1,4 @@
-"""How connections of clients end, and what may cross that end."""
+"""Closing client connections, and data that arrives at the same time."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from sidecar.downstream.connection_state import TRANSITIONS, ConnectionState
 
 
-class Raw:
-    """A client's bare socket: no event loop reads from it, or ends it, of its own accord."""
+class RawClient:
+    """A client's socket without a transport, so that only the test reads from it and closes it."""
 
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection((HOST, port))
@@ -29,11 +29,11 @@
         assert self.socket.send(data) == len(data)
 
     async def read_all(self) -> bytes:
-        """What comes until the other side ends; raise ConnectionResetError if it was cut."""
-        whole = b""
+        """Read to the end of the stream; raise ConnectionResetError if the connection was reset."""
+        received = b""
         while piece := await soon(self._loop.sock_recv(self.socket, 65_536)):
-            whole += piece
-        return whole
+            received += piece
+        return received
 
     def is_reset(self) -> bool:
         return self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0
@@ -42,13 +42,12 @@
         self.socket.close()
 
 
-def states(scene: Stage) -> list[ConnectionState]:
-    """The states of all client connections."""
+def connection_states(scene: Stage) -> list[ConnectionState]:
     return [connection.state for connection in scene.sidecar.downstream._connections]
 
 
-async def a_round_trip(scene: Stage) -> None:
-    """By its end the event loop has seen all that was sent before."""
+async def process_sent_data(scene: Stage) -> None:
+    """Run the event loop until it has processed all data that was sent before."""
     _, writer = await asyncio.open_connection(HOST, scene.servers[0].address.rpartition(":")[2])
     writer.close()
     for _ in range(20):
@@ -56,171 +55,162 @@
     await asyncio.sleep(0.02)
 
 
-@pytest.mark.parametrize("why", ["asked for", "http 1.0", "drained", "refused", "more beside it"])
-def test_bytes_that_cross_the_last_response_do_not_truncate_it(why: str) -> None:
-    # Guards against a close over unread bytes: it resets the connection, and the answer goes with it.
+@pytest.mark.parametrize(
+    "cause", ["connection: close", "HTTP/1.0", "drain", "invalid request", "pipelined request"]
+)
+def test_bytes_that_arrive_with_the_last_response_do_not_truncate_it(cause: str) -> None:
+    # Guards against closing a socket with unread data: that resets the connection, and the response is lost.
     async def work() -> None:
         async def answer(heard: Heard) -> bytes:
-            if why == "drained":
+            if cause == "drain":
                 scene.sidecar.downstream.drain()
             return OK
 
         async with stage(answer) as scene:
-            raw = Raw(scene.sidecar.downstream.port)
-            asked = request("lodge")
-            if why == "asked for":
-                asked = request("lodge", Connection="close")
-            elif why == "http 1.0":
-                asked = asked.replace(b"HTTP/1.1", b"HTTP/1.0")
-            elif why == "refused":
-                asked = request("lodge", Request_Class="unheard-of")
-            elif why == "more beside it":
-                asked += request("lodge")
-            raw.send(asked)
-            whole = await raw.read_all()
-            assert whole.startswith(
-                b"HTTP/1.1 4" if why in ("refused", "more beside it") else b"HTTP/1.1 200"
-            )
+            client = RawClient(scene.sidecar.downstream.port)
+            message = request("lodge")
+            if cause == "connection: close":
+                message = request("lodge", Connection="close")
+            elif cause == "HTTP/1.0":
+                message = message.replace(b"HTTP/1.1", b"HTTP/1.0")
+            elif cause == "invalid request":
+                message = request("lodge", Request_Class="unheard-of")
+            elif cause == "pipelined request":
+                message += request("lodge")
+            client.send(message)
+            response = await client.read_all()
+            is_rejected = cause in ("invalid request", "pipelined request")
+            assert response.startswith(b"HTTP/1.1 4" if is_rejected else b"HTTP/1.1 200")
             (connection,) = scene.sidecar.downstream._connections
             assert connection.state is ConnectionState.LINGERING
             before = len(scene.heard)
             for _ in range(3):
-                raw.send(request("lodge"))
-                await a_round_trip(scene)
-            assert not raw.is_reset() and len(scene.heard) == before
-            raw.close()
+                client.send(request("lodge"))
+                await process_sent_data(scene)
+            assert not client.is_reset() and len(scene.heard) == before
+            client.close()
             await until(lambda: scene.sidecar.downstream.is_empty)
 
     play(work)
 
 
-@pytest.mark.parametrize("why", ["drain", "evacuation", "at rest too long"])
-def test_request_that_crosses_close_of_idle_connection_is_not_forwarded(why: str) -> None:
-    # Guards rule 1: what is read after the shutdown and sent on is lost; the client sends it again elsewhere.
+@pytest.mark.parametrize("cause", ["drain", "evacuation", "idle timeout"])
+def test_request_sent_while_idle_connection_is_closed_is_not_forwarded(cause: str) -> None:
+    # Guards against running a request twice: its client gets no response and sends it again elsewhere.
     async def work() -> None:
         async with stage(OK) as scene:
-            raw = Raw(scene.sidecar.downstream.port)
-            raw.send(request("lodge"))
+            client = RawClient(scene.sidecar.downstream.port)
+            client.send(request("lodge"))
             await until(lambda: len(scene.sidecar.downstream._idle_since) == 1)
-            if why == "drain":
+            if cause == "drain":
                 scene.sidecar.downstream.drain()
-            elif why == "evacuation":
+            elif cause == "evacuation":
                 scene.sidecar.administration.drain_clients()
             else:
                 scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 3_600)
-            raw.send(request("lodge"))  # in that very moment: nothing has run since
-            assert (await raw.read_all()).count(b"HTTP/1.1 200") == 1
-            raw.send(request("lodge"))
-            await a_round_trip(scene)
-            assert not raw.is_reset() and len(scene.heard) == 1
-            raw.close()
+            client.send(request("lodge"))  # before the event loop has run again
+            assert (await client.read_all()).count(b"HTTP/1.1 200") == 1
+            client.send(request("lodge"))
+            await process_sent_data(scene)
+            assert not client.is_reset() and len(scene.heard) == 1
+            client.close()
             await until(lambda: scene.sidecar.downstream.is_empty)
 
     play(work)
 
 
-def test_client_that_never_hangs_up_is_closed_in_time() -> None:
+def test_lingering_client_that_never_closes_is_closed_in_time() -> None:
     async def work() -> None:
         async with stage(OK) as scene:
-            raw = Raw(scene.sidecar.downstream.port)
-            raw.send(request("lodge", Connection="close"))
-            assert (await raw.read_all()).startswith(b"HTTP/1.1 200")
+            client = RawClient(scene.sidecar.downstream.port)
+            client.send(request("lodge", Connection="close"))
+            assert (await client.read_all()).startswith(b"HTTP/1.1 200")
             now = asyncio.get_running_loop().time()
 
-            def is_let_go() -> bool:
+            def is_closed_at_next_timeout() -> bool:
                 nonlocal now
                 now += 2.5
                 scene.sidecar.downstream.close_overdue(now)
                 return scene.sidecar.downstream.is_empty
 
-            await until(is_let_go)
-            raw.close()
+            await until(is_closed_at_next_timeout)
+            client.close()
 
     play(work)
 
 
 def test_slow_reader_gets_the_complete_last_response() -> None:
-    # Guards against a bounded time to hang up that would cut whoever is still reading.
+    # Guards against a timeout for lingering connections that aborts a client which is still reading.
     async def work() -> None:
         body = b"x" * 65_000
 
         async with stage(b"HTTP/1.1 200 OK\r\nContent-Length: 65000\r\n\r\n" + body) as scene:
-            raw = Raw(scene.sidecar.downstream.port)
-            raw.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            raw.send(request("lodge", Connection="close"))
-            await until(
-                lambda: (
-                    [each.state for each in scene.sidecar.downstream._connections]
-                    == [ConnectionState.LINGERING]
-                )
-            )
+            client = RawClient(scene.sidecar.downstream.port)
+            client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+            client.send(request("lodge", Connection="close"))
+            await until(lambda: connection_states(scene) == [ConnectionState.LINGERING])
             (connection,) = scene.sidecar.downstream._connections
-            now, got, steps = asyncio.get_running_loop().time(), b"", 0
-            while before := connection._undelivered_bytes():
-                while connection._undelivered_bytes() >= before:
-                    got += await soon(asyncio.get_running_loop().sock_recv(raw.socket, 2_048))
+            now, received, steps = asyncio.get_running_loop().time(), b"", 0
+            while undelivered := connection._undelivered_bytes():
+                while connection._undelivered_bytes() >= undelivered:
+                    received += await soon(asyncio.get_running_loop().sock_recv(client.socket, 2_048))
                 if not connection._undelivered_bytes():
-                    break  # all is with its machine: nothing can cut it any more
-                now += 2.5  # it has taken some, so it may go on
+                    break  # the client's machine has all of it, so closing loses nothing
+                now += 2.5  # some was delivered, so the connection stays open
                 scene.sidecar.downstream.close_overdue(now)
                 assert connection.state is ConnectionState.LINGERING
                 steps += 1
             assert steps > 0
-            got += await raw.read_all()
-            assert got.endswith(body)
-            raw.close()
+            received += await client.read_all()
+            assert received.endswith(body)
+            client.close()
 
     play(work)
 
 
-def test_room_is_made_by_silent_connection_not_by_one_that_takes_its_response() -> None:
+def test_silent_connection_is_evicted_rather_than_one_that_reads_its_response() -> None:
     async def work() -> None:
         body = b"x" * 65_000
         limits = {"limits": {"sockets": 72}}
         async with stage(b"HTTP/1.1 200 OK\r\nContent-Length: 65000\r\n\r\n" + body, given=limits) as scene:
-            most = scene.sidecar.downstream._max_connections
-            slow = socket.socket()
-            slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            slow.connect((HOST, scene.sidecar.downstream.port))
-            slow.setblocking(False)
-            slow.send(request("lodge", Connection="close"))
-            await until(
-                lambda: (
-                    [each.state for each in scene.sidecar.downstream._connections]
-                    == [ConnectionState.LINGERING]
-                )
-            )
+            limit = scene.sidecar.downstream._max_connections
+            slow_reader = socket.socket()
+            slow_reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+            slow_reader.connect((HOST, scene.sidecar.downstream.port))
+            slow_reader.setblocking(False)
+            slow_reader.send(request("lodge", Connection="close"))
+            await until(lambda: connection_states(scene) == [ConnectionState.LINGERING])
             (connection,) = scene.sidecar.downstream._connections
             assert connection.has_undelivered_bytes
-            silent = [Raw(scene.sidecar.downstream.port) for _ in range(most - 1)]
-            await until(lambda: scene.sidecar.downstream.open_connections == most)
-            scene.sidecar.downstream._awaited_since[connection] -= 10.0  # it waits for longest
-            for each in scene.sidecar.downstream._awaited_since:
-                scene.sidecar.downstream._awaited_since[each] -= 1.0
+            silent = [RawClient(scene.sidecar.downstream.port) for _ in range(limit - 1)]
+            await until(lambda: scene.sidecar.downstream.open_connections == limit)
+            scene.sidecar.downstream._awaited_since[connection] -= 10.0  # the one that has waited longest
+            for awaited in scene.sidecar.downstream._awaited_since:
+                scene.sidecar.downstream._awaited_since[awaited] -= 1.0
             newcomer = await scene.client()
             newcomer.send(request("lodge"))
             await until(lambda: len(scene.heard) == 2)
             assert connection.state is ConnectionState.LINGERING
-            for raw in silent:
-                raw.close()
-            slow.close()
+            for client in silent:
+                client.close()
+            slow_reader.close()
 
     play(work)
 
 
 def test_connections_queued_before_listener_closes_are_served() -> None:
-    # Guards rule 1 at SIGTERM: the end of a listening socket resets all that waits in its queue.
+    # Guards against losing requests at SIGTERM: closing a listening socket resets its queued connections.
     async def work() -> None:
         async with stage(OK) as scene:
-            raws = [Raw(scene.sidecar.downstream.port) for _ in range(20)]
-            for raw in raws:
-                raw.send(request("lodge"))
+            clients = [RawClient(scene.sidecar.downstream.port) for _ in range(20)]
+            for client in clients:
+                client.send(request("lodge"))
             scene.sidecar.downstream.drain()
             scene.sidecar.downstream.stop_listening(accept_queued=True)
             assert not scene.sidecar.downstream.is_empty
-            for raw in raws:
-                assert (await raw.read_all()).startswith(b"HTTP/1.1 200")
-                raw.close()
+            for client in clients:
+                assert (await client.read_all()).startswith(b"HTTP/1.1 200")
+                client.close()
             assert len(scene.heard) == 20
             await until(lambda: scene.sidecar.downstream.is_empty)
 
@@ -237,41 +227,44 @@
             return OK
 
         async with stage(hold) as scene:
-            resting, owed = await scene.client(), await scene.client()
-            assert (await resting.ask("lodge")).status == 200
-            owed.send(request("lodge"))
+            idle, waiting = await scene.client(), await scene.client()
+            assert (await idle.ask("lodge")).status == 200
+            waiting.send(request("lodge"))
             await until(lambda: len(scene.heard) == 2)
             silent = await scene.client()
             await until(lambda: scene.sidecar.downstream.open_connections == 3)
             draining = asyncio.get_running_loop().create_task(scene.sidecar.shut_down())
-            for each in (resting, silent):
-                assert await soon(each.reader.read()) == b""
-                each.close()
+            for client in (idle, silent):
+                assert await soon(client.reader.read()) == b""
+                client.close()
             assert not draining.done()
             release.set()
-            assert (await owed.answer()).status == 200
-            assert await soon(owed.reader.read()) == b""
-            owed.close()
+            assert (await waiting.answer()).status == 200
+            assert await soon(waiting.reader.read()) == b""
+            waiting.close()
             await soon(draining)
 
     play(work)
 
 
-@pytest.mark.parametrize("ends", [True, False])
-def test_partial_body_at_drain_is_accepted_if_it_ends_in_time(ends: bool) -> None:
+@pytest.mark.parametrize("is_completed", [True, False])
+def test_partial_body_at_drain_is_accepted_if_it_is_completed_in_time(is_completed: bool) -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
-            whole = request("lodge", body=b"x" * 30_000)
-            client.send(whole[:-20_000])
+            message = request("lodge", body=b"x" * 30_000)
+            client.send(message[:-20_000])
             await until(
-                lambda: [each.is_sending_body for each in scene.sidecar.downstream._connections] == [True]
+                lambda: (
+                    [connection.is_sending_body for connection in scene.sidecar.downstream._connections]
+                    == [True]
+                )
             )
             scene.sidecar.downstream.drain()
-            if ends:
-                client.send(whole[-20_000:])
+            if is_completed:
+                client.send(message[-20_000:])
                 assert (await client.answer()).status == 200
-                assert [len(each.body) for each in scene.heard] == [30_000]
+                assert [len(heard.body) for heard in scene.heard] == [30_000]
             else:
                 scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 10.0)
                 assert (await client.answer()).status == 408
@@ -282,7 +275,7 @@
 
 
 def test_half_close_counts_as_disconnect() -> None:
-    # On the wire both are the same end; nothing is sent on for either.
+    # A FIN looks the same for both, and the request of a disconnected client is not forwarded.
     async def work() -> None:
         async with stage(None) as scene:
             client = await scene.client()
@@ -295,86 +288,84 @@
     play(work)
 
 
-def test_disconnect_at_the_moment_of_the_response_harms_nobody() -> None:
+def test_disconnect_at_the_time_of_the_response_causes_no_error() -> None:
     async def work() -> None:
-        faults: list[Any] = []
-        asyncio.get_running_loop().set_exception_handler(lambda _, what: faults.append(what))
+        errors: list[Any] = []
+        asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
 
-        async def leave_first(heard: Heard) -> bytes:
+        async def disconnect_first(heard: Heard) -> bytes:
             client.writer.transport.abort()
             return OK
 
-        async with stage(leave_first) as scene:
+        async with stage(disconnect_first) as scene:
             for _ in range(20):
                 client = await scene.client()
                 client.send(request("lodge"))
                 await until(lambda: scene.sidecar.downstream.is_empty and scene.sidecar.open_requests == 0)
             assert len(scene.heard) == 20 and scene.sidecar.unanswered_requests == 0
-            assert not [each for each in scene.log if "internal" in each]
-        assert not [each for each in faults if "sidecar" in repr(each)]
+            assert not [entry for entry in scene.log if "internal" in entry]
+        assert not [error for error in errors if "sidecar" in repr(error)]
 
     play(work)
 
 
-def test_floods_that_disconnect_leave_other_clients_served() -> None:
+def test_clients_are_served_beside_others_that_flood_and_disconnect() -> None:
     async def work() -> None:
         async with stage(OK, given={"limits": {"sockets": 180}}) as scene:
             for _ in range(5):
-                floods = [Raw(scene.sidecar.downstream.port) for _ in range(30)]
-                for number, raw in enumerate(floods):
-                    raw.send((request("lodge") * 40)[: 3_000 + number])
-                legal = await scene.client()
-                assert (await legal.ask("lodge")).status == 200
-                for raw in floods:
-                    raw.close()
-                legal.close()
+                flooding = [RawClient(scene.sidecar.downstream.port) for _ in range(30)]
+                for number, client in enumerate(flooding):
+                    client.send((request("lodge") * 40)[: 3_000 + number])
+                well_behaved = await scene.client()
+                assert (await well_behaved.ask("lodge")).status == 200
+                for client in flooding:
+                    client.close()
+                well_behaved.close()
             await until(lambda: scene.sidecar.downstream.is_empty and scene.sidecar.open_requests == 0)
 
     play(work)
 
 
-@pytest.mark.parametrize("late", [b"HTTP/1.1 20", OK, b"\r\n"])
-def test_bytes_on_idle_upstream_connection_are_no_response(late: bytes) -> None:
+@pytest.mark.parametrize("unsolicited", [b"HTTP/1.1 20", OK, b"\r\n"])
+def test_bytes_on_idle_upstream_connection_are_not_read_as_a_response(unsolicited: bytes) -> None:
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
             assert (await client.ask("lodge")).status == 200
-            scene.heard[0].writer.write(late)
-            answer = await client.ask("lodge")
-            assert (answer.status, answer.body) == (200, b"served")
+            scene.heard[0].writer.write(unsolicited)
+            response = await client.ask("lodge")
+            assert (response.status, response.body) == (200, b"served")
             await until(lambda: 0 in scene.servers[0].closed)
 
     play(work)
 
 
 @pytest.mark.parametrize(
-    ("cut", "status"),
+    ("partial_response", "status"),
     [
-        (b"HTTP/1.1 200 OK\r\n\r\nser", 502),  # of unknown length: a reset is no end
+        (b"HTTP/1.1 200 OK\r\n\r\nser", 502),  # of unknown length: a reset does not delimit it
         (b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nser", 502),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nser\r\n", 502),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nserX", 502),
     ],
 )
-def test_response_that_is_reset_is_not_forwarded(cut: bytes, status: int) -> None:
+def test_response_that_is_reset_is_not_forwarded(partial_response: bytes, status: int) -> None:
     async def work() -> None:
         async def reset(heard: Heard) -> None:
-            heard.writer.write(cut)
-            await asyncio.sleep(0.01)  # it has left; then unread or not, it is cut
+            heard.writer.write(partial_response)
+            await asyncio.sleep(0.01)  # by then the bytes are sent, and the reset may discard them unread
             heard.writer.transport.abort()
 
         async with stage(reset) as scene:
-            sock = None
 
-            async def cut_off(heard: Heard) -> None:
-                nonlocal sock
+            async def send_reset(heard: Heard) -> None:
                 sock = heard.writer.get_extra_info("socket")
                 sock.setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, (1).to_bytes(4, "little") + (0).to_bytes(4, "little")
                 )
                 await reset(heard)
 
-            scene.servers[0].script = cut_off
+            scene.servers[0].script = send_reset
             assert (await scene.ask("lodge")).status == status
             assert len(scene.heard) == 1
 
@@ -386,15 +377,15 @@
     assert set(TRANSITIONS) == set(ConnectionState)
     assert TRANSITIONS[ConnectionState.CLOSED] == set()
     assert all(ConnectionState.CLOSED in TRANSITIONS[state] for state in open_states)
-    # Nothing is read as a request after our side has ended.
+    # After the sidecar has closed its side, nothing is read as a request.
     assert TRANSITIONS[ConnectionState.LINGERING] == {ConnectionState.CLOSED}
-    side = DownstreamConnection(None)  # type: ignore[arg-type]
-    side._enter(ConnectionState.LINGERING)
+    connection = DownstreamConnection(None)  # type: ignore[arg-type]
+    connection._enter(ConnectionState.LINGERING)
     with pytest.raises(AssertionError):
-        side._enter(ConnectionState.READING)
+        connection._enter(ConnectionState.READING)
 
 
-# The program, by signals
+# The sidecar process under signals
 
 
 def test_second_sigterm_and_sighup_during_shutdown_change_nothing(tmp_path: Path) -> None:
@@ -406,8 +397,8 @@
             return OK
 
         async with program(hold, tmp_path) as running:
-            taken = await running.client()
-            taken.send(request("lodge"))
+            client = await running.client()
+            client.send(request("lodge"))
             await until(lambda: len(running.server.heard) == 1)
             assert running.process.stderr is not None
             running.process.send_signal(signal.SIGTERM)
@@ -416,9 +407,9 @@
             running.process.send_signal(signal.SIGHUP)
             assert (await soon(running.process.stderr.readline())).startswith(b"configuration_reloaded: ")
             release.set()
-            assert (await taken.answer()).status == 200
-            assert await soon(taken.reader.read()) == b""
-            taken.close()
+            assert (await client.answer()).status == 200
+            assert await soon(client.reader.read()) == b""
+            client.close()
             assert await soon(running.process.wait()) == 0
 
     play(work)
@@ -426,46 +417,48 @@
 
 def test_sigterm_before_ready_exits_with_0(tmp_path: Path) -> None:
     async def work() -> None:
-        agent = await ScriptedServer(None).start()  # pushes lists, and is silent: the start waits for it
+        discovery = await ScriptedServer(
+            None
+        ).start()  # never answers, so the start waits for its endpoint list
         path = tmp_path / "config.json"
         settings = {**GOOD["settings"], "discovery": "pushed"}
-        path.write_text(json.dumps({**GOOD, "discovery": agent.address, "settings": settings}))
+        path.write_text(json.dumps({**GOOD, "discovery": discovery.address, "settings": settings}))
         process = await started(path)
-        await until(lambda: len(agent.heard) == 1)
+        await until(lambda: len(discovery.heard) == 1)
         process.send_signal(signal.SIGTERM)
         assert await soon(process.wait()) == 0
-        agent.stop()
+        discovery.stop()
 
     play(work)
 
 
-def test_last_response_reaches_client_that_goes_on_sending(tmp_path: Path) -> None:
-    # Servers hang just at SIGTERM, and the client has sent more than is read.
+def test_last_response_reaches_client_that_continues_to_send(tmp_path: Path) -> None:
+    # The server does not respond at SIGTERM, and the client has sent more data than the sidecar reads.
     async def work() -> None:
         async def silent(heard: Heard) -> None:
             return None
 
         async with program(silent, tmp_path) as running:
-            taken = await running.client()
-            taken.send(request("lodge", timeout="30") + b"x" * 100_000)
+            client = await running.client()
+            client.send(request("lodge", timeout="30") + b"x" * 100_000)
             running.process.send_signal(signal.SIGTERM)
-            first = await soon(taken.reader.readline())
-            assert first.split()[1] in (b"400", b"502", b"503", b"504")
+            status_line = await soon(client.reader.readline())
+            assert status_line.split()[1] in (b"400", b"502", b"503", b"504")
             assert await soon(running.process.wait()) == 0
 
     play(work)
 
 
-def test_server_error_and_drain_at_once_are_one_response() -> None:
+def test_server_error_during_drain_results_in_one_response() -> None:
     async def work() -> None:
         async def fail(heard: Heard) -> bytes:
             scene.sidecar.downstream.drain()
             return ERROR
 
         async with stage(fail) as scene:
-            raw = Raw(scene.sidecar.downstream.port)
-            raw.send(request("lodge"))
-            assert (await raw.read_all()).count(b"HTTP/1.1 ") == 1
-            raw.close()
+            client = RawClient(scene.sidecar.downstream.port)
+            client.send(request("lodge"))
+            assert (await client.read_all()).count(b"HTTP/1.1 ") == 1
+            client.close()
 
     play(work)
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -1,7 +1,7 @@
 """Random sequences of requests, disconnects, resets, endpoint lists and shutdown, over real sockets.
 
-Each sequence is drawn from its seed.  The order in which the system delivers events is not, and need not be:
-what is checked holds in any order.
+Each sequence is drawn from a seed.  The order in which the operating system delivers events is not
+reproducible; the checks hold in any order.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 
 @dataclass
 class RandomClient:
-    """A client on one connection, and all that it has received."""
+    """A client on one connection, and the bytes that it has received."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     sent: int = 0  # complete requests
     unsent: bytes = b""  # the rest of a partial request
-    is_well_behaved: bool = True  # it sends complete requests, one at a time, and stays
+    is_well_behaved: bool = True  # it sends complete requests, one at a time, and never disconnects
     has_closed_sending: bool = False
     received: bytes = b""
     reading: asyncio.Task[None] | None = None
@@ -61,7 +61,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether it may ask again on its connection, as far as it knows."""
+        """Whether the client may send another request on its connection."""
         is_open = (
             self.reading is not None and not self.reading.done() and b"connection: close" not in self.received
         )
@@ -70,28 +70,27 @@
 
 @dataclass
 class RandomEvents:
-    """The clients and servers of one stage; servers respond when a random event says so."""
+    """The clients and servers of one test; a random event decides when a server responds."""
 
     scene: Stage
     rng: random.Random
     clients: list[RandomClient] = field(default_factory=list)
     unanswered: list[tuple[Heard, asyncio.Future[bytes | None]]] = field(default_factory=list)
-    # By request ID, of requests that may not run twice.
-    executions: Counter[str] = field(default_factory=Counter)
+    executions: Counter[str] = field(default_factory=Counter)  # by request ID, of non-idempotent requests
     states: dict[str, str] = field(default_factory=dict)
-    is_over: bool = False
+    is_finished: bool = False  # servers answer at once
 
     async def serve(self, heard: Heard) -> bytes | None:
         if heard.headers.get("request-class") == "lodge":
             self.executions[heard.headers["request-id"]] += 1
-        if self.is_over:
+        if self.is_finished:
             return OK
         answer: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
         self.unanswered.append((heard, answer))
         return await answer
 
     async def step(self) -> None:
-        act = self.rng.choice(
+        event = self.rng.choice(
             [
                 self.send_request,
                 self.send_request,
@@ -103,10 +102,10 @@
             + [self.answer] * 4
             + [self.update_list, self.exclude, self.pass_time, self.pause, self.pause]
         )
-        await act()
+        await event()
 
     async def send_request(self) -> None:
-        idle = [each for each in self.clients if each.is_idle]
+        idle = [client for client in self.clients if client.is_idle]
         if idle and self.rng.random() < 0.5:
             client = self.rng.choice(idle)
         else:
@@ -119,18 +118,18 @@
     def random_request(self) -> bytes:
         kind = self.rng.choice(KINDS)
         timeout = self.rng.choice(["0.05", "0.3", "5.0"])
-        further: dict[str, str] = {"Connection": "close"} if self.rng.random() < 0.2 else {}
+        headers: dict[str, str] = {"Connection": "close"} if self.rng.random() < 0.2 else {}
         body = b"" if kind == "check" else b"x" * self.rng.choice([0, 7, 60_000])
-        return request(kind, timeout=timeout, body=body, **further)
+        return request(kind, timeout=timeout, body=body, **headers)
 
     async def send_partial_request(self) -> None:
         client = RandomClient(*await asyncio.open_connection(HOST, self.scene.sidecar.downstream.port))
         client.reading = asyncio.get_running_loop().create_task(client.read())
         self.clients.append(client)
-        whole = self.random_request()
-        cut = self.rng.randrange(1, len(whole))
-        client.send(whole[:cut])
-        client.unsent = whole[cut:]
+        message = self.random_request()
+        split_at = self.rng.randrange(1, len(message))
+        client.send(message[:split_at])
+        client.unsent = message[split_at:]
 
     async def complete_request(self) -> None:
         for client in self.clients:
@@ -144,17 +143,17 @@
         if self.clients:
             client = self.rng.choice(self.clients)
             client.is_well_behaved = False
-            how = self.rng.choice(["end", "reset", "half"])
-            if how == "reset":
+            kind = self.rng.choice(["close", "reset", "half-close"])
+            if kind == "reset":
                 client.writer.transport.abort()
-            elif how == "half" and not client.writer.is_closing() and not client.has_closed_sending:
+            elif kind == "half-close" and not client.writer.is_closing() and not client.has_closed_sending:
                 client.has_closed_sending = True
                 client.writer.write_eof()
             else:
                 client.writer.close()
 
     async def send_unexpected_bytes(self) -> None:
-        """More than one request at a time, or nonsense."""
+        """Send a pipelined request or invalid bytes."""
         if self.clients:
             client = self.rng.choice(self.clients)
             client.is_well_behaved = False
@@ -166,19 +165,19 @@
         heard, answer = self.unanswered.pop(self.rng.randrange(len(self.unanswered)))
         if answer.done():
             return
-        how = self.rng.choice(
+        response = self.rng.choice(
             [OK] * 6 + [FULL, ERROR, TRUNCATED, UNFRAMED, AMBIGUOUS, INTERIM + OK, OK + OK, b""]
         )
-        if how == FULL:
-            self.executions[heard.headers["request-id"]] -= 1  # it says that it never ran
-        answer.set_result(how)
-        if how in (TRUNCATED, UNFRAMED, b""):
+        if response == FULL:
+            self.executions[heard.headers["request-id"]] -= 1  # the server has not run it
+        answer.set_result(response)
+        if response in (TRUNCATED, UNFRAMED, b""):
             await asyncio.sleep(0)
             if self.rng.random() < 0.5:
                 heard.writer.transport.abort()
             else:
                 heard.writer.close()
-        elif how == OK and self.rng.random() < 0.1:
+        elif response == OK and self.rng.random() < 0.1:
             asyncio.get_running_loop().call_later(0.003, send_partial_status_line, heard.writer)
 
     async def update_list(self) -> None:
@@ -196,7 +195,7 @@
             self.scene.sidecar.administration.include(name)
 
     async def pass_time(self) -> None:
-        """Those whose time is up by now go."""
+        """Close connections that are overdue now or within a second."""
         downstream = self.scene.sidecar.downstream
         downstream.close_overdue(asyncio.get_running_loop().time() + self.rng.choice([0.0, 1.0]))
 
@@ -208,31 +207,31 @@
 
 
 def send_partial_status_line(writer: asyncio.StreamWriter) -> None:
-    """Half a status line on a connection that is answered."""
+    """Send part of a status line on a connection without a pending request."""
     if not writer.transport.is_closing():
         writer.write(b"HTTP/1.1 20")
 
 
-def watch_the_guard(monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Record what is written after a limit of its attempt, or to a server that is draining or excluded."""
-    faults: list[str] = []
-    plain = Upstream._write
+def record_late_writes(monkeypatch: pytest.MonkeyPatch) -> list[str]:
+    """Record attempts written after their limits, or to a server that is draining or excluded."""
+    violations: list[str] = []
+    original = Upstream._write
 
     def write(self: Upstream, attempt: Attempt, connection: UpstreamConnection) -> None:
         endpoint, now = self._pool.endpoints.get(attempt.server), self._clock.now()
         if endpoint is None or endpoint.is_draining or endpoint.is_excluded:
-            faults.append(f"to {attempt.server}, which is not wanted")
+            violations.append(f"written to {attempt.server}, which is draining, excluded or not listed")
         is_late = now > min(attempt.deadline, attempt.send_by) + 50_000
         if attempt.is_ended or is_late or not attempt.is_wanted():
-            faults.append("after its time, or for nobody")
-        plain(self, attempt, connection)
+            violations.append("written after the limits of its attempt, or for a disconnected client")
+        original(self, attempt, connection)
 
     monkeypatch.setattr(Upstream, "_write", write)
-    return faults
+    return violations
 
 
-def sockets() -> int:
-    """How many this process holds; the event loop opens what else it needs when it comes to it."""
+def open_sockets() -> int:
+    """Return the number of open sockets; the event loop opens other descriptors on demand."""
     links = list(Path("/proc/self/fd").iterdir())
     return sum(str(link.readlink()).startswith("socket:") for link in links if link.is_symlink())
 
@@ -241,7 +240,7 @@
 def test_random_events_leave_one_response_per_request_and_no_resources(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    faults = watch_the_guard(monkeypatch)
+    violations = record_late_writes(monkeypatch)
     rng = random.Random(seed)
     bounds = {
         "mayCancel": rng.random() < 0.5,
@@ -252,10 +251,10 @@
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        internal: list[dict[str, Any]] = []
-        loop.set_exception_handler(lambda _, context: internal.append(context))
+        errors: list[dict[str, Any]] = []
+        loop.set_exception_handler(lambda _, context: errors.append(context))
         gc.collect()
-        before = sockets()
+        sockets_before = open_sockets()
         async with stage(OK, OK, OK, bounds=bounds, console=seed % 2 == 0) as scene:
             await until(lambda: len(scene.discovery.heard) >= 2)
             events = RandomEvents(scene, rng)
@@ -265,13 +264,13 @@
                 await events.step()
                 assert scene.sidecar.unanswered_requests >= 0
                 assert scene.sidecar.downstream.open_connections <= 340
-            owed = {id(each): each.sent for each in events.clients if each.is_well_behaved}
-            draining = loop.create_task(scene.sidecar.shut_down())
-            while not draining.done():
+            expected = {id(client): client.sent for client in events.clients if client.is_well_behaved}
+            shutdown = loop.create_task(scene.sidecar.shut_down())
+            while not shutdown.done():
                 await events.rng.choice([events.answer, events.complete_request, events.pause])()
                 await asyncio.sleep(0.001)
-            events.is_over = True
-            await draining
+            events.is_finished = True
+            await shutdown
             for client in events.clients:
                 client.writer.close()
                 assert client.reading is not None
@@ -282,39 +281,39 @@
                 assert client.responses <= client.sent + (not client.is_well_behaved) + bool(client.unsent), (
                     client.received
                 )
-                assert not client.is_well_behaved or client.responses >= owed.get(id(client), 0), (
+                assert not client.is_well_behaved or client.responses >= expected.get(id(client), 0), (
                     client.received
                 )
             assert scene.sidecar.unanswered_requests == 0
-            assert not [each for each, count in events.executions.items() if count > 1]
+            assert not [request_id for request_id, count in events.executions.items() if count > 1]
             pool = scene.sidecar._upstream._pool
             await until(lambda: not pool._endpoint_of and not pool._tasks)
             await until(lambda: not scene.sidecar._discovery._tasks)
-            assert not [each for each in scene.log if "internal" in each]
+            assert not [entry for entry in scene.log if "internal" in entry]
             for _, answer in events.unanswered:
                 answer.cancel()
-        await until(lambda: not [each for each in asyncio.all_tasks() if "/sidecar/" in repr(each)])
+        await until(lambda: not [task for task in asyncio.all_tasks() if "/sidecar/" in repr(task)])
         gc.collect()
-        await until(lambda: sockets() <= before)
-        assert not [each for each in internal if "sidecar" in repr(each) or "protocol." in each["message"]]
+        await until(lambda: open_sockets() <= sockets_before)
+        assert not [error for error in errors if "sidecar" in repr(error) or "protocol." in error["message"]]
 
     play(work)
-    assert faults == []
+    assert violations == []
 
 
 def test_random_events_reach_every_connection_state(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The test above would prove little if it met a few of the states only."""
-    seen: set[tuple[str, str]] = set()
-    plain = DownstreamConnection._enter
+    """Check that the random events above cause all important state transitions."""
+    transitions: set[tuple[str, str]] = set()
+    original = DownstreamConnection._enter
 
     def enter(self: DownstreamConnection, state: Any) -> None:
-        seen.add((self.state.value, state.value))
-        plain(self, state)
+        transitions.add((self.state.value, state.value))
+        original(self, state)
 
     monkeypatch.setattr(DownstreamConnection, "_enter", enter)
     for seed in (0, 1, 2):
         test_random_events_leave_one_response_per_request_and_no_resources(seed, monkeypatch)
-    wanted = {
+    required = {
         ("reading", "awaiting response"),
         ("awaiting response", "idle"),
         ("idle", "reading"),
@@ -323,4 +322,4 @@
         ("lingering", "closed"),
         ("awaiting response", "closed"),
     }
-    assert wanted <= seen
+    assert required <= transitions
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -1,4 +1,4 @@
-"""Write buffer limits, and how far a client is behind in sending and reading."""
+"""Write buffer limits, and the progress of a client in sending and reading."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @pytest.mark.parametrize(
     ("memory_mb", "connections", "limit_bytes"),
     [(64, 341, (64 << 20) // 8 // 341), (192, 10, 64 << 10), (1, 10_000, 4 << 10)],
-    ids=["equal part", "at most", "at least"],
+    ids=["equal part", "maximum", "minimum"],
 )
 def test_write_buffer_limit_is_an_equal_part_within_bounds(
     memory_mb: int, connections: int, limit_bytes: int
@@ -21,7 +21,7 @@
 def test_receive_progress_allows_time_for_the_body() -> None:
     progress = ReceiveProgress(now=10.0)
     assert progress.lag_s(12.0) == 2.0
-    progress.received_bytes = 58_000  # what the minimum rate brings in a second
+    progress.received_bytes = 58_000  # one second at the minimum rate
     assert progress.lag_s(12.0) == 1.0
 
 
@@ -35,14 +35,14 @@
     assert progress.lag_s(20.0) == 5.0
 
 
-def test_write_progress_is_stalled_while_nothing_is_taken() -> None:
+def test_write_progress_is_stalled_while_nothing_is_delivered() -> None:
     progress = WriteProgress()
     assert progress.stalled_s(1_000, now=5.0) == 0.0
     assert progress.stalled_s(1_000, now=7.0) == 2.0
-    assert progress.stalled_s(1_500, now=8.0) == 3.0  # more was written, and nothing taken
+    assert progress.stalled_s(1_500, now=8.0) == 3.0  # more was written and nothing delivered
 
 
-def test_write_progress_restarts_when_some_is_taken() -> None:
+def test_write_progress_restarts_when_some_is_delivered() -> None:
     progress = WriteProgress()
     progress.stalled_s(1_000, now=5.0)
     assert progress.stalled_s(999, now=7.0) == 0.0
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -1,6 +1,7 @@
-"""What may have changed while a connection comes up: the write is judged, not the decision before it.
+"""Attempts whose conditions change while their connection is being established.
 
-Each peer that comes up late does so by `SlowToAccept.let_go`, so that what crosses the dial is done by then.
+Before its first byte is written, an attempt is checked again.  `SlowToAccept.let_go` completes a connection
+after the change, so the order of events is fixed.
 """
 
 from __future__ import annotations
@@ -37,16 +38,17 @@
 from sidecar.upstream.http_exchange import OutgoingRequest
 from sidecar.upstream.upstream import Upstream
 
-LONG = {"dialTimeoutUs": 60_000_000}  # far longer than a test waits
+LONG_CONNECT_TIMEOUT = {"dialTimeoutUs": 60_000_000}  # longer than any test runs
 
 
-def at_the_sidecar(scene: Stage) -> int:
+def open_requests(scene: Stage) -> int:
     return scene.sidecar.open_requests
 
 
-@pytest.mark.parametrize("why", ["drains", "leaves", "client gone"])
-def test_nothing_is_written_when_connection_is_established_too_late(why: str) -> None:
-    # Guards rule 3 (a drain that is told while the dial is under way) and an attempt that was called off.
+@pytest.mark.parametrize("cause", ["server draining", "server removed", "client disconnected"])
+def test_nothing_is_written_when_connection_is_established_too_late(cause: str) -> None:
+    # Guards against sending a request to a server whose drain is announced while connecting, and against
+    # writing an attempt that was cancelled meanwhile.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
@@ -56,16 +58,17 @@
             await until(lambda: len(scene.discovery.heard) >= 3)
             client = await scene.client()
             client.send(request("lodge", timeout="15"))
-            await until(lambda: at_the_sidecar(scene) == 1)
-            if why == "client gone":
+            await until(lambda: open_requests(scene) == 1)
+            if cause == "client disconnected":
                 client.close()
-                await until(lambda: at_the_sidecar(scene) == 0)
+                await until(lambda: open_requests(scene) == 0)
             else:
-                scene.discovery.tell(line("s", slow.address, state="leaving" if why == "drains" else "left"))
+                state = "leaving" if cause == "server draining" else "left"
+                scene.discovery.tell(line("s", slow.address, state=state))
                 await until(lambda: len(scene.discovery.heard) >= 4)
             accepted = await slow.let_go()
-            if why == "client gone":
-                scene.sidecar.close()  # the connection itself is good and was kept
+            if cause == "client disconnected":
+                scene.sidecar.close()  # the connection is usable and was kept in the server
             else:
                 assert (await client.answer()).status == 503
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
@@ -75,8 +78,8 @@
     play(work)
 
 
-async def nothing_was_written(scene: Stage, slow: SlowToAccept) -> None:
-    """Let the late connection come up: it is good and kept, and gets nothing until the sidecar's end."""
+async def assert_nothing_is_written(scene: Stage, slow: SlowToAccept) -> None:
+    """Let the late connection be established; check that it gets no bytes before the sidecar closes it."""
     accepted = await slow.let_go()
     scene.sidecar.close()
     assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
@@ -84,28 +87,30 @@
 
 
 @dataclass
-class Pool:
-    """Calls to one server that accepts late, and how they ended."""
+class LateServer:
+    """An `Upstream` with one server that accepts connections late, and the outcomes of its attempts."""
 
     upstream: Upstream
     clock: Clock
     slow: SlowToAccept
-    ends: list[Outcome]
+    outcomes: list[Outcome]
 
-    def listed(self, **changes: Any) -> None:
-        listed = line("s-0", self.slow.address, **changes)
-        self.upstream.update_endpoints(parse_endpoint_list({"version": 1, "full": True, "servers": [listed]}))
+    def update_list(self, **changes: Any) -> None:
+        entry = line("s-0", self.slow.address, **changes)
+        self.upstream.update_endpoints(parse_endpoint_list({"version": 1, "full": True, "servers": [entry]}))
 
-    def call(self, **how: Any) -> Attempt:
-        def message(left_us: int) -> OutgoingRequest:
+    def start_attempt(self, **options: Any) -> Attempt:
+        def make_request(time_left_us: int) -> OutgoingRequest:
             return OutgoingRequest(b"GET", b"/", [(b"host", b"x")])
 
-        attempt = Attempt("s-0", 2**60, message, lambda outcome, _: self.ends.append(outcome), **how)
+        attempt = Attempt(
+            "s-0", 2**60, make_request, lambda outcome, _: self.outcomes.append(outcome), **options
+        )
         self.upstream.start(attempt)
         return attempt
 
     async def first_bytes(self) -> bytes:
-        """What is written once the dial comes up, until the pool is closed."""
+        """Return the first bytes written after the connection is established; empty if there are none."""
         accepted = await self.slow.let_go()
         loop = asyncio.get_running_loop()
         loop.call_later(0.05, self.upstream.close)
@@ -114,36 +119,40 @@
 
 
 @contextlib.asynccontextmanager
-async def late_pool(most: int = 4) -> AsyncIterator[Pool]:
+async def late_server(max_connections: int = 4) -> AsyncIterator[LateServer]:
     slow = SlowToAccept()
     await slow.fill()
     clock = Clock()
-    pool = Pool(Upstream(clock, Limits(connect_timeout_us=60_000_000), most, lambda: None), clock, slow, [])
-    pool.listed()
+    upstream = Upstream(clock, Limits(connect_timeout_us=60_000_000), max_connections, lambda: None)
+    server = LateServer(upstream, clock, slow, [])
+    server.update_list()
     try:
-        yield pool
+        yield server
     finally:
-        pool.upstream.close()
+        server.upstream.close()
         slow.close()
 
 
 def test_attempt_whose_connection_is_established_in_time_is_written() -> None:
     async def work() -> None:
-        async with late_pool() as pool:
-            pool.call(send_by=2**59)
-            assert (await pool.first_bytes()).startswith(b"GET / HTTP/1.1")
+        async with late_server() as server:
+            server.start_attempt(send_by=2**59)
+            assert (await server.first_bytes()).startswith(b"GET / HTTP/1.1")
 
     play(work)
 
 
 def test_retry_whose_window_ends_while_connecting_is_never_written() -> None:
-    # Guards rule 2: a keyed repeat was decided inside its window and written after it.
+    # Guards against a retry with an idempotency key that is decided within its window and written after it,
+    # when the server may have forgotten the key.
     async def work() -> None:
-        async with late_pool() as pool:
-            pool.call(send_by=pool.clock.now() + 30_000)
-            await until(lambda: pool.ends == [Outcome.NOT_SENT])  # proof that nothing ran, at once
-            assert await pool.first_bytes() == b""
-            assert pool.ends == [Outcome.NOT_SENT]
+        async with late_server() as server:
+            server.start_attempt(send_by=server.clock.now() + 30_000)
+            await until(
+                lambda: server.outcomes == [Outcome.NOT_SENT]
+            )  # the request did not run, which is known at once
+            assert await server.first_bytes() == b""
+            assert server.outcomes == [Outcome.NOT_SENT]
 
     play(work)
 
@@ -151,70 +160,75 @@
 @pytest.mark.parametrize(
     ("send_by", "outcome"), [(2**61, Outcome.CONNECT_FAILED), (2**59, Outcome.NOT_SENT)], ids=str
 )
-def test_early_timer_does_not_change_who_is_to_blame(send_by: int, outcome: Outcome) -> None:
-    # Guards against a server to which no connection comes up and that is never ejected for it.
+def test_outcome_of_connect_timeout_does_not_depend_on_timer_precision(
+    send_by: int, outcome: Outcome
+) -> None:
+    # Guards against a server that accepts no connections and is never ejected, because a timer that fires
+    # early would hide the failure.
     async def work() -> None:
-        async with late_pool() as pool:
-            pool.upstream._expire(pool.call(send_by=send_by))
-            assert pool.ends == [outcome]
+        async with late_server() as server:
+            server.upstream._expire(server.start_attempt(send_by=send_by))
+            assert server.outcomes == [outcome]
 
     play(work)
 
 
 def test_attempt_whose_window_is_over_does_not_connect() -> None:
     async def work() -> None:
-        async with late_pool() as pool:
-            pool.call(send_by=pool.clock.now())
-            await until(lambda: pool.ends == [Outcome.NOT_SENT])
-            assert not pool.upstream._pool._tasks
+        async with late_server() as server:
+            server.start_attempt(send_by=server.clock.now())
+            await until(lambda: server.outcomes == [Outcome.NOT_SENT])
+            assert not server.upstream._pool._tasks
 
     play(work)
 
 
-def test_server_that_changes_its_cell_while_connecting_gets_no_retry() -> None:
+def test_server_that_changes_its_cell_while_connecting_gets_no_request() -> None:
     async def work() -> None:
-        async with late_pool() as pool:
-            pool.call()
-            pool.listed(cell=2)
-            assert await pool.first_bytes() == b""
-            assert pool.ends == [Outcome.NOT_SENT]
+        async with late_server() as server:
+            server.start_attempt()
+            server.update_list(cell=2)
+            assert await server.first_bytes() == b""
+            assert server.outcomes == [Outcome.NOT_SENT]
 
     play(work)
 
 
 def test_unwanted_attempt_is_not_written_when_connected() -> None:
     async def work() -> None:
-        async with late_pool() as pool:
-            there = [True]
-            pool.call(is_wanted=lambda: there[0])
-            there[0] = False
-            assert await pool.first_bytes() == b""
-            assert pool.ends == [Outcome.NOT_SENT]
+        async with late_server() as server:
+            is_client_connected = [True]
+            server.start_attempt(is_wanted=lambda: is_client_connected[0])
+            is_client_connected[0] = False
+            assert await server.first_bytes() == b""
+            assert server.outcomes == [Outcome.NOT_SENT]
 
     play(work)
 
 
 def test_cancelled_attempt_that_was_not_written_is_reported_as_not_sent() -> None:
     async def work() -> None:
-        async with late_pool() as pool:
-            call = pool.call()
-            pool.upstream.cancel(call)
-            pool.upstream.cancel_unwritten(call)
-            await until(lambda: pool.ends == [Outcome.NOT_SENT])
-            assert await pool.first_bytes() == b""
+        async with late_server() as server:
+            attempt = server.start_attempt()
+            server.upstream.cancel(attempt)
+            server.upstream.cancel_unwritten(attempt)
+            await until(lambda: server.outcomes == [Outcome.NOT_SENT])
+            assert await server.first_bytes() == b""
 
     play(work)
 
 
 def test_connection_that_outlives_its_attempt_counts_against_the_limit_and_is_kept() -> None:
     async def work() -> None:
-        async with late_pool(most=1) as pool:
-            pool.upstream.cancel_unwritten(pool.call())
-            pool.call()  # no room: the first is still coming up
-            await until(lambda: pool.ends == [Outcome.NOT_SENT] * 2)
-            accepted = await pool.slow.let_go()
-            await until(lambda: not pool.upstream._pool._tasks and len(pool.upstream._pool._endpoint_of) == 1)
-            pool.call()  # goes over what has come up
+        async with late_server(max_connections=1) as server:
+            server.upstream.cancel_unwritten(server.start_attempt())
+            server.start_attempt()  # at the limit: the first connection is still being established
+            await until(lambda: server.outcomes == [Outcome.NOT_SENT] * 2)
+            accepted = await server.slow.let_go()
+            await until(
+                lambda: not server.upstream._pool._tasks and len(server.upstream._pool._endpoint_of) == 1
+            )
+            server.start_attempt()  # is written to the established connection
             assert (await asyncio.get_running_loop().sock_recv(accepted, 1_000)).startswith(b"GET /")
             accepted.close()
 
@@ -222,35 +236,38 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-@pytest.mark.parametrize("how", ["end", "reset"])
-def test_request_is_not_forwarded_after_disconnect_while_connecting(may_cancel: bool, how: str) -> None:
-    # Guards the operators' 0.3 s.  Where attempts may not be cancelled, one that is not written is none yet.
+@pytest.mark.parametrize("disconnect", ["close", "reset"])
+def test_request_is_not_forwarded_after_disconnect_while_connecting(
+    may_cancel: bool, disconnect: str
+) -> None:
+    # Guards the operators' limit of 0.3 s for forwarding after a disconnect.  An attempt that is not written
+    # may be dropped even where the settings forbid to cancel attempts.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
-        async with stage(bounds={**LONG, "mayCancel": may_cancel}) as scene:
+        async with stage(bounds={**LONG_CONNECT_TIMEOUT, "mayCancel": may_cancel}) as scene:
             await until(lambda: len(scene.discovery.heard) >= 2)
             scene.discovery.tell(line("s", slow.address))
             await until(lambda: len(scene.discovery.heard) >= 3)
             client = await scene.client()
             client.send(request("lodge", timeout="50"))
-            await until(lambda: at_the_sidecar(scene) == 1)
-            if how == "end":
+            await until(lambda: open_requests(scene) == 1)
+            if disconnect == "close":
                 client.close()
             else:
                 client.writer.transport.abort()
-            await until(lambda: at_the_sidecar(scene) == 0)
-            await nothing_was_written(scene, slow)
+            await until(lambda: open_requests(scene) == 0)
+            await assert_nothing_is_written(scene, slow)
         slow.close()
 
     play(work)
 
 
-def test_burst_of_disconnects_while_connecting_leaves_nothing_behind() -> None:
+def test_burst_of_disconnects_while_connecting_leaves_no_open_requests() -> None:
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
-        async with stage(OK, bounds={**LONG, "mayCancel": False}) as scene:
+        async with stage(OK, bounds={**LONG_CONNECT_TIMEOUT, "mayCancel": False}) as scene:
             await until(lambda: len(scene.discovery.heard) >= 2)
             scene.discovery.tell(
                 line("s", slow.address), line("s-0", scene.servers[0].address, state="leaving")
@@ -258,10 +275,10 @@
             await until(lambda: len(scene.discovery.heard) >= 3)
             for _ in range(20):
                 (await scene.client()).send(request("lodge", timeout="50"))
-            await until(lambda: at_the_sidecar(scene) == 20)
+            await until(lambda: open_requests(scene) == 20)
             for client in scene.clients:
                 client.close()
-            await until(lambda: at_the_sidecar(scene) == 0)
+            await until(lambda: open_requests(scene) == 0)
             assert scene.sidecar.unanswered_requests == 0 and scene.heard == []
             scene.discovery.tell(line("s-0", scene.servers[0].address, started_ms=1))
             await until(lambda: len(scene.discovery.heard) >= 4)
@@ -274,28 +291,30 @@
 
 
 def test_disconnect_of_paused_upload_is_noticed() -> None:
-    # Guards against a request that waits in a dial while its client, not read from, is long gone.
+    # Guards against a request that waits for a connection after its client, whose upload is paused, has left.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
-        async with stage(bounds=LONG) as scene:
+        async with stage(bounds=LONG_CONNECT_TIMEOUT) as scene:
             await until(lambda: len(scene.discovery.heard) >= 2)
             scene.discovery.tell(line("s", slow.address))
             await until(lambda: len(scene.discovery.heard) >= 3)
             client = await scene.client()
             client.send(request("lodge", timeout="50", body=b"x" * 70_000, Content_Length="200000"))
             connections = scene.sidecar.downstream._connections
-            await until(lambda: [each.receive_progress.paused_since for each in connections] != [None])
+            await until(
+                lambda: [connection.receive_progress.paused_since for connection in connections] != [None]
+            )
             client.close()
-            await until(lambda: at_the_sidecar(scene) == 0)
-            await nothing_was_written(scene, slow)
+            await until(lambda: open_requests(scene) == 0)
+            await assert_nothing_is_written(scene, slow)
         slow.close()
 
     play(work)
 
 
 def test_response_cancels_hedged_request_that_is_connecting() -> None:
-    # Guards rule 1 on the socket: the second copy would be written for a request that has its answer.
+    # Guards against a duplicate: the hedged request would be written after its request was answered.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
@@ -305,43 +324,43 @@
             await release.wait()
             return OK
 
-        def hurried(scene: Stage) -> bool:
+        def is_hedge_connecting(scene: Stage) -> bool:
             return bool(scene.heard) and scene.sidecar._upstream._pool._connecting > 0
 
-        bounds = {**LONG, "mayCancel": False, "secondCopies": True, "sendCap": 2}
+        bounds = {**LONG_CONNECT_TIMEOUT, "mayCancel": False, "secondCopies": True, "sendCap": 2}
         async with stage(hold, hold, hold, bounds=bounds) as scene:
             await until(lambda: len(scene.discovery.heard) >= 2)
             balancer = scene.sidecar._balancer
-            asked = asyncio.get_running_loop().create_task(scene.ask("check", timeout="20"))
+            response = asyncio.get_running_loop().create_task(scene.ask("check", timeout="20"))
             await until(lambda: len(scene.heard) == 1)
             (number,) = scene.sidecar._requests.numbers()
             scene.discovery.tell(line("s", slow.address))
             await until(lambda: balancer.knows_endpoint("s"))
-            scene.sidecar._executor.execute(
-                SendAttempt(number, "s", 2**60)
-            )  # as the decisions do for an overdue attempt
-            await until(lambda: hurried(scene))
+            # The balancer sends the same action for an attempt that exceeds its expected response time.
+            scene.sidecar._executor.execute(SendAttempt(number, "s", 2**60))
+            await until(lambda: is_hedge_connecting(scene))
             release.set()
-            assert (await asked).status == 200
-            await until(lambda: at_the_sidecar(scene) == 0)
-            await nothing_was_written(scene, slow)
+            assert (await response).status == 200
+            await until(lambda: open_requests(scene) == 0)
+            await assert_nothing_is_written(scene, slow)
         slow.close()
 
     play(work)
 
 
 def test_retry_with_key_whose_window_ends_while_connecting_fails_the_request() -> None:
-    # The whole way: first attempt broken, so it may have run; the repeat dials until the window is over.
+    # End to end: the first attempt is reset, so it may have run, and its retry is connecting until the
+    # idempotency window is over.
     async def work() -> None:
         slow = SlowToAccept()
         await slow.fill()
         is_listed = asyncio.Event()
 
-        async def broken(heard: Heard) -> None:
+        async def reset_when_listed(heard: Heard) -> None:
             await is_listed.wait()
             heard.writer.transport.abort()
 
-        kind = {
+        service_class = {
             "name": "amend",
             "giveUpUs": 60_000_000,
             "promiseUs": 10_000_000,
@@ -349,7 +368,7 @@
             "group": "all",
             "memorySpanUs": 2_000_000,
         }
-        async with stage(broken, bounds=LONG, lanes=[kind]) as scene:
+        async with stage(reset_when_listed, bounds=LONG_CONNECT_TIMEOUT, lanes=[service_class]) as scene:
             await until(lambda: len(scene.discovery.heard) >= 2)
             client = await scene.client()
             client.send(request("amend", timeout="50"))
@@ -358,43 +377,43 @@
             await until(lambda: scene.sidecar._balancer.knows_endpoint("s"))
             is_listed.set()
             await until(lambda: scene.sidecar._upstream._pool._connecting == 1)
-            answer = await client.answer()  # long before its time is up: the window is what ends it
-            assert answer.status in (502, 503, 504)
-            await until(lambda: at_the_sidecar(scene) == 0)
+            response = await client.answer()  # at the end of the window, long before the client's timeout
+            assert response.status in (502, 503, 504)
+            await until(lambda: open_requests(scene) == 0)
             assert len(scene.heard) == 1
-            await nothing_was_written(scene, slow)
+            await assert_nothing_is_written(scene, slow)
         slow.close()
 
     play(work)
 
 
-def test_no_retry_is_written_after_disconnect_that_is_not_yet_seen() -> None:
-    # Guards the operators' 0.1 s in a busy process: it hears a server's answer first, and draws again, on a
-    # connection that is there.
+def test_no_retry_is_written_after_disconnect_that_is_not_processed_yet() -> None:
+    # Guards the operators' limit of 0.1 s for forwarding after a disconnect.  A busy process may read a
+    # server's rejection before an older disconnect, and would retry at once on an idle connection.
     async def work() -> None:
-        warm = asyncio.Event()
-        leaving: list[socket.socket] = []
+        may_respond = asyncio.Event()
+        leaving_clients: list[socket.socket] = []
 
         async def script(heard: Heard) -> bytes | None:
-            if not leaving:
-                await warm.wait()
+            if not leaving_clients:
+                await may_respond.wait()
                 return OK
-            # At once, and in this order: the event loop sees both in one round.
+            # Both happen at once and in this order, so the event loop gets them in one iteration.
             os.write(heard.writer.get_extra_info("socket").fileno(), FULL)
-            leaving[0].close()
+            leaving_clients[0].close()
             return None
 
         async with stage(script, script) as scene:
             for count in (1, 2):
                 (await scene.client()).send(request("lodge", timeout="50"))
                 await until(lambda sent=count: len(scene.heard) == sent)  # type: ignore[misc]
-            warm.set()
-            await until(lambda: at_the_sidecar(scene) == 0)
-            assert [len(each.heard) for each in scene.servers] == [1, 1]  # a connection to each
-            leaving.append(socket.create_connection((HOST, scene.sidecar.downstream.port)))
-            leaving[0].sendall(request("lodge", timeout="50"))
+            may_respond.set()
+            await until(lambda: open_requests(scene) == 0)
+            assert [len(server.heard) for server in scene.servers] == [1, 1]  # an idle connection to each
+            leaving_clients.append(socket.create_connection((HOST, scene.sidecar.downstream.port)))
+            leaving_clients[0].sendall(request("lodge", timeout="50"))
             await until(lambda: len(scene.heard) >= 3)
-            await until(lambda: at_the_sidecar(scene) == 0)
+            await until(lambda: open_requests(scene) == 0)
             await asyncio.sleep(0.05)
             assert len(scene.heard) == 3
 
--- a/tests/test_load_report.py
+++ b/tests/test_load_report.py
@@ -1,4 +1,4 @@
-"""The load report of a response."""
+"""Parsing of the load report in a response."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
         (b"TEXT util=much, qps=3", {"qps": 3.0}),
         (b"\xff=,,=;util", None),
     ],
-    ids=["of other columns too", "not finite", "partly malformed", "malformed"],
+    ids=["unlisted columns", "not finite", "partly malformed", "malformed"],
 )
-def test_load_report_header_is_parsed_and_nonsense_ignored(
+def test_load_report_header_is_parsed_and_malformed_pairs_ignored(
     header: bytes, report: dict[str, float] | None
 ) -> None:
     response = Response(200, [(b"server-load", header)], b"")
@@ -32,7 +32,7 @@
     assert parse_load_report(response, COLUMNS) is None
 
 
-def test_load_report_in_body_is_used_only_where_asked_for() -> None:
+def test_load_report_in_body_is_used_only_on_request() -> None:
     response = Response(200, [], b"qps=7")
     assert parse_load_report(response, COLUMNS, in_body=True) == {"qps": 7.0}
     assert parse_load_report(response, COLUMNS) is None
--- a/tests/test_request_parsing.py
+++ b/tests/test_request_parsing.py
@@ -1,4 +1,4 @@
-"""A client's request, as it is forwarded to a server."""
+"""Parsing of a client's request, and the headers that are forwarded to a server."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
     return parse_request(head, b"", CLASSES, TENANTS)
 
 
-def test_request_headers_of_the_connection_are_not_forwarded() -> None:
+def test_hop_by_hop_request_headers_are_not_forwarded() -> None:
     incoming = parse((b"connection", b"close, X-Hop, host"), (b"x-hop", b"1"), (b"x-end", b"2"))
     assert incoming.headers == [*HEADERS[:3], (b"x-end", b"2")]
 
 
-def test_request_header_of_the_protocol_that_occurs_twice_is_invalid() -> None:
+def test_protocol_header_that_occurs_twice_is_invalid() -> None:
     with pytest.raises(InvalidRequestError, match="request-id stands twice"):
         parse((b"request-id", b"9b20"))
 
 
 @pytest.mark.parametrize(("tenant", "parsed"), [(b"acme", "acme"), (b"unknown", None)])
-def test_request_tenant_is_one_of_the_settings(tenant: bytes, parsed: str | None) -> None:
+def test_request_tenant_is_none_unless_it_is_configured(tenant: bytes, parsed: str | None) -> None:
     assert parse((b"tenant", tenant)).tenant == parsed
 
 
@@ -55,12 +55,12 @@
     assert parse(target=b"/").affinity_key is None
 
 
-def test_outgoing_request_gets_the_time_that_is_left() -> None:
+def test_outgoing_request_has_the_time_left_as_its_timeout() -> None:
     outgoing = parse().to_outgoing(250_000)
     assert outgoing.headers[-1] == (b"request-timeout", b"0.250")
 
 
-def test_outgoing_streamed_request_gets_no_more_time_than_its_client_gave() -> None:
+def test_outgoing_streamed_request_has_at_most_the_timeout_of_its_client() -> None:
     head = RequestHead(
         b"POST", b"/", [*HEADERS[:2], (b"request-class", b"write"), HEADERS[3]], False, None, True, False
     )
--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -1,4 +1,4 @@
-"""Streamed responses: framing, backpressure, and how they end, over loopback sockets."""
+"""Streamed responses over loopback sockets: framing, backpressure, completion and failure."""
 
 from __future__ import annotations
 
@@ -11,29 +11,31 @@
 from sidecar import graceful_shutdown
 from sidecar.upstream import http_exchange, upstream
 
-TRUNCATED_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"a" * 90_000  # of 200,000 bytes
+TRUNCATED_RESPONSE = (
+    b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"a" * 90_000
+)  # 90,000 of 200,000 bytes
 
 
-async def long_response(client: Client, kind: str = "check") -> tuple[int, bytes]:
+async def receive_long_response(client: Client, kind: str = "check") -> tuple[int, bytes]:
     client.send(request(kind, timeout="5"))
-    first, headers = await soon(read_head(client.reader))
+    status_line, headers = await soon(read_head(client.reader))
     if "content-length" in headers:
         body = await soon(client.reader.readexactly(int(headers["content-length"])))
     else:
         body = await soon(read_chunks(client.reader))
-    return int(first.split(" ")[1]), body
+    return int(status_line.split(" ")[1]), body
 
 
-@pytest.mark.parametrize("form", ["length", "chunks", "close"])
-def test_long_response_is_complete_in_every_framing(form: str) -> None:
+@pytest.mark.parametrize("framing", ["length", "chunks", "close"])
+def test_long_response_is_complete_in_every_framing(framing: str) -> None:
     async def work() -> None:
         async def script(heard: Heard) -> bytes | None:
-            if form == "length":
+            if framing == "length":
                 return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY
-            if form == "chunks":
+            if framing == "chunks":
                 head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                pieces = (LONG_BODY[at : at + 100_000] for at in range(0, len(LONG_BODY), 100_000))
-                chunks = b"".join(b"%x;x=1\r\n%s\r\n" % (len(each), each) for each in pieces)
+                pieces = (LONG_BODY[start : start + 100_000] for start in range(0, len(LONG_BODY), 100_000))
+                chunks = b"".join(b"%x;x=1\r\n%s\r\n" % (len(piece), piece) for piece in pieces)
                 return head + chunks + b"0\r\nTrailer: t\r\n\r\n"
             heard.writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG_BODY)
             heard.writer.close()
@@ -42,16 +44,16 @@
         async with stage(script, console=True) as scene:
             client = await scene.client()
             for _ in range(2):
-                assert await long_response(client) == (200, LONG_BODY)
-            figures = await scene.figures()
-            assert figures["downstream_requests"]["check"]["completed"] == 2
-            assert (figures["pending"], scene.sidecar.open_requests) == (0, 0)
+                assert await receive_long_response(client) == (200, LONG_BODY)
+            metrics = await scene.figures()
+            assert metrics["downstream_requests"]["check"]["completed"] == 2
+            assert (metrics["pending"], scene.sidecar.open_requests) == (0, 0)
 
     play(work)
 
 
 def test_http_1_0_client_gets_long_response_delimited_by_close() -> None:
-    # It can't read chunks; the end of the connection is the end of the answer.
+    # HTTP/1.0 has no chunks, so the end of the connection delimits the response.
     async def work() -> None:
         async def script(heard: Heard) -> None:
             heard.writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG_BODY)
@@ -60,8 +62,8 @@
         async with stage(script) as scene:
             client = await scene.client()
             client.send(request("check", timeout="5").replace(b"HTTP/1.1", b"HTTP/1.0", 1))
-            first, headers = await soon(read_head(client.reader))
-            assert first.split(" ")[1] == "200" and headers["connection"] == "close"
+            status_line, headers = await soon(read_head(client.reader))
+            assert status_line.split(" ")[1] == "200" and headers["connection"] == "close"
             assert "transfer-encoding" not in headers and "content-length" not in headers
             assert await soon(client.reader.read()) == LONG_BODY
 
@@ -83,7 +85,7 @@
             await soon(read_head(client.reader))
             assert await soon(client.reader.readexactly(1_000)) == b"a" * 1_000
             await asyncio.sleep(0)
-            release.set()  # however long that takes: the client's time has stopped
+            release.set()  # no deadline applies once the response has begun
             assert await soon(client.reader.readexactly(199_000)) == b"b" * 199_000
 
     play(work)
@@ -105,11 +107,14 @@
             client = await scene.client()
             client.send(request("check", timeout="5"))
             await until(
-                lambda: any(side._is_writing_paused for side in scene.sidecar.downstream._connections)
+                lambda: any(
+                    connection._is_writing_paused for connection in scene.sidecar.downstream._connections
+                )
             )
-            (side,) = scene.sidecar.downstream._connections
+            (connection,) = scene.sidecar.downstream._connections
             limit = scene.sidecar.downstream.write_buffer_bytes + 2 * (1 << 16)
-            assert side._transport is not None and side._transport.get_write_buffer_size() <= limit
+            assert connection._transport is not None
+            assert connection._transport.get_write_buffer_size() <= limit
             assert sent < 32 << 20
             await soon(read_head(client.reader))
             assert len(await soon(client.reader.readexactly(32 << 20))) == 32 << 20
@@ -117,7 +122,7 @@
     play(work)
 
 
-def test_truncated_response_is_recognizable_to_client() -> None:
+def test_client_can_detect_truncated_response() -> None:
     async def work() -> None:
         async def script(heard: Heard) -> None:
             heard.writer.write(TRUNCATED_RESPONSE)
@@ -138,7 +143,7 @@
 
 
 def test_graceful_shutdown_completes_long_response(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against losing what its server is still giving: whatever else has to be over, it goes on.
+    # Guards against truncating a streamed response: it continues after the other limits of the shutdown.
     for name in ("_KILL_DELAY_S", "_MAX_DEADLINE_S", "_ACCEPT_FOR_S", "_RESERVE_S"):
         monkeypatch.setattr(graceful_shutdown, name, 0.0)
 
@@ -158,17 +163,17 @@
             await soon(read_head(reading.reader))
             waiting.send(request("lodge", timeout="5"))
             await until(lambda: len(scene.heard) == 2)
-            ending = asyncio.create_task(scene.sidecar.shut_down())
+            shutdown = asyncio.create_task(scene.sidecar.shut_down())
             assert (await waiting.answer()).status == 504
-            assert not ending.done()
+            assert not shutdown.done()
             release.set()
             assert await soon(reading.reader.readexactly(200_000)) == b"a" * 90_000 + b"b" * 110_000
-            await soon(ending)
+            await soon(shutdown)
 
     play(work)
 
 
-def test_disconnect_during_long_response_ends_the_exchange() -> None:
+def test_disconnect_during_long_response_cancels_the_exchange() -> None:
     async def work() -> None:
         async def script(heard: Heard) -> bytes:
             return TRUNCATED_RESPONSE
@@ -183,7 +188,7 @@
     play(work)
 
 
-def test_server_that_stalls_within_long_response_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_response_of_server_that_stalls_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream, "STALL_TIMEOUT_S", 0.1)
 
     async def work() -> None:
@@ -200,8 +205,8 @@
     play(work)
 
 
-def test_slow_rejection_of_unknown_length_stays_a_rejection(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against passing on, and so misreading, what is no answer of a server to the client.
+def test_slow_rejection_of_unknown_length_is_not_streamed(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards against forwarding a server's rejection as if it were a response to the client.
     monkeypatch.setattr(http_exchange, "_MAX_BUFFERING_S", 0.0)
 
     async def work() -> None:
@@ -214,11 +219,11 @@
             return b"1\r\nl\r\n0\r\n\r\n"
 
         async with stage(script) as scene:
-            asking = await scene.client()
-            asking.send(request("lodge"))
+            client = await scene.client()
+            client.send(request("lodge"))
             await until(lambda: len(scene.heard) == 1)
-            assert await health(await scene.client()) == 200  # some rounds of the event loop
+            assert await health(await scene.client()) == 200  # the event loop runs some iterations meanwhile
             release.set()
-            assert (await asking.answer()).status == 503
+            assert (await client.answer()).status == 503
 
     play(work)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts and the pool, over loopback sockets."""
+"""Attempts and the connection pool over loopback sockets."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 from sidecar.upstream.upstream import Upstream
 
 
-def at_the_sidecar(scene: Stage) -> int:
+def open_requests(scene: Stage) -> int:
     return scene.sidecar.open_requests
 
 
 @pytest.mark.parametrize(
-    ("answer", "status"),
+    ("response", "status"),
     [
         (ERROR, 502),
-        (FULL, 503),  # it never ran, and nobody else is there
+        (FULL, 503),  # it was not started, and there is no other server
         (b"HTTP/1.1 503 Odd\r\nContent-Length: 0\r\n\r\n", 502),
         (b"HTTP/1.1 404 Odd\r\nContent-Length: 0\r\n\r\n", 502),
         (b"HTTP/1.1 504 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", 503),
@@ -47,21 +47,21 @@
         (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, 200),
     ],
 )
-def test_non_idempotent_request_maps_response_to_status(answer: bytes, status: int) -> None:
+def test_response_to_non_idempotent_request_is_mapped_to_status(response: bytes, status: int) -> None:
     async def work() -> None:
-        async with stage(answer) as scene:
+        async with stage(response) as scene:
             assert (await scene.ask("lodge")).status == status
             assert len(scene.heard) == 1
-            assert at_the_sidecar(scene) == 0
+            assert open_requests(scene) == 0
 
     play(work)
 
 
-@pytest.mark.parametrize("part", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"])
-def test_non_idempotent_request_is_not_retried_after_connection_loss(part: bytes) -> None:
+@pytest.mark.parametrize("partial_response", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"])
+def test_non_idempotent_request_is_not_retried_after_connection_loss(partial_response: bytes) -> None:
     async def work() -> None:
         async def hang_up(heard: Heard) -> None:
-            heard.writer.write(part)
+            heard.writer.write(partial_response)
             heard.writer.close()
 
         async with stage(hang_up, hang_up) as scene:
@@ -73,23 +73,23 @@
 
 def test_response_delimited_by_close_is_complete() -> None:
     async def work() -> None:
-        async def until_eof(heard: Heard) -> None:
+        async def respond_and_close(heard: Heard) -> None:
             heard.writer.write(b"HTTP/1.1 200 OK\r\n\r\nserved")
             heard.writer.close()
 
-        async with stage(until_eof) as scene:
+        async with stage(respond_and_close) as scene:
             assert (await scene.ask("lodge")).body == b"served"
 
     play(work)
 
 
-def test_refused_connection_is_retried_elsewhere() -> None:
+def test_refused_connection_is_retried_on_another_server() -> None:
     async def work() -> None:
         async with stage(OK, OK, OK) as scene:
             scene.servers[0].stop()
             scene.servers[1].stop()
-            answers = [await scene.ask("lodge") for _ in range(4)]
-            assert [each.status for each in answers] == [200] * 4
+            responses = [await scene.ask("lodge") for _ in range(4)]
+            assert [response.status for response in responses] == [200] * 4
 
     play(work)
 
@@ -99,13 +99,13 @@
         async with stage(None) as scene:
             assert (await scene.ask("lodge", timeout="0.3")).status == 504
             await until(lambda: scene.servers[0].closed == [0])
-            assert at_the_sidecar(scene) == 0
+            assert open_requests(scene) == 0
 
     play(work)
 
 
 def test_open_connection_is_reused_and_closed_one_is_not() -> None:
-    # Guards against writing to a connection whose end lies unread in the socket: that may have run.
+    # Guards against writing a request to a connection that the server has closed: it may or may not have run.
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
@@ -135,7 +135,7 @@
 def test_connections_to_replaced_server_are_closed(change: str) -> None:
     async def work() -> None:
         async with stage(OK, OK, listed=False) as scene:
-            first, second = (each.address for each in scene.servers)
+            first, second = (server.address for server in scene.servers)
             await until(lambda: len(scene.discovery.heard) >= 2)
             scene.discovery.tell(line("s", first))
             await until(lambda: len(scene.discovery.heard) >= 3)
@@ -152,7 +152,7 @@
 
 
 def test_idle_connections_to_draining_server_are_closed() -> None:
-    # Guards against holding places, of which a server has few, where nothing new may go.
+    # Guards against using up the few connections that a server accepts, when it gets no new requests.
     async def work() -> None:
         async with stage(OK, bounds={"idleCloseUs": 600_000_000}) as scene:
             await until(lambda: len(scene.discovery.heard) >= 2)
@@ -164,7 +164,7 @@
 
 
 def test_connections_are_limited_and_surplus_attempts_not_sent() -> None:
-    # Guards against running out of descriptors; what finds no room was not sent.
+    # Guards against running out of descriptors; an attempt over the limit is reported as not sent.
     async def work() -> None:
         release = asyncio.Event()
 
@@ -176,18 +176,18 @@
         upstream = Upstream(Clock(), Limits(connect_timeout_us=1_000_000), 4, lambda: None)
         listed = line("s-0", server.address)
         upstream.update_endpoints(parse_endpoint_list({"version": 1, "full": True, "servers": [listed]}))
-        ends: list[Outcome] = []
+        outcomes: list[Outcome] = []
 
-        def message(left_us: int) -> OutgoingRequest:
+        def make_request(time_left_us: int) -> OutgoingRequest:
             return OutgoingRequest(b"GET", b"/", [(b"host", b"x")])
 
         for _ in range(6):
-            upstream.start(Attempt("s-0", 2**60, message, lambda outcome, _: ends.append(outcome)))
+            upstream.start(Attempt("s-0", 2**60, make_request, lambda outcome, _: outcomes.append(outcome)))
         await until(lambda: len(server.heard) == 4)
-        assert ends == [Outcome.NOT_SENT] * 2
+        assert outcomes == [Outcome.NOT_SENT] * 2
         release.set()
-        await until(lambda: len(ends) == 6)
-        assert ends[2:] == [Outcome.DELIVERED] * 4
+        await until(lambda: len(outcomes) == 6)
+        assert outcomes[2:] == [Outcome.DELIVERED] * 4
         upstream.close()
         server.stop()
 
