--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -68,7 +68,7 @@
                 await until(lambda: len(scene.discovery.heard) >= 4)
             accepted = await slow.let_go()
             if cause == "client disconnected":
-                scene.sidecar.close()  # the connection is usable and was kept in the server
+                scene.sidecar.close()  # the connection is usable and was kept in the pool
             else:
                 assert (await client.answer()).status == 503
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
@@ -87,7 +87,7 @@
 
 
 @dataclass
-class LateServer:
+class LateConnectionSetup:
     """An `Upstream` with one server that accepts connections late, and the outcomes of its attempts."""
 
     upstream: Upstream
@@ -119,25 +119,25 @@
 
 
 @contextlib.asynccontextmanager
-async def late_server(max_connections: int = 4) -> AsyncIterator[LateServer]:
+async def late_connection_setup(max_connections: int = 4) -> AsyncIterator[LateConnectionSetup]:
     slow = SlowToAccept()
     await slow.fill()
     clock = Clock()
     upstream = Upstream(clock, Limits(connect_timeout_us=60_000_000), max_connections, lambda: None)
-    server = LateServer(upstream, clock, slow, [])
-    server.update_list()
+    setup = LateConnectionSetup(upstream, clock, slow, [])
+    setup.update_list()
     try:
-        yield server
+        yield setup
     finally:
-        server.upstream.close()
+        setup.upstream.close()
         slow.close()
 
 
 def test_attempt_whose_connection_is_established_in_time_is_written() -> None:
     async def work() -> None:
-        async with late_server() as server:
-            server.start_attempt(send_by=2**59)
-            assert (await server.first_bytes()).startswith(b"GET / HTTP/1.1")
+        async with late_connection_setup() as setup:
+            setup.start_attempt(send_by=2**59)
+            assert (await setup.first_bytes()).startswith(b"GET / HTTP/1.1")
 
     play(work)
 
@@ -146,13 +146,12 @@
     # Guards against a retry with an idempotency key that is decided within its window and written after it,
     # when the server may have forgotten the key.
     async def work() -> None:
-        async with late_server() as server:
-            server.start_attempt(send_by=server.clock.now() + 30_000)
-            await until(
-                lambda: server.outcomes == [Outcome.NOT_SENT]
-            )  # the request did not run, which is known at once
-            assert await server.first_bytes() == b""
-            assert server.outcomes == [Outcome.NOT_SENT]
+        async with late_connection_setup() as setup:
+            setup.start_attempt(send_by=setup.clock.now() + 30_000)
+            # The request did not run, which is reported at once and not at the end of the connect timeout.
+            await until(lambda: setup.outcomes == [Outcome.NOT_SENT])
+            assert await setup.first_bytes() == b""
+            assert setup.outcomes == [Outcome.NOT_SENT]
 
     play(work)
 
@@ -166,69 +165,69 @@
     # Guards against a server that accepts no connections and is never ejected, because a timer that fires
     # early would hide the failure.
     async def work() -> None:
-        async with late_server() as server:
-            server.upstream._expire(server.start_attempt(send_by=send_by))
-            assert server.outcomes == [outcome]
+        async with late_connection_setup() as setup:
+            setup.upstream._expire(setup.start_attempt(send_by=send_by))
+            assert setup.outcomes == [outcome]
 
     play(work)
 
 
 def test_attempt_whose_window_is_over_does_not_connect() -> None:
     async def work() -> None:
-        async with late_server() as server:
-            server.start_attempt(send_by=server.clock.now())
-            await until(lambda: server.outcomes == [Outcome.NOT_SENT])
-            assert not server.upstream._pool._tasks
+        async with late_connection_setup() as setup:
+            setup.start_attempt(send_by=setup.clock.now())
+            await until(lambda: setup.outcomes == [Outcome.NOT_SENT])
+            assert not setup.upstream._pool._tasks
 
     play(work)
 
 
 def test_server_that_changes_its_cell_while_connecting_gets_no_request() -> None:
     async def work() -> None:
-        async with late_server() as server:
-            server.start_attempt()
-            server.update_list(cell=2)
-            assert await server.first_bytes() == b""
-            assert server.outcomes == [Outcome.NOT_SENT]
+        async with late_connection_setup() as setup:
+            setup.start_attempt()
+            setup.update_list(cell=2)
+            assert await setup.first_bytes() == b""
+            assert setup.outcomes == [Outcome.NOT_SENT]
 
     play(work)
 
 
 def test_unwanted_attempt_is_not_written_when_connected() -> None:
     async def work() -> None:
-        async with late_server() as server:
+        async with late_connection_setup() as setup:
             is_client_connected = [True]
-            server.start_attempt(is_wanted=lambda: is_client_connected[0])
+            setup.start_attempt(is_wanted=lambda: is_client_connected[0])
             is_client_connected[0] = False
-            assert await server.first_bytes() == b""
-            assert server.outcomes == [Outcome.NOT_SENT]
+            assert await setup.first_bytes() == b""
+            assert setup.outcomes == [Outcome.NOT_SENT]
 
     play(work)
 
 
 def test_cancelled_attempt_that_was_not_written_is_reported_as_not_sent() -> None:
     async def work() -> None:
-        async with late_server() as server:
-            attempt = server.start_attempt()
-            server.upstream.cancel(attempt)
-            server.upstream.cancel_unwritten(attempt)
-            await until(lambda: server.outcomes == [Outcome.NOT_SENT])
-            assert await server.first_bytes() == b""
+        async with late_connection_setup() as setup:
+            attempt = setup.start_attempt()
+            setup.upstream.cancel(attempt)
+            setup.upstream.cancel_unwritten(attempt)
+            await until(lambda: setup.outcomes == [Outcome.NOT_SENT])
+            assert await setup.first_bytes() == b""
 
     play(work)
 
 
 def test_connection_that_outlives_its_attempt_counts_against_the_limit_and_is_kept() -> None:
     async def work() -> None:
-        async with late_server(max_connections=1) as server:
-            server.upstream.cancel_unwritten(server.start_attempt())
-            server.start_attempt()  # at the limit: the first connection is still being established
-            await until(lambda: server.outcomes == [Outcome.NOT_SENT] * 2)
-            accepted = await server.slow.let_go()
+        async with late_connection_setup(max_connections=1) as setup:
+            setup.upstream.cancel_unwritten(setup.start_attempt())
+            setup.start_attempt()  # at the limit: the first connection is still being established
+            await until(lambda: setup.outcomes == [Outcome.NOT_SENT] * 2)
+            accepted = await setup.slow.let_go()
             await until(
-                lambda: not server.upstream._pool._tasks and len(server.upstream._pool._endpoint_of) == 1
+                lambda: not setup.upstream._pool._tasks and len(setup.upstream._pool._endpoint_of) == 1
             )
-            server.start_attempt()  # is written to the established connection
+            setup.start_attempt()  # is written to the established connection
             assert (await asyncio.get_running_loop().sock_recv(accepted, 1_000)).startswith(b"GET /")
             accepted.close()
 
