--- a/tests/simulated_parts.py
+++ b/tests/simulated_parts.py
@@ -62,7 +62,7 @@
 
 
 @dataclass
-class SimulatedInstance:
+class SimulatedSidecar:
     """One sidecar instance: its requests, idle connections and subscription to endpoint lists."""
 
     number: int
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,8 +1,7 @@
 """Simulated clients, servers and service discovery around balancers, in virtual time.
 
-A run is closed-loop: the replies of the balancers determine the events that follow.  All random numbers come
-from one generator that is seeded by the scenario, and events of one instant are delivered in the order in
-which they were scheduled.
+A run is closed-loop: replies determine the events that follow.  All random numbers come from one generator
+that is seeded by the scenario, and events of one instant are delivered in the order of their scheduling.
 """
 
 from __future__ import annotations
@@ -20,9 +19,9 @@
     Message,
     S,
     SimulatedAttempt,
-    SimulatedInstance,
     SimulatedRequest,
     SimulatedServer,
+    SimulatedSidecar,
 )
 from simulator_ports import Port
 from simulator_scenarios import Fault, Scenario
@@ -50,7 +49,7 @@
         self._is_discovery_up = True
         self._arrival_factor = 1.0
         self._servers = {server.name: server for server in self._make_servers()}
-        self._instances = [SimulatedInstance(number) for number in range(scenario.instances)]
+        self._instances = [SimulatedSidecar(number) for number in range(scenario.instances)]
         self._reply_handlers: dict[str, Callable[..., None]] = {
             "ASSIGN": self._start_attempt,
             "NOT_NOW": self._handle_rejection,
@@ -97,9 +96,7 @@
     def _schedule(self, delay_us: float, callback: Callable[[], None]) -> None:
         heapq.heappush(self._event_queue, (self._now + int(delay_us), next(self._sequence), callback))
 
-    def _schedule_in_incarnation(
-        self, instance: SimulatedInstance, delay_us: float, callback: Callable[[], None]
-    ) -> None:
+    def _call_later(self, instance: SimulatedSidecar, delay_us: float, callback: Callable[[], None]) -> None:
         """Schedule a callback that is skipped unless the instance still runs in the same process."""
         incarnation = instance.incarnation
 
@@ -110,7 +107,6 @@
         self._schedule(delay_us, call)
 
     def _occurs(self, probability: float) -> bool:
-        """Draw whether an event of this probability occurs."""
         return self._rng.random() < probability
 
     # Instances and service discovery
@@ -129,25 +125,23 @@
                 queue_limit=int(scenario.queue_per_size * max(size, 1)),
             )
 
-    def _start_instance(self, instance: SimulatedInstance) -> None:
+    def _start_instance(self, instance: SimulatedSidecar) -> None:
         instance.is_running = True
         instance.incarnation += 1
         instance.is_subscribed = self._settings["discovery"] == "pushed"
         settings = {**self._settings, "me": instance.number, "groupSize": self._scenario.group_size}
         self._batch.append(["BEGIN", instance.name, self._rng.randrange(2**32), settings])
-        self._send_endpoint_list(instance, "cached", self._servers.values())
+        self._send_list(instance, "cached", self._servers.values())
         if self._scenario.arrivals_per_s > 0.0:
             self._schedule_arrival(instance, self._now)
 
-    def _stop_instance(self, instance: SimulatedInstance) -> None:
+    def _stop_instance(self, instance: SimulatedSidecar) -> None:
         self._batch.append(["EXIT", instance.name])
         instance.is_running = False
         instance.requests.clear()
         instance.idle_since.clear()
 
-    def _send_endpoint_list(
-        self, instance: SimulatedInstance, kind: str, servers: Iterable[SimulatedServer]
-    ) -> None:
+    def _send_list(self, instance: SimulatedSidecar, kind: str, servers: Iterable[SimulatedServer]) -> None:
         self._page = (self._page + 1) % PAGES
         lines = [server.list_entry() for server in servers if kind == "delta" or server.state != "gone"]
         self._batch.append(["PAGE", self._page, lines])
@@ -159,46 +153,36 @@
         for instance in self._instances:
             if instance.is_subscribed and self._is_discovery_up:
                 delay_us = self._rng.uniform(5 * MS, 80 * MS)
-                self._schedule_in_incarnation(
-                    instance,
-                    delay_us,
-                    lambda receiver=instance: self._send_endpoint_list(receiver, "delta", servers),  # type: ignore[misc]
-                )
+                self._call_later(instance, delay_us, lambda i=instance: self._send_list(i, "delta", servers))  # type: ignore[misc]
 
-    def _handle_subscription(self, instance: SimulatedInstance, wanted: bool) -> None:
+    def _handle_subscription(self, instance: SimulatedSidecar, wanted: bool) -> None:
         def answer() -> None:
             if not self._is_discovery_up or self._occurs(self._scenario.call_failures):
                 self._batch.append(["TARGETS", instance.name, "failed", 0, 0])
                 return
             instance.is_subscribed = wanted
-            self._send_endpoint_list(
-                instance, "delta" if self._occurs(0.2) else "full", self._servers.values()
-            )
+            self._send_list(instance, "delta" if self._occurs(0.2) else "full", self._servers.values())
 
         if not self._occurs(self._scenario.calls_lost):
-            self._schedule_in_incarnation(instance, self._rng.uniform(2 * MS, 60 * MS), answer)
+            self._call_later(instance, self._rng.uniform(2 * MS, 60 * MS), answer)
 
     # Clients
 
-    def _schedule_arrival(self, instance: SimulatedInstance, after: float) -> None:
+    def _schedule_arrival(self, instance: SimulatedSidecar, after: float) -> None:
         """Schedule the next arrival, relative to the exact time of the last, which may be between ticks."""
         rate = self._scenario.arrivals_per_s * self._arrival_factor / len(self._instances)
         arrives_at = after + self._rng.expovariate(rate) * S
-        self._schedule_in_incarnation(
-            instance, arrives_at - self._now, lambda: self._handle_arrival(instance, arrives_at)
-        )
+        self._call_later(instance, arrives_at - self._now, lambda: self._arrive(instance, arrives_at))
 
-    def _handle_arrival(self, instance: SimulatedInstance, arrives_at: float) -> None:
+    def _arrive(self, instance: SimulatedSidecar, arrives_at: float) -> None:
         service_class = self._rng.choices(self._settings["lanes"], self._scenario.lane_weights)[0]
         tenants = self._settings.get("realms")
         tenant = self._rng.choices(tenants, self._scenario.tenant_weights)[0]["name"] if tenants else None
-        self._send_request(
-            instance, service_class, tenant, flags=1 if self._occurs(self._scenario.hints) else 0
-        )
+        self._submit(instance, service_class, tenant, flags=int(self._occurs(self._scenario.hints)))
         self._schedule_arrival(instance, arrives_at)
 
-    def _send_request(
-        self, instance: SimulatedInstance, service_class: dict[str, Any], tenant: str | None, flags: int
+    def _submit(
+        self, instance: SimulatedSidecar, service_class: dict[str, Any], tenant: str | None, flags: int
     ) -> None:
         work_us = int(self._scenario.work_us * self._rng.choice(self._scenario.work_parts))
         remaining_us = int(service_class["giveUpUs"] * self._rng.uniform(0.6, 1.0))
@@ -214,60 +198,48 @@
         self._batch.append([*item, is_body_arriving] if self._scenario.is_direct else item)
         if is_body_arriving:
             upload_us = self._rng.expovariate(1 / (200 * MS))
-            self._schedule_in_incarnation(
-                instance, upload_us, lambda: self._complete_upload(instance, request, remaining_us)
-            )
+            self._call_later(instance, upload_us, lambda: self._end_upload(instance, request, remaining_us))
         else:
-            self._schedule_in_incarnation(
-                instance, remaining_us, lambda: self._disconnect_at_timeout(instance, request)
-            )
+            self._call_later(instance, remaining_us, lambda: self._time_out(instance, request))
         if self._occurs(self._scenario.leaving):
             delay_us = self._rng.uniform(0, remaining_us)
-            self._schedule_in_incarnation(
-                instance, delay_us, lambda: self._disconnect_early(instance, request)
-            )
+            self._call_later(instance, delay_us, lambda: self._disconnect(instance, request))
 
-    def _complete_upload(
-        self, instance: SimulatedInstance, request: SimulatedRequest, remaining_us: int
-    ) -> None:
+    def _end_upload(self, instance: SimulatedSidecar, request: SimulatedRequest, remaining_us: int) -> None:
         request.is_body_arriving = False
         request.deadline = self._now + remaining_us
         self._batch.append(["COMPLETE", instance.name, request.number, remaining_us])
-        self._schedule_in_incarnation(
-            instance, remaining_us, lambda: self._disconnect_at_timeout(instance, request)
-        )
+        self._call_later(instance, remaining_us, lambda: self._time_out(instance, request))
         for index, attempt in enumerate(request.attempts):
             if attempt.is_pending and not attempt.is_started:
                 outcome, delay = self._draw_outcome(instance, attempt.server, request)
                 self._schedule_attempt_end(instance, request, index, outcome, delay)
 
-    def _disconnect_early(self, instance: SimulatedInstance, request: SimulatedRequest) -> None:
+    def _disconnect(self, instance: SimulatedSidecar, request: SimulatedRequest) -> None:
         """Disconnect the client early; it may be receiving a streamed response or have its response."""
         request.is_settled = True
         self._batch.append(["CLIENT_GONE", instance.name, request.number])
 
-    def _disconnect_at_timeout(self, instance: SimulatedInstance, request: SimulatedRequest) -> None:
+    def _time_out(self, instance: SimulatedSidecar, request: SimulatedRequest) -> None:
         """Disconnect the client at its timeout, unless its response has begun."""
         if not request.is_settled and not any(attempt.is_started for attempt in request.attempts):
             request.is_settled = True
             self._batch.append(["CLIENT_GONE", instance.name, request.number])
 
-    def _handle_rejection(self, instance: SimulatedInstance, number: int, retry_in_us: int) -> None:
+    def _handle_rejection(self, instance: SimulatedSidecar, number: int, retry_in_us: int) -> None:
         service_class = instance.requests[number].service_class
         self._handle_failure(instance, number)
         if self._occurs(self._scenario.client_retries):
             wait_us = retry_in_us or self._rng.uniform(10 * MS, 300 * MS)
-            self._schedule_in_incarnation(
-                instance, wait_us, lambda: self._send_request(instance, service_class, None, flags=3)
-            )
+            self._call_later(instance, wait_us, lambda: self._submit(instance, service_class, None, flags=3))
 
-    def _handle_failure(self, instance: SimulatedInstance, number: int) -> None:
+    def _handle_failure(self, instance: SimulatedSidecar, number: int) -> None:
         instance.requests[number].is_settled = True
 
     # Attempts
 
     def _start_attempt(
-        self, instance: SimulatedInstance, number: int, name: str, timeout_at: int, send_by: int | None = None
+        self, instance: SimulatedSidecar, number: int, name: str, timeout_at: int, send_by: int | None = None
     ) -> None:
         request, server = instance.requests[number], self._servers[name]
         index = len(request.attempts)
@@ -283,7 +255,7 @@
             self._schedule(delay, lambda: self._start_stream(instance, request, index))
 
     def _draw_outcome(
-        self, instance: SimulatedInstance, server: SimulatedServer, request: SimulatedRequest
+        self, instance: SimulatedSidecar, server: SimulatedServer, request: SimulatedRequest
     ) -> tuple[str, float]:
         """Draw the outcome of an attempt and its duration, which its timeout may cut short."""
         idle_since = instance.idle_since.pop(server.name, None)
@@ -300,10 +272,8 @@
         if server.in_flight > server.queue_limit:
             return "shed", self._rng.uniform(0, 2 * MS)
         load_factor = max(1.0, server.in_flight / server.concurrency)
-        duration_factor = (
-            server.latency_factor * load_factor / (server.speed * self._slow_start_factor(server))
-        )
-        return "delivered", request.work_us * duration_factor * self._rng.uniform(0.7, 1.5)
+        factor = server.latency_factor * load_factor / (server.speed * self._slow_start_factor(server))
+        return "delivered", request.work_us * factor * self._rng.uniform(0.7, 1.5)
 
     def _slow_start_factor(self, server: SimulatedServer) -> float:
         if server.started_at is None:
@@ -314,7 +284,7 @@
         return factor
 
     def _schedule_attempt_end(
-        self, instance: SimulatedInstance, request: SimulatedRequest, index: int, outcome: str, delay: float
+        self, instance: SimulatedSidecar, request: SimulatedRequest, index: int, outcome: str, delay: float
     ) -> None:
         """Schedule the end of an attempt, at its timeout at the latest."""
         attempt = request.attempts[index]
@@ -324,26 +294,24 @@
             return
         if delay >= limit:
             outcome, delay = "expired", max(limit, 0)
-        self._schedule(delay, lambda: self._end_attempt(instance, request, index, outcome))
+        self._schedule(delay, lambda: self._finish(instance, request, index, outcome))
 
-    def _start_stream(self, instance: SimulatedInstance, request: SimulatedRequest, index: int) -> None:
+    def _start_stream(self, instance: SimulatedSidecar, request: SimulatedRequest, index: int) -> None:
         attempt = request.attempts[index]
         is_late = request.is_settled or any(other.is_started for other in request.attempts)
         if not attempt.is_pending or is_late or self._is_of_earlier_process(instance, request):
-            self._end_attempt(instance, request, index, "unused")
+            self._finish(instance, request, index, "unused")
             return
         attempt.is_started = True
         elapsed = self._now - attempt.sent_at
         first = ["FIRST", instance.name, request.number, index, elapsed, attempt.server.name]
         self._batch += [first] * (2 if self._occurs(self._scenario.repeated_ends) else 1)
         outcome = "dropped" if self._occurs(0.1) else "delivered"
-        self._schedule(
-            self._rng.expovariate(1 / (300 * MS)),
-            lambda: self._end_attempt(instance, request, index, outcome),
-        )
+        delay_us = self._rng.expovariate(1 / (300 * MS))
+        self._schedule(delay_us, lambda: self._finish(instance, request, index, outcome))
 
-    def _end_attempt(
-        self, instance: SimulatedInstance, request: SimulatedRequest, index: int, outcome: str
+    def _finish(
+        self, instance: SimulatedSidecar, request: SimulatedRequest, index: int, outcome: str
     ) -> None:
         attempt = request.attempts[index]
         if not attempt.is_pending:
@@ -361,14 +329,12 @@
         message = ["ATTEMPT_END", instance.name, request.number, index, server.name, outcome, elapsed]
         message += [request.is_settled, self._load_report(server, outcome)]
         if self._scenario.is_direct:
-            is_body_consumed = (
-                request.is_body_arriving and outcome in ("dropped", "shed") and self._occurs(0.5)
-            )
-            message.append(is_body_consumed)
+            is_consumed = request.is_body_arriving and outcome in ("dropped", "shed") and self._occurs(0.5)
+            message.append(is_consumed)
         self._batch += [message] * (2 if self._occurs(self._scenario.repeated_ends) else 1)
 
     @staticmethod
-    def _is_of_earlier_process(instance: SimulatedInstance, request: SimulatedRequest) -> bool:
+    def _is_of_earlier_process(instance: SimulatedSidecar, request: SimulatedRequest) -> bool:
         """Whether the request belongs to an earlier process of the instance."""
         return instance.requests.get(request.number) is not request
 
@@ -380,20 +346,16 @@
         values = {"util": utilization, "inflight": server.in_flight, "latency_ms": 12.5}
         return {column: values[column] for column in report["columns"]}
 
-    def _cancel_attempt(self, instance: SimulatedInstance, number: int, index: int) -> None:
+    def _cancel_attempt(self, instance: SimulatedSidecar, number: int, index: int) -> None:
         request = instance.requests[number]
         if not request.attempts[index].is_started:
-            self._schedule_in_incarnation(
-                instance, 0, lambda: self._end_attempt(instance, request, index, "revoked")
-            )
+            self._call_later(instance, 0, lambda: self._finish(instance, request, index, "revoked"))
 
-    def _close_idle_connection(self, instance: SimulatedInstance, name: str) -> None:
+    def _close_idle_connection(self, instance: SimulatedSidecar, name: str) -> None:
         instance.idle_since.pop(name, None)
 
-    def _schedule_wakeup(self, instance: SimulatedInstance, in_us: int, token: str) -> None:
-        self._schedule_in_incarnation(
-            instance, in_us, lambda: self._batch.append(["WAKE", instance.name, token])
-        )
+    def _schedule_wakeup(self, instance: SimulatedSidecar, in_us: int, token: str) -> None:
+        self._call_later(instance, in_us, lambda: self._batch.append(["WAKE", instance.name, token]))
 
     # Faults
 
@@ -503,7 +465,7 @@
             for request in list(instance.requests.values()):
                 for index, attempt in enumerate(request.attempts):
                     if attempt.is_pending and attempt.server in servers:
-                        self._end_attempt(instance, request, index, "dropped")
+                        self._finish(instance, request, index, "dropped")
 
     def _start_servers(self, servers: list[SimulatedServer], fault: Fault) -> None:
         for server in servers:
