--- a/sidecar/upstream/http_exchange.py
+++ b/sidecar/upstream/http_exchange.py
@@ -220,9 +220,7 @@
         """Called by the event loop: the connection to the server is established."""
         # uvloop's transport is no subclass of asyncio's, so its type can't be checked.
         self._transport = cast(Transport, transport)
-        self._transport.set_write_buffer_limits(
-            high=0
-        )  # so pause_writing is called if any data stays unwritten
+        self._transport.set_write_buffer_limits(high=0)  # pause_writing then means: data is unwritten
         self._socket = ConnectionSocket(self._transport)
 
     def pause_writing(self) -> None:
--- a/tests/test_downstream_requests.py
+++ b/tests/test_downstream_requests.py
@@ -105,9 +105,7 @@
             raw = request("lodge", Content_Length=length, Transfer_Encoding="chunked") + body
             client.send(raw if length else raw.replace(b"HTTP/1.1", b"HTTP/1.0", 1))
             assert (await client.answer()).status == 400
-            assert (
-                await soon(client.reader.read()) == b""
-            )  # the connection is closed, so nothing more is read
+            assert await soon(client.reader.read()) == b""  # closed, so nothing more is read
             assert scene.heard == []
 
     play(work)
