--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -1,7 +1,7 @@
 """Attempts whose conditions change while their connection is being established.
 
-Before its first byte is written, an attempt is checked again.  `SlowToAccept.let_go` completes a connection
-after the change, so the order of events is fixed.
+Before its first byte is written, an attempt is checked again.  The tests make the change first and then
+complete the connection by `SlowToAccept.let_go`, so the order of events is fixed.
 """
 
 from __future__ import annotations
