--- a/sidecar/downstream/downstream.py
+++ b/sidecar/downstream/downstream.py
@@ -202,7 +202,7 @@
             self._schedule_sweep()
 
     def _evict_connection(self) -> bool:
-        """Close one connection that can be closed for a new one; return whether there was one.
+        """Close one connection without an accepted request to make room; return whether there was one.
 
         Only a few of each table are considered.  If all were polled for each new connection, a burst of
         connections would leave no processing time for requests.
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -417,9 +417,7 @@
 
 def test_sigterm_before_ready_exits_with_0(tmp_path: Path) -> None:
     async def work() -> None:
-        discovery = await ScriptedServer(
-            None
-        ).start()  # never answers, so the start waits for its endpoint list
+        discovery = await ScriptedServer(None).start()  # never answers, so the start waits for it
         path = tmp_path / "config.json"
         settings = {**GOOD["settings"], "discovery": "pushed"}
         path.write_text(json.dumps({**GOOD, "discovery": discovery.address, "settings": settings}))
--- a/tests/test_downstream_requests.py
+++ b/tests/test_downstream_requests.py
@@ -181,9 +181,7 @@
     async def work() -> None:
         async with stage(OK) as scene:
             client = await scene.client()
-            assert (
-                await client.ask(target="/api/1")
-            ).status == 200  # now there is an idle connection to the server
+            assert (await client.ask(target="/api/1")).status == 200  # leaves a connection to reuse
             downstream = scene.sidecar.downstream
             with socket.create_connection((HOST, downstream.port)) as closed:
                 closed.sendall(request("check", target="/api/gone"))  # closed before it is accepted
--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -11,9 +11,7 @@
 from sidecar import graceful_shutdown
 from sidecar.upstream import http_exchange, upstream
 
-TRUNCATED_RESPONSE = (
-    b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"a" * 90_000
-)  # 90,000 of 200,000 bytes
+TRUNCATED_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"a" * 90_000  # of 200,000 bytes
 
 
 async def receive_long_response(client: Client, kind: str = "check") -> tuple[int, bytes]:
