--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -37,7 +37,7 @@
         self._scenario = scenario
         self._port = port
         self._rng = random.Random(scenario.seed)
-        self._settings = scenario.boot
+        self._settings = scenario.settings
         self._tick_us: int = self._settings["quantumUs"]
         self._now = START_US
         self._event_queue: list[tuple[int, int, Callable[[], None]]] = []
@@ -68,7 +68,7 @@
             self._schedule(0, lambda instance=instance: self._start_instance(instance))  # type: ignore[misc]
         for fault in self._scenario.faults:
             self._schedule(fault.at_us, lambda fault=fault: self._start_fault(fault))  # type: ignore[misc]
-        end = START_US + self._scenario.span_us
+        end = START_US + self._scenario.duration_us
         while self._event_queue and self._now < end:
             self._advance()
             for line in self._port.exchange(self._now, self._batch):
@@ -157,13 +157,13 @@
 
     def _handle_subscription(self, instance: SimulatedSidecar, wanted: bool) -> None:
         def answer() -> None:
-            if not self._is_discovery_up or self._occurs(self._scenario.call_failures):
+            if not self._is_discovery_up or self._occurs(self._scenario.call_failure_rate):
                 self._batch.append(["TARGETS", instance.name, "failed", 0, 0])
                 return
             instance.is_subscribed = wanted
             self._send_list(instance, "delta" if self._occurs(0.2) else "full", self._servers.values())
 
-        if not self._occurs(self._scenario.calls_lost):
+        if not self._occurs(self._scenario.lost_call_rate):
             self._call_later(instance, self._rng.uniform(2 * MS, 60 * MS), answer)
 
     # Clients
@@ -178,22 +178,22 @@
         service_class = self._rng.choices(self._settings["lanes"], self._scenario.lane_weights)[0]
         tenants = self._settings.get("realms")
         tenant = self._rng.choices(tenants, self._scenario.tenant_weights)[0]["name"] if tenants else None
-        self._submit(instance, service_class, tenant, flags=int(self._occurs(self._scenario.hints)))
+        self._submit(instance, service_class, tenant, flags=int(self._occurs(self._scenario.hint_rate)))
         self._schedule_arrival(instance, arrives_at)
 
     def _submit(
         self, instance: SimulatedSidecar, service_class: dict[str, Any], tenant: str | None, flags: int
     ) -> None:
-        work_us = int(self._scenario.work_us * self._rng.choice(self._scenario.work_parts))
+        work_us = int(self._scenario.work_us * self._rng.choice(self._scenario.work_factors))
         remaining_us = int(service_class["giveUpUs"] * self._rng.uniform(0.6, 1.0))
-        is_body_arriving = self._occurs(self._scenario.arriving)
+        is_body_arriving = self._occurs(self._scenario.streamed_body_rate)
         number, self._next_request = self._next_request, self._next_request + 1
         deadline = self._now + (FOREVER_US if is_body_arriving else remaining_us)
         request = SimulatedRequest(number, service_class, work_us, self._now, deadline, is_body_arriving)
         instance.requests[number] = request
         key = self._rng.randrange(40) if self._occurs(0.5) else None
-        name = "unnamed" if self._occurs(self._scenario.unnamed_classes) else service_class["name"]
-        hint_us = -1 if self._occurs(self._scenario.wrong_hints) else work_us
+        name = "unnamed" if self._occurs(self._scenario.unnamed_class_rate) else service_class["name"]
+        hint_us = -1 if self._occurs(self._scenario.wrong_hint_rate) else work_us
         item = ["WORK_ITEM", instance.name, number, name, tenant, key, remaining_us, hint_us, flags]
         self._batch.append([*item, is_body_arriving] if self._scenario.is_direct else item)
         if is_body_arriving:
@@ -201,7 +201,7 @@
             self._call_later(instance, upload_us, lambda: self._end_upload(instance, request, remaining_us))
         else:
             self._call_later(instance, remaining_us, lambda: self._time_out(instance, request))
-        if self._occurs(self._scenario.leaving):
+        if self._occurs(self._scenario.disconnect_rate):
             delay_us = self._rng.uniform(0, remaining_us)
             self._call_later(instance, delay_us, lambda: self._disconnect(instance, request))
 
@@ -229,7 +229,7 @@
     def _handle_rejection(self, instance: SimulatedSidecar, number: int, retry_in_us: int) -> None:
         service_class = instance.requests[number].service_class
         self._handle_failure(instance, number)
-        if self._occurs(self._scenario.client_retries):
+        if self._occurs(self._scenario.client_retry_rate):
             wait_us = retry_in_us or self._rng.uniform(10 * MS, 300 * MS)
             self._call_later(instance, wait_us, lambda: self._submit(instance, service_class, None, flags=3))
 
@@ -245,7 +245,7 @@
         index = len(request.attempts)
         request.attempts.append(SimulatedAttempt(server, self._now, timeout_at))
         server.in_flight += 1
-        if request.is_settled or self._occurs(self._scenario.unsent):
+        if request.is_settled or self._occurs(self._scenario.unsent_rate):
             self._schedule_attempt_end(instance, request, index, "unused", 0)
             return
         outcome, delay = self._draw_outcome(instance, server, request)
@@ -305,7 +305,7 @@
         attempt.is_started = True
         elapsed = self._now - attempt.sent_at
         first = ["FIRST", instance.name, request.number, index, elapsed, attempt.server.name]
-        self._batch += [first] * (2 if self._occurs(self._scenario.repeated_ends) else 1)
+        self._batch += [first] * (2 if self._occurs(self._scenario.repeated_end_rate) else 1)
         outcome = "dropped" if self._occurs(0.1) else "delivered"
         delay_us = self._rng.expovariate(1 / (300 * MS))
         self._schedule(delay_us, lambda: self._finish(instance, request, index, outcome))
@@ -331,7 +331,7 @@
         if self._scenario.is_direct:
             is_consumed = request.is_body_arriving and outcome in ("dropped", "shed") and self._occurs(0.5)
             message.append(is_consumed)
-        self._batch += [message] * (2 if self._occurs(self._scenario.repeated_ends) else 1)
+        self._batch += [message] * (2 if self._occurs(self._scenario.repeated_end_rate) else 1)
 
     @staticmethod
     def _is_of_earlier_process(instance: SimulatedSidecar, request: SimulatedRequest) -> bool:
@@ -381,7 +381,7 @@
         servers = self._rng.sample(servers, min(fault.servers or len(servers), len(servers)))
         start(servers, fault)
         if stop is not None:
-            self._schedule(fault.for_us, lambda: stop(servers, fault))
+            self._schedule(fault.duration_us, lambda: stop(servers, fault))
 
     def _start_burst(self, servers: list[SimulatedServer], fault: Fault) -> None:
         self._arrival_factor = fault.factor
@@ -436,7 +436,7 @@
 
     def _misbehave(self, servers: list[SimulatedServer], fault: Fault) -> None:
         for server in servers:
-            server.behaviour = fault.verdict
+            server.behaviour = fault.behaviour
 
     def _slow(self, servers: list[SimulatedServer], fault: Fault) -> None:
         for server in servers:
@@ -470,7 +470,7 @@
     def _start_servers(self, servers: list[SimulatedServer], fault: Fault) -> None:
         for server in servers:
             server.is_up, server.state, server.started_at = True, "ready", self._now
-            if fault.moves:
+            if fault.moves_servers:
                 server.nominal *= 2
                 server.zone = self._scenario.zones[0]
         self._publish_changes(servers)
@@ -478,10 +478,10 @@
     def _drain(self, servers: list[SimulatedServer], fault: Fault) -> None:
         for server in servers:
             server.state = "draining"
-            if fault.moves:
+            if fault.moves_servers:
                 server.started_at = self._now
         self._publish_changes(servers)
-        self._schedule(fault.for_us / 2, lambda: self._remove(servers, fault))
+        self._schedule(fault.duration_us / 2, lambda: self._remove(servers, fault))
 
     def _remove(self, servers: list[SimulatedServer], fault: Fault) -> None:
         for server in servers:
--- a/tests/test_body_streaming.py
+++ b/tests/test_body_streaming.py
@@ -10,15 +10,15 @@
     HOST,
     LONG_BODY,
     OK,
-    Stage,
-    line,
-    play,
-    read_chunks,
+    SidecarHarness,
+    endpoint_entry,
+    read_chunked_body,
     read_head,
-    request,
-    soon,
-    stage,
-    until,
+    request_bytes,
+    run_async,
+    running_sidecar,
+    wait_until,
+    within_timeout,
 )
 
 from sidecar.downstream import flow_control
@@ -58,17 +58,17 @@
     async def work() -> None:
         server = UploadServer()
         listener = await server.start()
-        async with stage(listed=False) as scene:
-            await list_server(scene, f"{HOST}:{listener.sockets[0].getsockname()[1]}")
-            sender = await scene.client()
-            sender.send(request("lodge", body=LONG_BODY)[:-1])
-            await until(lambda: server.requests == 1)
-            assert scene.sidecar.administration.metrics()["pending"] == 0
+        async with running_sidecar(is_listed=False) as harness:
+            await list_server(harness, f"{HOST}:{listener.sockets[0].getsockname()[1]}")
+            sender = await harness.client()
+            sender.send(request_bytes("lodge", body=LONG_BODY)[:-1])
+            await wait_until(lambda: server.requests == 1)
+            assert harness.sidecar.administration.metrics()["pending"] == 0
             sender.send(LONG_BODY[-1:])
-            assert (await sender.answer()).status == 200
+            assert (await sender.read_response()).status == 200
         listener.close()
 
-    play(work)
+    run_async(work)
 
 
 class UploadServer:
@@ -91,7 +91,7 @@
                 if "content-length" in headers:
                     body = await reader.readexactly(int(headers["content-length"]))
                 else:
-                    body = await read_chunks(reader)
+                    body = await read_chunked_body(reader)
                 self.bodies.append(body)
                 writer.write(self.response)
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -102,8 +102,8 @@
 
 def upload_request(body: bytes, framing: str) -> bytes:
     if framing == "length":
-        return request("lodge", body=body)
-    head = request("lodge", Content_Length="", Transfer_Encoding="chunked", Trailer="t")
+        return request_bytes("lodge", body=body)
+    head = request_bytes("lodge", Content_Length="", Transfer_Encoding="chunked", Trailer="t")
     pieces = (body[start : start + 30_000] for start in range(0, len(body), 30_000))
     return (
         head + b"".join(b"%x;e=1\r\n%s\r\n" % (len(piece), piece) for piece in pieces) + b"0\r\nt: 1\r\n\r\n"
@@ -116,24 +116,24 @@
         server = UploadServer()
         listener = await server.start()
         address = f"{HOST}:{listener.sockets[0].getsockname()[1]}"
-        async with stage(listed=False, console=True) as scene:
-            await list_server(scene, address)
-            client = await scene.client()
+        async with running_sidecar(is_listed=False, has_admin_interface=True) as harness:
+            await list_server(harness, address)
+            client = await harness.client()
             for _ in range(2):
                 client.send(upload_request(LONG_BODY, framing))
-                assert (await client.answer()).status == 200
+                assert (await client.read_response()).status == 200
             assert server.bodies == [LONG_BODY, LONG_BODY]
-            metrics = await scene.figures()
+            metrics = await harness.metrics()
             assert metrics["downstream_requests"]["lodge"]["completed"] == 2
             assert metrics["upstream_requests"] == 2
         listener.close()
 
-    play(work)
+    run_async(work)
 
 
-async def list_server(scene: Stage, address: str) -> None:
-    scene.discovery.tell(line("s-0", address))
-    await until(lambda: scene.sidecar.administration.metrics()["members"] == 1)
+async def list_server(harness: SidecarHarness, address: str) -> None:
+    harness.discovery.send_changes(endpoint_entry("s-0", address))
+    await wait_until(lambda: harness.sidecar.administration.metrics()["members"] == 1)
 
 
 def test_server_that_stops_reading_pauses_client() -> None:
@@ -143,23 +143,23 @@
         listener = await server.start()
         address = f"{HOST}:{listener.sockets[0].getsockname()[1]}"
         body = bytes(24 << 20)
-        async with stage(listed=False) as scene:
-            await list_server(scene, address)
-            client = await scene.client()
+        async with running_sidecar(is_listed=False) as harness:
+            await list_server(harness, address)
+            client = await harness.client()
             client.send(upload_request(body, "length"))
-            connections = scene.sidecar.downstream._connections
-            await until(
+            connections = harness.sidecar.downstream._connections
+            await wait_until(
                 lambda: any(
                     connection.receive_progress.paused_since is not None for connection in connections
                 )
             )
-            scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 15.0)
+            harness.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 15.0)
             server.may_read.set()  # a pause by the server does not count as the client's time
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             assert server.bodies == [body]
         listener.close()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("failure", ["timeout", "disconnect", "malformed chunk", "pipelined request"])
@@ -168,29 +168,29 @@
         server = UploadServer()
         listener = await server.start()
         address = f"{HOST}:{listener.sockets[0].getsockname()[1]}"
-        async with stage(listed=False) as scene:
-            await list_server(scene, address)
-            client = await scene.client()
-            head = request("lodge", Content_Length="", Transfer_Encoding="chunked")
+        async with running_sidecar(is_listed=False) as harness:
+            await list_server(harness, address)
+            client = await harness.client()
+            head = request_bytes("lodge", Content_Length="", Transfer_Encoding="chunked")
             client.send(head + b"%x\r\n%s\r\n" % (100_000, bytes(100_000)))
-            await until(lambda: server.requests == 1)
+            await wait_until(lambda: server.requests == 1)
             if failure == "timeout":
-                scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 5.0)
-                assert (await client.answer()).status == 408
+                harness.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 5.0)
+                assert (await client.read_response()).status == 408
             elif failure == "disconnect":
                 client.close()
             elif failure == "malformed chunk":
                 client.send(b"zz\r\n")
-                assert (await client.answer()).status == 400
+                assert (await client.read_response()).status == 400
             else:
-                client.send(b"0\r\n\r\n" + request("lodge"))
-                assert (await client.answer()).status == 400
-            await until(lambda: scene.sidecar.open_requests == 0)
+                client.send(b"0\r\n\r\n" + request_bytes("lodge"))
+                assert (await client.read_response()).status == 400
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
             assert server.bodies == [] or failure == "pipelined request"
             assert len(server.bodies) <= 1
         listener.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_expect_100_continue_is_answered() -> None:
@@ -198,27 +198,27 @@
         server = UploadServer()
         listener = await server.start()
         address = f"{HOST}:{listener.sockets[0].getsockname()[1]}"
-        async with stage(listed=False) as scene:
-            await list_server(scene, address)
-            client = await scene.client()
-            client.send(request("lodge", Content_Length=str(len(LONG_BODY)), Expect="100-continue"))
-            assert (await soon(client.reader.readuntil(b"\r\n\r\n"))).startswith(b"HTTP/1.1 100 ")
+        async with running_sidecar(is_listed=False) as harness:
+            await list_server(harness, address)
+            client = await harness.client()
+            client.send(request_bytes("lodge", Content_Length=str(len(LONG_BODY)), Expect="100-continue"))
+            assert (await within_timeout(client.reader.readuntil(b"\r\n\r\n"))).startswith(b"HTTP/1.1 100 ")
             client.send(LONG_BODY)
-            assert (await client.answer()).status == 200 and server.bodies == [LONG_BODY]
+            assert (await client.read_response()).status == 200 and server.bodies == [LONG_BODY]
         listener.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_long_request_without_servers_is_rejected_before_its_body_is_complete() -> None:
     async def work() -> None:
-        async with stage(listed=False) as scene:
-            client = await scene.client()
-            client.send(request("lodge", Content_Length=str(len(LONG_BODY))) + bytes(70_000))
-            response = await client.answer()
+        async with running_sidecar(is_listed=False) as harness:
+            client = await harness.client()
+            client.send(request_bytes("lodge", Content_Length=str(len(LONG_BODY))) + bytes(70_000))
+            response = await client.read_response()
             assert (response.status, response.headers["connection"]) == (503, "close")
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -232,10 +232,10 @@
 )
 def test_invalid_head_of_long_request_reaches_no_server(changes: dict[str, Any], status: int) -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            client.send(request("lodge", **{"Content_Length": str(len(LONG_BODY)), **changes}))
-            assert (await client.answer()).status == status
-            assert scene.heard == []
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
+            client.send(request_bytes("lodge", **{"Content_Length": str(len(LONG_BODY)), **changes}))
+            assert (await client.read_response()).status == status
+            assert harness.requests == []
 
-    play(work)
+    run_async(work)
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -10,8 +10,20 @@
 from typing import Any
 
 import pytest
-from loopback import ERROR, HOST, OK, Heard, ScriptedServer, Stage, play, request, soon, stage, until
-from test_program import GOOD, program, started
+from loopback import (
+    ERROR,
+    HOST,
+    OK,
+    ReceivedRequest,
+    ScriptedServer,
+    SidecarHarness,
+    request_bytes,
+    run_async,
+    running_sidecar,
+    wait_until,
+    within_timeout,
+)
+from test_program import VALID_CONFIGURATION, running_program, start_program
 
 from sidecar.downstream.connection import DownstreamConnection
 from sidecar.downstream.connection_state import TRANSITIONS, ConnectionState
@@ -31,7 +43,7 @@
     async def read_all(self) -> bytes:
         """Read to the end of the stream; raise ConnectionResetError if the connection was reset."""
         received = b""
-        while piece := await soon(self._loop.sock_recv(self.socket, 65_536)):
+        while piece := await within_timeout(self._loop.sock_recv(self.socket, 65_536)):
             received += piece
         return received
 
@@ -42,13 +54,13 @@
         self.socket.close()
 
 
-def connection_states(scene: Stage) -> list[ConnectionState]:
-    return [connection.state for connection in scene.sidecar.downstream._connections]
+def connection_states(harness: SidecarHarness) -> list[ConnectionState]:
+    return [connection.state for connection in harness.sidecar.downstream._connections]
 
 
-async def process_sent_data(scene: Stage) -> None:
+async def process_sent_data(harness: SidecarHarness) -> None:
     """Run the event loop until it has processed all data that was sent before."""
-    _, writer = await asyncio.open_connection(HOST, scene.servers[0].address.rpartition(":")[2])
+    _, writer = await asyncio.open_connection(HOST, harness.servers[0].address.rpartition(":")[2])
     writer.close()
     for _ in range(20):
         await asyncio.sleep(0)
@@ -61,82 +73,82 @@
 def test_bytes_that_arrive_with_the_last_response_do_not_truncate_it(cause: str) -> None:
     # Guards against closing a socket with unread data: that resets the connection, and the response is lost.
     async def work() -> None:
-        async def answer(heard: Heard) -> bytes:
+        async def answer(heard: ReceivedRequest) -> bytes:
             if cause == "drain":
-                scene.sidecar.downstream.drain()
+                harness.sidecar.downstream.drain()
             return OK
 
-        async with stage(answer) as scene:
-            client = RawClient(scene.sidecar.downstream.port)
-            message = request("lodge")
+        async with running_sidecar(answer) as harness:
+            client = RawClient(harness.sidecar.downstream.port)
+            message = request_bytes("lodge")
             if cause == "connection: close":
-                message = request("lodge", Connection="close")
+                message = request_bytes("lodge", Connection="close")
             elif cause == "HTTP/1.0":
                 message = message.replace(b"HTTP/1.1", b"HTTP/1.0")
             elif cause == "invalid request":
-                message = request("lodge", Request_Class="unheard-of")
+                message = request_bytes("lodge", Request_Class="unheard-of")
             elif cause == "pipelined request":
-                message += request("lodge")
+                message += request_bytes("lodge")
             client.send(message)
             response = await client.read_all()
             is_rejected = cause in ("invalid request", "pipelined request")
             assert response.startswith(b"HTTP/1.1 4" if is_rejected else b"HTTP/1.1 200")
-            (connection,) = scene.sidecar.downstream._connections
+            (connection,) = harness.sidecar.downstream._connections
             assert connection.state is ConnectionState.LINGERING
-            before = len(scene.heard)
+            before = len(harness.requests)
             for _ in range(3):
-                client.send(request("lodge"))
-                await process_sent_data(scene)
-            assert not client.is_reset() and len(scene.heard) == before
+                client.send(request_bytes("lodge"))
+                await process_sent_data(harness)
+            assert not client.is_reset() and len(harness.requests) == before
             client.close()
-            await until(lambda: scene.sidecar.downstream.is_empty)
+            await wait_until(lambda: harness.sidecar.downstream.is_empty)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("cause", ["drain", "evacuation", "idle timeout"])
 def test_request_sent_while_idle_connection_is_closed_is_not_forwarded(cause: str) -> None:
     # Guards against running a request twice: its client gets no response and sends it again elsewhere.
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = RawClient(scene.sidecar.downstream.port)
-            client.send(request("lodge"))
-            await until(lambda: len(scene.sidecar.downstream._idle_since) == 1)
+        async with running_sidecar(OK) as harness:
+            client = RawClient(harness.sidecar.downstream.port)
+            client.send(request_bytes("lodge"))
+            await wait_until(lambda: len(harness.sidecar.downstream._idle_since) == 1)
             if cause == "drain":
-                scene.sidecar.downstream.drain()
+                harness.sidecar.downstream.drain()
             elif cause == "evacuation":
-                scene.sidecar.administration.drain_clients()
+                harness.sidecar.administration.drain_clients()
             else:
-                scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 3_600)
-            client.send(request("lodge"))  # before the event loop has run again
+                harness.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 3_600)
+            client.send(request_bytes("lodge"))  # before the event loop has run again
             assert (await client.read_all()).count(b"HTTP/1.1 200") == 1
-            client.send(request("lodge"))
-            await process_sent_data(scene)
-            assert not client.is_reset() and len(scene.heard) == 1
+            client.send(request_bytes("lodge"))
+            await process_sent_data(harness)
+            assert not client.is_reset() and len(harness.requests) == 1
             client.close()
-            await until(lambda: scene.sidecar.downstream.is_empty)
+            await wait_until(lambda: harness.sidecar.downstream.is_empty)
 
-    play(work)
+    run_async(work)
 
 
 def test_lingering_client_that_never_closes_is_closed_in_time() -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = RawClient(scene.sidecar.downstream.port)
-            client.send(request("lodge", Connection="close"))
+        async with running_sidecar(OK) as harness:
+            client = RawClient(harness.sidecar.downstream.port)
+            client.send(request_bytes("lodge", Connection="close"))
             assert (await client.read_all()).startswith(b"HTTP/1.1 200")
             now = asyncio.get_running_loop().time()
 
             def is_closed_at_next_timeout() -> bool:
                 nonlocal now
                 now += 2.5
-                scene.sidecar.downstream.close_overdue(now)
-                return scene.sidecar.downstream.is_empty
+                harness.sidecar.downstream.close_overdue(now)
+                return harness.sidecar.downstream.is_empty
 
-            await until(is_closed_at_next_timeout)
+            await wait_until(is_closed_at_next_timeout)
             client.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_slow_reader_gets_the_complete_last_response() -> None:
@@ -144,20 +156,22 @@
     async def work() -> None:
         body = b"x" * 65_000
 
-        async with stage(b"HTTP/1.1 200 OK\r\nContent-Length: 65000\r\n\r\n" + body) as scene:
-            client = RawClient(scene.sidecar.downstream.port)
+        async with running_sidecar(b"HTTP/1.1 200 OK\r\nContent-Length: 65000\r\n\r\n" + body) as harness:
+            client = RawClient(harness.sidecar.downstream.port)
             client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            client.send(request("lodge", Connection="close"))
-            await until(lambda: connection_states(scene) == [ConnectionState.LINGERING])
-            (connection,) = scene.sidecar.downstream._connections
+            client.send(request_bytes("lodge", Connection="close"))
+            await wait_until(lambda: connection_states(harness) == [ConnectionState.LINGERING])
+            (connection,) = harness.sidecar.downstream._connections
             now, received, steps = asyncio.get_running_loop().time(), b"", 0
             while undelivered := connection._undelivered_bytes():
                 while connection._undelivered_bytes() >= undelivered:
-                    received += await soon(asyncio.get_running_loop().sock_recv(client.socket, 2_048))
+                    received += await within_timeout(
+                        asyncio.get_running_loop().sock_recv(client.socket, 2_048)
+                    )
                 if not connection._undelivered_bytes():
                     break  # the client's machine has all of it, so closing loses nothing
                 now += 2.5  # some was delivered, so the connection stays open
-                scene.sidecar.downstream.close_overdue(now)
+                harness.sidecar.downstream.close_overdue(now)
                 assert connection.state is ConnectionState.LINGERING
                 steps += 1
             assert steps > 0
@@ -165,127 +179,129 @@
             assert received.endswith(body)
             client.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_silent_connection_is_evicted_rather_than_one_that_reads_its_response() -> None:
     async def work() -> None:
         body = b"x" * 65_000
         limits = {"limits": {"sockets": 72}}
-        async with stage(b"HTTP/1.1 200 OK\r\nContent-Length: 65000\r\n\r\n" + body, given=limits) as scene:
-            limit = scene.sidecar.downstream._max_connections
+        async with running_sidecar(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 65000\r\n\r\n" + body, configuration=limits
+        ) as harness:
+            limit = harness.sidecar.downstream._max_connections
             slow_reader = socket.socket()
             slow_reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            slow_reader.connect((HOST, scene.sidecar.downstream.port))
+            slow_reader.connect((HOST, harness.sidecar.downstream.port))
             slow_reader.setblocking(False)
-            slow_reader.send(request("lodge", Connection="close"))
-            await until(lambda: connection_states(scene) == [ConnectionState.LINGERING])
-            (connection,) = scene.sidecar.downstream._connections
+            slow_reader.send(request_bytes("lodge", Connection="close"))
+            await wait_until(lambda: connection_states(harness) == [ConnectionState.LINGERING])
+            (connection,) = harness.sidecar.downstream._connections
             assert connection.has_undelivered_bytes
-            silent = [RawClient(scene.sidecar.downstream.port) for _ in range(limit - 1)]
-            await until(lambda: scene.sidecar.downstream.open_connections == limit)
-            scene.sidecar.downstream._awaited_since[connection] -= 10.0  # the one that has waited longest
-            for awaited in scene.sidecar.downstream._awaited_since:
-                scene.sidecar.downstream._awaited_since[awaited] -= 1.0
-            newcomer = await scene.client()
-            newcomer.send(request("lodge"))
-            await until(lambda: len(scene.heard) == 2)
+            silent = [RawClient(harness.sidecar.downstream.port) for _ in range(limit - 1)]
+            await wait_until(lambda: harness.sidecar.downstream.open_connections == limit)
+            harness.sidecar.downstream._awaited_since[connection] -= 10.0  # the one that has waited longest
+            for awaited in harness.sidecar.downstream._awaited_since:
+                harness.sidecar.downstream._awaited_since[awaited] -= 1.0
+            newcomer = await harness.client()
+            newcomer.send(request_bytes("lodge"))
+            await wait_until(lambda: len(harness.requests) == 2)
             assert connection.state is ConnectionState.LINGERING
             for client in silent:
                 client.close()
             slow_reader.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_connections_queued_before_listener_closes_are_served() -> None:
     # Guards against losing requests at SIGTERM: closing a listening socket resets its queued connections.
     async def work() -> None:
-        async with stage(OK) as scene:
-            clients = [RawClient(scene.sidecar.downstream.port) for _ in range(20)]
+        async with running_sidecar(OK) as harness:
+            clients = [RawClient(harness.sidecar.downstream.port) for _ in range(20)]
             for client in clients:
-                client.send(request("lodge"))
-            scene.sidecar.downstream.drain()
-            scene.sidecar.downstream.stop_listening(accept_queued=True)
-            assert not scene.sidecar.downstream.is_empty
+                client.send(request_bytes("lodge"))
+            harness.sidecar.downstream.drain()
+            harness.sidecar.downstream.stop_listening(accept_queued=True)
+            assert not harness.sidecar.downstream.is_empty
             for client in clients:
                 assert (await client.read_all()).startswith(b"HTTP/1.1 200")
                 client.close()
-            assert len(scene.heard) == 20
-            await until(lambda: scene.sidecar.downstream.is_empty)
+            assert len(harness.requests) == 20
+            await wait_until(lambda: harness.sidecar.downstream.is_empty)
 
-    play(work)
+    run_async(work)
 
 
 def test_idle_and_silent_clients_are_closed_while_another_awaits_its_response() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
-            if len(scene.heard) > 1:
+        async def hold(heard: ReceivedRequest) -> bytes:
+            if len(harness.requests) > 1:
                 await release.wait()
             return OK
 
-        async with stage(hold) as scene:
-            idle, waiting = await scene.client(), await scene.client()
-            assert (await idle.ask("lodge")).status == 200
-            waiting.send(request("lodge"))
-            await until(lambda: len(scene.heard) == 2)
-            silent = await scene.client()
-            await until(lambda: scene.sidecar.downstream.open_connections == 3)
-            draining = asyncio.get_running_loop().create_task(scene.sidecar.shut_down())
+        async with running_sidecar(hold) as harness:
+            idle, waiting = await harness.client(), await harness.client()
+            assert (await idle.request("lodge")).status == 200
+            waiting.send(request_bytes("lodge"))
+            await wait_until(lambda: len(harness.requests) == 2)
+            silent = await harness.client()
+            await wait_until(lambda: harness.sidecar.downstream.open_connections == 3)
+            draining = asyncio.get_running_loop().create_task(harness.sidecar.shut_down())
             for client in (idle, silent):
-                assert await soon(client.reader.read()) == b""
+                assert await within_timeout(client.reader.read()) == b""
                 client.close()
             assert not draining.done()
             release.set()
-            assert (await waiting.answer()).status == 200
-            assert await soon(waiting.reader.read()) == b""
+            assert (await waiting.read_response()).status == 200
+            assert await within_timeout(waiting.reader.read()) == b""
             waiting.close()
-            await soon(draining)
+            await within_timeout(draining)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("is_completed", [True, False])
 def test_partial_body_at_drain_is_accepted_if_it_is_completed_in_time(is_completed: bool) -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            message = request("lodge", body=b"x" * 30_000)
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
+            message = request_bytes("lodge", body=b"x" * 30_000)
             client.send(message[:-20_000])
-            await until(
+            await wait_until(
                 lambda: (
-                    [connection.is_sending_body for connection in scene.sidecar.downstream._connections]
+                    [connection.is_sending_body for connection in harness.sidecar.downstream._connections]
                     == [True]
                 )
             )
-            scene.sidecar.downstream.drain()
+            harness.sidecar.downstream.drain()
             if is_completed:
                 client.send(message[-20_000:])
-                assert (await client.answer()).status == 200
-                assert [len(heard.body) for heard in scene.heard] == [30_000]
+                assert (await client.read_response()).status == 200
+                assert [len(heard.body) for heard in harness.requests] == [30_000]
             else:
-                scene.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 10.0)
-                assert (await client.answer()).status == 408
-                assert scene.heard == []
-            assert await soon(client.reader.read()) == b""
+                harness.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 10.0)
+                assert (await client.read_response()).status == 408
+                assert harness.requests == []
+            assert await within_timeout(client.reader.read()) == b""
 
-    play(work)
+    run_async(work)
 
 
 def test_half_close_counts_as_disconnect() -> None:
     # A FIN looks the same for both, and the request of a disconnected client is not forwarded.
     async def work() -> None:
-        async with stage(None) as scene:
-            client = await scene.client()
-            client.send(request("lodge"))
-            await until(lambda: len(scene.heard) == 1)
+        async with running_sidecar(None) as harness:
+            client = await harness.client()
+            client.send(request_bytes("lodge"))
+            await wait_until(lambda: len(harness.requests) == 1)
             client.writer.write_eof()
-            await until(lambda: scene.sidecar.open_requests == 0)
-            await until(lambda: scene.servers[0].closed == [0])
+            await wait_until(lambda: harness.sidecar.open_requests == 0)
+            await wait_until(lambda: harness.servers[0].closed_connections == [0])
 
-    play(work)
+    run_async(work)
 
 
 def test_disconnect_at_the_time_of_the_response_causes_no_error() -> None:
@@ -293,51 +309,55 @@
         errors: list[Any] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
 
-        async def disconnect_first(heard: Heard) -> bytes:
+        async def disconnect_first(heard: ReceivedRequest) -> bytes:
             client.writer.transport.abort()
             return OK
 
-        async with stage(disconnect_first) as scene:
+        async with running_sidecar(disconnect_first) as harness:
             for _ in range(20):
-                client = await scene.client()
-                client.send(request("lodge"))
-                await until(lambda: scene.sidecar.downstream.is_empty and scene.sidecar.open_requests == 0)
-            assert len(scene.heard) == 20 and scene.sidecar.unanswered_requests == 0
-            assert not [entry for entry in scene.log if "internal" in entry]
+                client = await harness.client()
+                client.send(request_bytes("lodge"))
+                await wait_until(
+                    lambda: harness.sidecar.downstream.is_empty and harness.sidecar.open_requests == 0
+                )
+            assert len(harness.requests) == 20 and harness.sidecar.unanswered_requests == 0
+            assert not [entry for entry in harness.log if "internal" in entry]
         assert not [error for error in errors if "sidecar" in repr(error)]
 
-    play(work)
+    run_async(work)
 
 
 def test_clients_are_served_beside_others_that_flood_and_disconnect() -> None:
     async def work() -> None:
-        async with stage(OK, given={"limits": {"sockets": 180}}) as scene:
+        async with running_sidecar(OK, configuration={"limits": {"sockets": 180}}) as harness:
             for _ in range(5):
-                flooding = [RawClient(scene.sidecar.downstream.port) for _ in range(30)]
+                flooding = [RawClient(harness.sidecar.downstream.port) for _ in range(30)]
                 for number, client in enumerate(flooding):
-                    client.send((request("lodge") * 40)[: 3_000 + number])
-                well_behaved = await scene.client()
-                assert (await well_behaved.ask("lodge")).status == 200
+                    client.send((request_bytes("lodge") * 40)[: 3_000 + number])
+                well_behaved = await harness.client()
+                assert (await well_behaved.request("lodge")).status == 200
                 for client in flooding:
                     client.close()
                 well_behaved.close()
-            await until(lambda: scene.sidecar.downstream.is_empty and scene.sidecar.open_requests == 0)
+            await wait_until(
+                lambda: harness.sidecar.downstream.is_empty and harness.sidecar.open_requests == 0
+            )
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("unsolicited", [b"HTTP/1.1 20", OK, b"\r\n"])
 def test_bytes_on_idle_upstream_connection_are_not_read_as_a_response(unsolicited: bytes) -> None:
     async def work() -> None:
-        async with stage(OK) as scene:
-            client = await scene.client()
-            assert (await client.ask("lodge")).status == 200
-            scene.heard[0].writer.write(unsolicited)
-            response = await client.ask("lodge")
+        async with running_sidecar(OK) as harness:
+            client = await harness.client()
+            assert (await client.request("lodge")).status == 200
+            harness.requests[0].writer.write(unsolicited)
+            response = await client.request("lodge")
             assert (response.status, response.body) == (200, b"served")
-            await until(lambda: 0 in scene.servers[0].closed)
+            await wait_until(lambda: 0 in harness.servers[0].closed_connections)
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -351,25 +371,25 @@
 )
 def test_response_that_is_reset_is_not_forwarded(partial_response: bytes, status: int) -> None:
     async def work() -> None:
-        async def reset(heard: Heard) -> None:
+        async def reset(heard: ReceivedRequest) -> None:
             heard.writer.write(partial_response)
             await asyncio.sleep(0.01)  # by then the bytes are sent, and the reset may discard them unread
             heard.writer.transport.abort()
 
-        async with stage(reset) as scene:
+        async with running_sidecar(reset) as harness:
 
-            async def send_reset(heard: Heard) -> None:
+            async def send_reset(heard: ReceivedRequest) -> None:
                 sock = heard.writer.get_extra_info("socket")
                 sock.setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, (1).to_bytes(4, "little") + (0).to_bytes(4, "little")
                 )
                 await reset(heard)
 
-            scene.servers[0].script = send_reset
-            assert (await scene.ask("lodge")).status == status
-            assert len(scene.heard) == 1
+            harness.servers[0].script = send_reset
+            assert (await harness.request("lodge")).status == status
+            assert len(harness.requests) == 1
 
-    play(work)
+    run_async(work)
 
 
 def test_connection_states_all_lead_to_closed() -> None:
@@ -392,71 +412,75 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(heard: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        async with program(hold, tmp_path) as running:
+        async with running_program(hold, tmp_path) as running:
             client = await running.client()
-            client.send(request("lodge"))
-            await until(lambda: len(running.server.heard) == 1)
+            client.send(request_bytes("lodge"))
+            await wait_until(lambda: len(running.server.requests) == 1)
             assert running.process.stderr is not None
             running.process.send_signal(signal.SIGTERM)
-            assert await soon(running.process.stderr.readline()) == b"shutdown_started: draining\n"
+            assert await within_timeout(running.process.stderr.readline()) == b"shutdown_started: draining\n"
             running.process.send_signal(signal.SIGTERM)
             running.process.send_signal(signal.SIGHUP)
-            assert (await soon(running.process.stderr.readline())).startswith(b"configuration_reloaded: ")
+            assert (await within_timeout(running.process.stderr.readline())).startswith(
+                b"configuration_reloaded: "
+            )
             release.set()
-            assert (await client.answer()).status == 200
-            assert await soon(client.reader.read()) == b""
+            assert (await client.read_response()).status == 200
+            assert await within_timeout(client.reader.read()) == b""
             client.close()
-            assert await soon(running.process.wait()) == 0
+            assert await within_timeout(running.process.wait()) == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_sigterm_before_ready_exits_with_0(tmp_path: Path) -> None:
     async def work() -> None:
         discovery = await ScriptedServer(None).start()  # never answers, so the start waits for it
         path = tmp_path / "config.json"
-        settings = {**GOOD["settings"], "discovery": "pushed"}
-        path.write_text(json.dumps({**GOOD, "discovery": discovery.address, "settings": settings}))
-        process = await started(path)
-        await until(lambda: len(discovery.heard) == 1)
+        settings = {**VALID_CONFIGURATION["settings"], "discovery": "pushed"}
+        path.write_text(
+            json.dumps({**VALID_CONFIGURATION, "discovery": discovery.address, "settings": settings})
+        )
+        process = await start_program(path)
+        await wait_until(lambda: len(discovery.requests) == 1)
         process.send_signal(signal.SIGTERM)
-        assert await soon(process.wait()) == 0
+        assert await within_timeout(process.wait()) == 0
         discovery.stop()
 
-    play(work)
+    run_async(work)
 
 
 def test_last_response_reaches_client_that_continues_to_send(tmp_path: Path) -> None:
     # The server does not respond at SIGTERM, and the client has sent more data than the sidecar reads.
     async def work() -> None:
-        async def silent(heard: Heard) -> None:
+        async def silent(heard: ReceivedRequest) -> None:
             return None
 
-        async with program(silent, tmp_path) as running:
+        async with running_program(silent, tmp_path) as running:
             client = await running.client()
-            client.send(request("lodge", timeout="30") + b"x" * 100_000)
+            client.send(request_bytes("lodge", timeout="30") + b"x" * 100_000)
             running.process.send_signal(signal.SIGTERM)
-            status_line = await soon(client.reader.readline())
+            status_line = await within_timeout(client.reader.readline())
             assert status_line.split()[1] in (b"400", b"502", b"503", b"504")
-            assert await soon(running.process.wait()) == 0
+            assert await within_timeout(running.process.wait()) == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_server_error_during_drain_results_in_one_response() -> None:
     async def work() -> None:
-        async def fail(heard: Heard) -> bytes:
-            scene.sidecar.downstream.drain()
+        async def fail(heard: ReceivedRequest) -> bytes:
+            harness.sidecar.downstream.drain()
             return ERROR
 
-        async with stage(fail) as scene:
-            client = RawClient(scene.sidecar.downstream.port)
-            client.send(request("lodge"))
+        async with running_sidecar(fail) as harness:
+            client = RawClient(harness.sidecar.downstream.port)
+            client.send(request_bytes("lodge"))
             assert (await client.read_all()).count(b"HTTP/1.1 ") == 1
             client.close()
 
-    play(work)
+    run_async(work)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,18 +14,18 @@
 from typing import Any
 
 import pytest
-from loopback import PATIENCE_S, play, soon, until
-from test_ground import a_day, trouble
+from loopback import WAIT_TIMEOUT_S, run_async, wait_until, within_timeout
+from test_testbed_models import fault_table, make_run
 
 from testbed import events as log
-from testbed.checker import judge
+from testbed.checker import check_invariants
 from testbed.clock import DayClock
 from testbed.emulator.copies import PlayError, Sidecar
 from testbed.emulator.play import Ground
 from testbed.emulator.play import play as play_day
 from testbed.emulator.switch import Gate, Handler, Passage
 from testbed.links import Links
-from testbed.scenario import Day, arrivals, draw, read
+from testbed.scenario import ScenarioRun, draw_arrivals, draw_run, read_scenario
 
 ROOT = Path(__file__).parent.parent
 PROGRAM = f"exec {sys.executable} -m sidecar"
@@ -50,27 +50,33 @@
     return out
 
 
-def played(day: Day, folder: Path, **how: Any) -> list[log.Event]:
+def played(day: ScenarioRun, folder: Path, **how: Any) -> list[log.Event]:
     return log.load(asyncio.run(play_day(day, ground(folder, **how))))
 
 
 def test_three_copies_one_cut_off_and_one_killed_in_the_middle(tmp_path: Path) -> None:
-    day = draw(read("three-copies"), 1)
+    day = draw_run(read_scenario("three-copies"), 1)
     events = played(day, tmp_path)
-    verdict = judge(events, slack_us=GENEROUS_US)
-    assert verdict.breaches == () and verdict.is_complete
-    asked = {each.first for each in events if isinstance(each, log.Taken | log.Unreached)}
-    assert asked == {each.number for each in arrivals(day)}
-    served = [each for each in events if isinstance(each, log.Answered) and each.status == 200]
+    verdict = check_invariants(events, slack_us=GENEROUS_US)
+    assert verdict.violations == () and verdict.is_complete
+    asked = {each.client_request for each in events if isinstance(each, log.RequestSent | log.RequestNotSent)}
+    assert asked == {each.number for each in draw_arrivals(day)}
+    served = [each for each in events if isinstance(each, log.ResponseReceived) and each.status == 200]
     assert len(served) > len(asked) / 2
     lives = [
-        (each.copy, each.life, each.what) for each in events if isinstance(each, log.Copy) and each.at > 0
+        (each.replica, each.incarnation, each.state)
+        for each in events
+        if isinstance(each, log.ReplicaStateChanged) and each.at_us > 0
     ]
     assert lives == [(1, 1, "killed"), (1, 2, "started"), (1, 2, "ready")]
-    troubles = [(each.number, each.begins) for each in events if isinstance(each, log.Trouble)]
+    troubles = [(each.fault_number, each.begins) for each in events if isinstance(each, log.FaultChanged)]
     assert sorted(troubles) == [(number, begins) for number in range(3) for begins in (False, True)]
-    cut = [each.at for each in events if isinstance(each, log.Trouble) and each.number == 0]
-    heard = [each.at for each in events if isinstance(each, log.Told) and each.copy == 0 and each.at > 0]
+    cut = [each.at_us for each in events if isinstance(each, log.FaultChanged) and each.fault_number == 0]
+    heard = [
+        each.at_us
+        for each in events
+        if isinstance(each, log.EndpointListDelivered) and each.replica == 0 and each.at_us > 0
+    ]
     assert heard and not any(cut[0] < at < cut[1] for at in heard)
     assert running_below(tmp_path) == []
 
@@ -92,12 +98,12 @@
 
 def test_a_program_that_serves_what_no_server_made_is_found_out(tmp_path: Path) -> None:
     (tmp_path / "liar.py").write_text(LIAR)
-    day = a_day(base=read_small())
+    day = make_run(base=read_small())
     events = log.load(
         asyncio.run(play_day(day, ground(tmp_path / "day", f"exec {sys.executable} {tmp_path}/liar.py")))
     )
-    found = judge(events, slack_us=GENEROUS_US).breaches
-    assert found and {each.rule for each in found} == {"foreign"}
+    found = check_invariants(events, slack_us=GENEROUS_US).violations
+    assert found and {each.invariant for each in found} == {"foreign"}
 
 
 def read_small() -> str:
@@ -127,12 +133,12 @@
     command: str, told: str, tmp_path: Path
 ) -> None:
     with pytest.raises(PlayError, match=told):
-        asyncio.run(play_day(a_day(base=read_small()), ground(tmp_path, command, ready_within_s=1.0)))
+        asyncio.run(play_day(make_run(base=read_small()), ground(tmp_path, command, ready_within_s=1.0)))
     assert running_below(tmp_path) == []
 
 
 def test_too_large_a_day_is_refused_before_anything_starts(tmp_path: Path) -> None:
-    day = a_day(base=read_small().replace("count = 2", "count = 200"))
+    day = make_run(base=read_small().replace("count = 2", "count = 200"))
     with pytest.raises(PlayError, match="use the model"):
         asyncio.run(play_day(day, ground(tmp_path / "day")))
     assert not (tmp_path / "day").exists()
@@ -143,21 +149,21 @@
     script = (
         "import asyncio, sys; sys.path.insert(0, 'tests')\n"
         "from pathlib import Path\n"
-        "from test_emulator import a_day, ground, play_day, read_small\n"
-        "day = a_day(base=read_small().replace('seconds = 1', 'seconds = 300'))\n"
+        "from test_emulator import make_run, ground, play_day, read_small\n"
+        "day = make_run(base=read_small().replace('seconds = 1', 'seconds = 300'))\n"
         f"asyncio.run(play_day(day, ground(Path({str(tmp_path)!r}))))\n"
     )
     player = subprocess.Popen([sys.executable, "-c", script], cwd=ROOT, stderr=subprocess.DEVNULL)
     part = tmp_path / "part-load-0.jsonl"
 
     async def work() -> None:
-        await until(lambda: part.exists() and len(running_below(tmp_path)) == 2)
+        await wait_until(lambda: part.exists() and len(running_below(tmp_path)) == 2)
         player.send_signal(number)
-        await until(lambda: player.poll() is not None)
-        await until(lambda: running_below(tmp_path) == [])
+        await wait_until(lambda: player.poll() is not None)
+        await wait_until(lambda: running_below(tmp_path) == [])
 
-    play(work)
-    assert judge(log.load(tmp_path)).word == "cut off"
+    run_async(work)
+    assert check_invariants(log.load(tmp_path)).label == "cut off"
 
 
 # The switch, on real connections
@@ -205,7 +211,7 @@
     troubles: str, work: Callable[[FakeClock, Gate, Echo, tuple[str, int]], Awaitable[None]]
 ) -> None:
     async def whole() -> None:
-        links, clock, echo = Links(a_day(troubles, NEAR)), FakeClock(), Echo()
+        links, clock, echo = Links(make_run(troubles, NEAR)), FakeClock(), Echo()
         inwards, outwards = links.between("copy:0", "server:0"), links.between("server:0", "copy:0")
         gate = Gate(clock, 0, echo, inwards, outwards, random.Random(1))
         host, port = gate.bind("127.16.0.1").split(":")
@@ -215,20 +221,20 @@
         finally:
             gate.close()
 
-    play(whole)
+    run_async(whole)
 
 
 NEAR = read_small()
-CUT = trouble("cut", 0.5, 0.25, between=["copy:0"], to=["server:0"])
+CUT = fault_table("cut", 0.5, 0.25, between=["copy:0"], to=["server:0"])
 
 
 def test_bytes_pass_and_the_end_is_told() -> None:
     async def work(clock: FakeClock, gate: Gate, echo: Echo, address: tuple[str, int]) -> None:
-        reader, writer = await soon(asyncio.open_connection(*address))
+        reader, writer = await within_timeout(asyncio.open_connection(*address))
         writer.write(b"hello")
-        assert await soon(reader.readexactly(5)) == b"hello"
+        assert await within_timeout(reader.readexactly(5)) == b"hello"
         writer.close()
-        await until(lambda: echo.heard == [b"hello", b"end"])
+        await wait_until(lambda: echo.heard == [b"hello", b"end"])
         assert not gate.passages
 
     on_the_switch("", work)
@@ -243,8 +249,8 @@
         assert not knocking.done() and echo.passages == []
         clock.at = 800_000
         gate.follow()
-        _, writer = await soon(knocking)
-        await until(lambda: len(echo.passages) == 1)
+        _, writer = await within_timeout(knocking)
+        await wait_until(lambda: len(echo.passages) == 1)
         writer.close()
 
     on_the_switch(CUT, work)
@@ -252,8 +258,8 @@
 
 def test_what_is_sent_into_a_cut_arrives_after_it() -> None:
     async def work(clock: FakeClock, gate: Gate, echo: Echo, address: tuple[str, int]) -> None:
-        reader, writer = await soon(asyncio.open_connection(*address))
-        await until(lambda: len(echo.passages) == 1)
+        reader, writer = await within_timeout(asyncio.open_connection(*address))
+        await wait_until(lambda: len(echo.passages) == 1)
         clock.at = 600_000
         gate.follow()
         writer.write(b"late")
@@ -261,7 +267,7 @@
         assert echo.heard == []
         clock.at = 800_000
         gate.follow()
-        assert await soon(reader.readexactly(4)) == b"late"
+        assert await within_timeout(reader.readexactly(4)) == b"late"
         writer.close()
 
     on_the_switch(CUT, work)
@@ -269,16 +275,16 @@
 
 def test_a_dead_process_resets_and_refuses_until_it_is_up() -> None:
     async def work(clock: FakeClock, gate: Gate, echo: Echo, address: tuple[str, int]) -> None:
-        reader, writer = await soon(asyncio.open_connection(*address))
-        await until(lambda: len(echo.passages) == 1)
+        reader, writer = await within_timeout(asyncio.open_connection(*address))
+        await wait_until(lambda: len(echo.passages) == 1)
         gate.down()
         with pytest.raises(ConnectionResetError):
-            await soon(reader.read(1))
+            await within_timeout(reader.read(1))
         writer.close()
         with pytest.raises(ConnectionRefusedError):
-            await soon(asyncio.open_connection(*address))
+            await within_timeout(asyncio.open_connection(*address))
         gate.up()
-        _, writer = await soon(asyncio.open_connection(*address))
+        _, writer = await within_timeout(asyncio.open_connection(*address))
         writer.close()
 
     on_the_switch("", work)
@@ -287,7 +293,7 @@
 def test_an_answer_is_reset_in_the_middle() -> None:
     async def work(clock: FakeClock, gate: Gate, echo: Echo, address: tuple[str, int]) -> None:
         clock.at = 600_000
-        with socket.create_connection(address, PATIENCE_S) as own:
+        with socket.create_connection(address, WAIT_TIMEOUT_S) as own:
             own.setblocking(False)
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(own, b"answer")
@@ -296,42 +302,52 @@
             async def receive_forever() -> None:
                 nonlocal got
                 while True:
-                    got += await soon(loop.sock_recv(own, 16))
+                    got += await within_timeout(loop.sock_recv(own, 16))
 
             with pytest.raises(ConnectionResetError):
                 await receive_forever()
             assert got in (b"", b"ans")  # a reset may overtake what came before it
 
-    on_the_switch(trouble("reset", 0.5, 0.25, between=["copy:0"], to=["server:0"], amount=1.0), work)
+    on_the_switch(fault_table("reset", 0.5, 0.25, between=["copy:0"], to=["server:0"], amount=1.0), work)
 
 
 EVERY_TROUBLE = (
-    trouble("upgrade", 0.5, 0, who=["copy:0"])
-    + trouble("pause", 0.5, 1, who=["copy:1"])
-    + trouble("full", 0.3, 2, who=["copy:0"])
-    + trouble("read_only", 0.3, 1, who=["copy:2"])
-    + trouble("term", 1.5, 0, who=["copy:2"])
-    + trouble("damaged", 2, 0.2, who=["copy:1"])
-    + trouble("clock", 2.2, 0, who=["copy:0"], amount=-3600.0)
-    + trouble("hup", 2.5, 0, who=["copy:*"])
-    + trouble("silent", 0.5, 1, who=["server:0"])
-    + trouble("drain", 1, 1, who=["server:1"])
-    + trouble("discovery_down", 1, 1)
+    fault_table("upgrade", 0.5, 0, who=["copy:0"])
+    + fault_table("pause", 0.5, 1, who=["copy:1"])
+    + fault_table("full", 0.3, 2, who=["copy:0"])
+    + fault_table("read_only", 0.3, 1, who=["copy:2"])
+    + fault_table("term", 1.5, 0, who=["copy:2"])
+    + fault_table("damaged", 2, 0.2, who=["copy:1"])
+    + fault_table("clock", 2.2, 0, who=["copy:0"], amount=-3600.0)
+    + fault_table("hup", 2.5, 0, who=["copy:*"])
+    + fault_table("silent", 0.5, 1, who=["server:0"])
+    + fault_table("drain", 1, 1, who=["server:1"])
+    + fault_table("discovery_down", 1, 1)
 )
 
 
 def test_every_trouble_of_processes_at_once_keeps_the_rules(tmp_path: Path) -> None:
     base = read_small().replace("seconds = 1", "seconds = 4").replace("count = 1", "count = 4")
-    day = a_day(EVERY_TROUBLE, base.replace("count = 2", "count = 3\noperated = true"))
+    day = make_run(EVERY_TROUBLE, base.replace("count = 2", "count = 3\noperated = true"))
     events = played(day, tmp_path)
-    verdict = judge(events, slack_us=GENEROUS_US)
-    assert verdict.breaches == () and verdict.is_complete
-    said = [(each.copy, each.what) for each in events if isinstance(each, log.Copy) and each.at > 0]
+    verdict = check_invariants(events, slack_us=GENEROUS_US)
+    assert verdict.violations == () and verdict.is_complete
+    said = [
+        (each.replica, each.state)
+        for each in events
+        if isinstance(each, log.ReplicaStateChanged) and each.at_us > 0
+    ]
     assert {(0, "stopping"), (0, "killed"), (1, "paused"), (1, "killed"), (2, "stopping")} <= set(said)
     for copy, lives in ((0, 3), (1, 2), (2, 2)):
-        ready = {each.life for each in events if isinstance(each, log.Copy) and each.copy == copy}
+        ready = {
+            each.incarnation
+            for each in events
+            if isinstance(each, log.ReplicaStateChanged) and each.replica == copy
+        }
         assert ready == set(range(1, lives + 1))
-    doors = {each.copy for each in events if isinstance(each, log.Figures) and each.members}
+    doors = {
+        each.replica for each in events if isinstance(each, log.MetricsReported) and each.listed_endpoints
+    }
     assert doors == {0, 1, 2}
     assert running_below(tmp_path) == []
 
@@ -341,15 +357,15 @@
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda which: (128, 200))
     with pytest.raises(PlayError, match="descriptors, and this user may have 200"):
-        asyncio.run(play_day(a_day(base=read_small()), ground(tmp_path / "day")))
+        asyncio.run(play_day(make_run(base=read_small()), ground(tmp_path / "day")))
 
 
 def test_both_processes_of_an_upgrade_are_ended_at_the_close(tmp_path: Path) -> None:
     async def work() -> None:
-        with log.Writer(tmp_path / "part.jsonl") as writer:
-            day, clock = a_day(base=read_small()), DayClock()
+        with log.EventLogWriter(tmp_path / "part.jsonl") as writer:
+            day, clock = make_run(base=read_small()), DayClock()
             rng, folder = random.Random(1), tmp_path / "copy"
-            copy = Sidecar(day, day.copies[0], "exec sleep 600", ROOT, folder, clock, writer, rng, 1.0)
+            copy = Sidecar(day, day.replicas[0], "exec sleep 600", ROOT, folder, clock, writer, rng, 1.0)
             copy.configure("127.0.0.1:9", [], "")
             for life in (1, 2):
                 with pytest.raises(PlayError, match="not ready"):
@@ -358,5 +374,5 @@
             assert len(running_below(tmp_path)) == 2
             await copy.close()
 
-    play(work)
+    run_async(work)
     assert running_below(tmp_path) == []
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -1,7 +1,7 @@
 """Attempts whose conditions change while their connection is being established.
 
 Before its first byte is written, an attempt is checked again.  The tests make the change first and then
-complete the connection by `SlowToAccept.let_go`, so the order of events is fixed.
+complete the connection by `SlowAcceptServer.accept`, so the order of events is fixed.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
     FULL,
     HOST,
     OK,
-    Heard,
-    SlowToAccept,
-    Stage,
-    line,
-    play,
-    request,
-    stage,
-    until,
+    ReceivedRequest,
+    SidecarHarness,
+    SlowAcceptServer,
+    endpoint_entry,
+    request_bytes,
+    run_async,
+    running_sidecar,
+    wait_until,
 )
 
 from balancer.actions import SendAttempt
@@ -41,8 +41,8 @@
 LONG_CONNECT_TIMEOUT = {"dialTimeoutUs": 60_000_000}  # longer than any test runs
 
 
-def open_requests(scene: Stage) -> int:
-    return scene.sidecar.open_requests
+def open_requests(harness: SidecarHarness) -> int:
+    return harness.sidecar.open_requests
 
 
 @pytest.mark.parametrize("cause", ["server draining", "server removed", "client disconnected"])
@@ -50,38 +50,38 @@
     # Guards against sending a request to a server whose drain is announced while connecting, and against
     # writing an attempt that was cancelled meanwhile.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        async with stage(bounds={"dialTimeoutUs": 15_000_000}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            client = await scene.client()
-            client.send(request("lodge", timeout="15"))
-            await until(lambda: open_requests(scene) == 1)
+        slow = SlowAcceptServer()
+        await slow.fill_accept_queue()
+        async with running_sidecar(bounds={"dialTimeoutUs": 15_000_000}) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            harness.discovery.send_changes(endpoint_entry("s", slow.address))
+            await wait_until(lambda: len(harness.discovery.requests) >= 3)
+            client = await harness.client()
+            client.send(request_bytes("lodge", timeout="15"))
+            await wait_until(lambda: open_requests(harness) == 1)
             if cause == "client disconnected":
                 client.close()
-                await until(lambda: open_requests(scene) == 0)
+                await wait_until(lambda: open_requests(harness) == 0)
             else:
                 state = "leaving" if cause == "server draining" else "left"
-                scene.discovery.tell(line("s", slow.address, state=state))
-                await until(lambda: len(scene.discovery.heard) >= 4)
-            accepted = await slow.let_go()
+                harness.discovery.send_changes(endpoint_entry("s", slow.address, state=state))
+                await wait_until(lambda: len(harness.discovery.requests) >= 4)
+            accepted = await slow.accept()
             if cause == "client disconnected":
-                scene.sidecar.close()  # the connection is usable and was kept in the pool
+                harness.sidecar.close()  # the connection is usable and was kept in the pool
             else:
-                assert (await client.answer()).status == 503
+                assert (await client.read_response()).status == 503
             assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
             accepted.close()
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
-async def assert_nothing_is_written(scene: Stage, slow: SlowToAccept) -> None:
+async def assert_nothing_is_written(harness: SidecarHarness, slow: SlowAcceptServer) -> None:
     """Let the late connection be established; check that it gets no bytes before the sidecar closes it."""
-    accepted = await slow.let_go()
-    scene.sidecar.close()
+    accepted = await slow.accept()
+    harness.sidecar.close()
     assert await asyncio.get_running_loop().sock_recv(accepted, 1_000) == b""
     accepted.close()
 
@@ -92,11 +92,11 @@
 
     upstream: Upstream
     clock: Clock
-    slow: SlowToAccept
+    slow: SlowAcceptServer
     outcomes: list[Outcome]
 
     def update_list(self, **changes: Any) -> None:
-        entry = line("s-0", self.slow.address, **changes)
+        entry = endpoint_entry("s-0", self.slow.address, **changes)
         self.upstream.update_endpoints(parse_endpoint_list({"version": 1, "full": True, "servers": [entry]}))
 
     def start_attempt(self, **options: Any) -> Attempt:
@@ -111,7 +111,7 @@
 
     async def first_bytes(self) -> bytes:
         """Return the first bytes written after the connection is established; empty if there are none."""
-        accepted = await self.slow.let_go()
+        accepted = await self.slow.accept()
         loop = asyncio.get_running_loop()
         loop.call_later(0.05, self.upstream.close)
         with contextlib.closing(accepted):
@@ -120,8 +120,8 @@
 
 @contextlib.asynccontextmanager
 async def late_connection_setup(max_connections: int = 4) -> AsyncIterator[LateConnectionSetup]:
-    slow = SlowToAccept()
-    await slow.fill()
+    slow = SlowAcceptServer()
+    await slow.fill_accept_queue()
     clock = Clock()
     upstream = Upstream(clock, Limits(connect_timeout_us=60_000_000), max_connections, lambda: None)
     setup = LateConnectionSetup(upstream, clock, slow, [])
@@ -139,7 +139,7 @@
             setup.start_attempt(send_by=2**59)
             assert (await setup.first_bytes()).startswith(b"GET / HTTP/1.1")
 
-    play(work)
+    run_async(work)
 
 
 def test_retry_whose_window_ends_while_connecting_is_never_written() -> None:
@@ -149,11 +149,11 @@
         async with late_connection_setup() as setup:
             setup.start_attempt(send_by=setup.clock.now() + 30_000)
             # The request did not run, which is reported at once and not at the end of the connect timeout.
-            await until(lambda: setup.outcomes == [Outcome.NOT_SENT])
+            await wait_until(lambda: setup.outcomes == [Outcome.NOT_SENT])
             assert await setup.first_bytes() == b""
             assert setup.outcomes == [Outcome.NOT_SENT]
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize(
@@ -169,17 +169,17 @@
             setup.upstream._expire(setup.start_attempt(send_by=send_by))
             assert setup.outcomes == [outcome]
 
-    play(work)
+    run_async(work)
 
 
 def test_attempt_whose_window_is_over_does_not_connect() -> None:
     async def work() -> None:
         async with late_connection_setup() as setup:
             setup.start_attempt(send_by=setup.clock.now())
-            await until(lambda: setup.outcomes == [Outcome.NOT_SENT])
+            await wait_until(lambda: setup.outcomes == [Outcome.NOT_SENT])
             assert not setup.upstream._pool._tasks
 
-    play(work)
+    run_async(work)
 
 
 def test_server_that_changes_its_cell_while_connecting_gets_no_request() -> None:
@@ -190,7 +190,7 @@
             assert await setup.first_bytes() == b""
             assert setup.outcomes == [Outcome.NOT_SENT]
 
-    play(work)
+    run_async(work)
 
 
 def test_unwanted_attempt_is_not_written_when_connected() -> None:
@@ -202,7 +202,7 @@
             assert await setup.first_bytes() == b""
             assert setup.outcomes == [Outcome.NOT_SENT]
 
-    play(work)
+    run_async(work)
 
 
 def test_cancelled_attempt_that_was_not_written_is_reported_as_not_sent() -> None:
@@ -211,10 +211,10 @@
             attempt = setup.start_attempt()
             setup.upstream.cancel(attempt)
             setup.upstream.cancel_unwritten(attempt)
-            await until(lambda: setup.outcomes == [Outcome.NOT_SENT])
+            await wait_until(lambda: setup.outcomes == [Outcome.NOT_SENT])
             assert await setup.first_bytes() == b""
 
-    play(work)
+    run_async(work)
 
 
 def test_connection_that_outlives_its_attempt_counts_against_the_limit_and_is_kept() -> None:
@@ -222,16 +222,16 @@
         async with late_connection_setup(max_connections=1) as setup:
             setup.upstream.cancel_unwritten(setup.start_attempt())
             setup.start_attempt()  # at the limit: the first connection is still being established
-            await until(lambda: setup.outcomes == [Outcome.NOT_SENT] * 2)
-            accepted = await setup.slow.let_go()
-            await until(
+            await wait_until(lambda: setup.outcomes == [Outcome.NOT_SENT] * 2)
+            accepted = await setup.slow.accept()
+            await wait_until(
                 lambda: not setup.upstream._pool._tasks and len(setup.upstream._pool._endpoint_of) == 1
             )
             setup.start_attempt()  # is written to the established connection
             assert (await asyncio.get_running_loop().sock_recv(accepted, 1_000)).startswith(b"GET /")
             accepted.close()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
@@ -242,120 +242,121 @@
     # Guards the operators' limit of 0.3 s for forwarding after a disconnect.  An attempt that is not written
     # may be dropped even where the settings forbid to cancel attempts.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        async with stage(bounds={**LONG_CONNECT_TIMEOUT, "mayCancel": may_cancel}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            client = await scene.client()
-            client.send(request("lodge", timeout="50"))
-            await until(lambda: open_requests(scene) == 1)
+        slow = SlowAcceptServer()
+        await slow.fill_accept_queue()
+        async with running_sidecar(bounds={**LONG_CONNECT_TIMEOUT, "mayCancel": may_cancel}) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            harness.discovery.send_changes(endpoint_entry("s", slow.address))
+            await wait_until(lambda: len(harness.discovery.requests) >= 3)
+            client = await harness.client()
+            client.send(request_bytes("lodge", timeout="50"))
+            await wait_until(lambda: open_requests(harness) == 1)
             if disconnect == "close":
                 client.close()
             else:
                 client.writer.transport.abort()
-            await until(lambda: open_requests(scene) == 0)
-            await assert_nothing_is_written(scene, slow)
+            await wait_until(lambda: open_requests(harness) == 0)
+            await assert_nothing_is_written(harness, slow)
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_burst_of_disconnects_while_connecting_leaves_no_open_requests() -> None:
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        async with stage(OK, bounds={**LONG_CONNECT_TIMEOUT, "mayCancel": False}) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(
-                line("s", slow.address), line("s-0", scene.servers[0].address, state="leaving")
+        slow = SlowAcceptServer()
+        await slow.fill_accept_queue()
+        async with running_sidecar(OK, bounds={**LONG_CONNECT_TIMEOUT, "mayCancel": False}) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            harness.discovery.send_changes(
+                endpoint_entry("s", slow.address),
+                endpoint_entry("s-0", harness.servers[0].address, state="leaving"),
             )
-            await until(lambda: len(scene.discovery.heard) >= 3)
+            await wait_until(lambda: len(harness.discovery.requests) >= 3)
             for _ in range(20):
-                (await scene.client()).send(request("lodge", timeout="50"))
-            await until(lambda: open_requests(scene) == 20)
-            for client in scene.clients:
+                (await harness.client()).send(request_bytes("lodge", timeout="50"))
+            await wait_until(lambda: open_requests(harness) == 20)
+            for client in harness.clients:
                 client.close()
-            await until(lambda: open_requests(scene) == 0)
-            assert scene.sidecar.unanswered_requests == 0 and scene.heard == []
-            scene.discovery.tell(line("s-0", scene.servers[0].address, started_ms=1))
-            await until(lambda: len(scene.discovery.heard) >= 4)
-            scene.discovery.tell(line("s", slow.address, state="left"))
-            await until(lambda: len(scene.discovery.heard) >= 5)
-            assert (await scene.ask("lodge")).status == 200
+            await wait_until(lambda: open_requests(harness) == 0)
+            assert harness.sidecar.unanswered_requests == 0 and harness.requests == []
+            harness.discovery.send_changes(endpoint_entry("s-0", harness.servers[0].address, started_ms=1))
+            await wait_until(lambda: len(harness.discovery.requests) >= 4)
+            harness.discovery.send_changes(endpoint_entry("s", slow.address, state="left"))
+            await wait_until(lambda: len(harness.discovery.requests) >= 5)
+            assert (await harness.request("lodge")).status == 200
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_disconnect_of_paused_upload_is_noticed() -> None:
     # Guards against a request that waits for a connection after its client, whose upload is paused, has left.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
-        async with stage(bounds=LONG_CONNECT_TIMEOUT) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: len(scene.discovery.heard) >= 3)
-            client = await scene.client()
-            client.send(request("lodge", timeout="50", body=b"x" * 70_000, Content_Length="200000"))
-            connections = scene.sidecar.downstream._connections
-            await until(
+        slow = SlowAcceptServer()
+        await slow.fill_accept_queue()
+        async with running_sidecar(bounds=LONG_CONNECT_TIMEOUT) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            harness.discovery.send_changes(endpoint_entry("s", slow.address))
+            await wait_until(lambda: len(harness.discovery.requests) >= 3)
+            client = await harness.client()
+            client.send(request_bytes("lodge", timeout="50", body=b"x" * 70_000, Content_Length="200000"))
+            connections = harness.sidecar.downstream._connections
+            await wait_until(
                 lambda: [connection.receive_progress.paused_since for connection in connections] != [None]
             )
             client.close()
-            await until(lambda: open_requests(scene) == 0)
-            await assert_nothing_is_written(scene, slow)
+            await wait_until(lambda: open_requests(harness) == 0)
+            await assert_nothing_is_written(harness, slow)
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_response_cancels_hedged_request_that_is_connecting() -> None:
     # Guards against a duplicate: the hedged request would be written after its request was answered.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
+        slow = SlowAcceptServer()
+        await slow.fill_accept_queue()
         release = asyncio.Event()
 
-        async def hold(heard: Heard) -> bytes:
+        async def hold(heard: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
-        def is_hedge_connecting(scene: Stage) -> bool:
-            return bool(scene.heard) and scene.sidecar._upstream._pool._connecting > 0
+        def is_hedge_connecting(harness: SidecarHarness) -> bool:
+            return bool(harness.requests) and harness.sidecar._upstream._pool._connecting > 0
 
         bounds = {**LONG_CONNECT_TIMEOUT, "mayCancel": False, "secondCopies": True, "sendCap": 2}
-        async with stage(hold, hold, hold, bounds=bounds) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            balancer = scene.sidecar._balancer
-            response = asyncio.get_running_loop().create_task(scene.ask("check", timeout="20"))
-            await until(lambda: len(scene.heard) == 1)
-            (number,) = scene.sidecar._requests.numbers()
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: balancer.knows_endpoint("s"))
+        async with running_sidecar(hold, hold, hold, bounds=bounds) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            balancer = harness.sidecar._balancer
+            response = asyncio.get_running_loop().create_task(harness.request("check", timeout="20"))
+            await wait_until(lambda: len(harness.requests) == 1)
+            (number,) = harness.sidecar._requests.numbers()
+            harness.discovery.send_changes(endpoint_entry("s", slow.address))
+            await wait_until(lambda: balancer.knows_endpoint("s"))
             # The balancer sends the same action for an attempt that exceeds its expected response time.
-            scene.sidecar._executor.execute(SendAttempt(number, "s", 2**60))
-            await until(lambda: is_hedge_connecting(scene))
+            harness.sidecar._executor.execute(SendAttempt(number, "s", 2**60))
+            await wait_until(lambda: is_hedge_connecting(harness))
             release.set()
             assert (await response).status == 200
-            await until(lambda: open_requests(scene) == 0)
-            await assert_nothing_is_written(scene, slow)
+            await wait_until(lambda: open_requests(harness) == 0)
+            await assert_nothing_is_written(harness, slow)
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_retry_with_key_whose_window_ends_while_connecting_fails_the_request() -> None:
     # End to end: the first attempt is reset, so it may have run, and its retry is connecting until the
     # idempotency window is over.
     async def work() -> None:
-        slow = SlowToAccept()
-        await slow.fill()
+        slow = SlowAcceptServer()
+        await slow.fill_accept_queue()
         is_listed = asyncio.Event()
 
-        async def reset_when_listed(heard: Heard) -> None:
+        async def reset_when_listed(heard: ReceivedRequest) -> None:
             await is_listed.wait()
             heard.writer.transport.abort()
 
@@ -367,23 +368,27 @@
             "group": "all",
             "memorySpanUs": 2_000_000,
         }
-        async with stage(reset_when_listed, bounds=LONG_CONNECT_TIMEOUT, lanes=[service_class]) as scene:
-            await until(lambda: len(scene.discovery.heard) >= 2)
-            client = await scene.client()
-            client.send(request("amend", timeout="50"))
-            await until(lambda: len(scene.heard) == 1)
-            scene.discovery.tell(line("s", slow.address))
-            await until(lambda: scene.sidecar._balancer.knows_endpoint("s"))
+        async with running_sidecar(
+            reset_when_listed, bounds=LONG_CONNECT_TIMEOUT, lanes=[service_class]
+        ) as harness:
+            await wait_until(lambda: len(harness.discovery.requests) >= 2)
+            client = await harness.client()
+            client.send(request_bytes("amend", timeout="50"))
+            await wait_until(lambda: len(harness.requests) == 1)
+            harness.discovery.send_changes(endpoint_entry("s", slow.address))
+            await wait_until(lambda: harness.sidecar._balancer.knows_endpoint("s"))
             is_listed.set()
-            await until(lambda: scene.sidecar._upstream._pool._connecting == 1)
-            response = await client.answer()  # at the end of the window, long before the client's timeout
+            await wait_until(lambda: harness.sidecar._upstream._pool._connecting == 1)
+            response = (
+                await client.read_response()
+            )  # at the end of the window, long before the client's timeout
             assert response.status in (502, 503, 504)
-            await until(lambda: open_requests(scene) == 0)
-            assert len(scene.heard) == 1
-            await assert_nothing_is_written(scene, slow)
+            await wait_until(lambda: open_requests(harness) == 0)
+            assert len(harness.requests) == 1
+            await assert_nothing_is_written(harness, slow)
         slow.close()
 
-    play(work)
+    run_async(work)
 
 
 def test_no_retry_is_written_after_disconnect_that_is_not_processed_yet() -> None:
@@ -393,7 +398,7 @@
         may_respond = asyncio.Event()
         leaving_clients: list[socket.socket] = []
 
-        async def script(heard: Heard) -> bytes | None:
+        async def script(heard: ReceivedRequest) -> bytes | None:
             if not leaving_clients:
                 await may_respond.wait()
                 return OK
@@ -402,18 +407,21 @@
             leaving_clients[0].close()
             return None
 
-        async with stage(script, script) as scene:
+        async with running_sidecar(script, script) as harness:
             for count in (1, 2):
-                (await scene.client()).send(request("lodge", timeout="50"))
-                await until(lambda sent=count: len(scene.heard) == sent)  # type: ignore[misc]
+                (await harness.client()).send(request_bytes("lodge", timeout="50"))
+                await wait_until(lambda sent=count: len(harness.requests) == sent)  # type: ignore[misc]
             may_respond.set()
-            await until(lambda: open_requests(scene) == 0)
-            assert [len(server.heard) for server in scene.servers] == [1, 1]  # an idle connection to each
-            leaving_clients.append(socket.create_connection((HOST, scene.sidecar.downstream.port)))
-            leaving_clients[0].sendall(request("lodge", timeout="50"))
-            await until(lambda: len(scene.heard) >= 3)
-            await until(lambda: open_requests(scene) == 0)
+            await wait_until(lambda: open_requests(harness) == 0)
+            assert [len(server.requests) for server in harness.servers] == [
+                1,
+                1,
+            ]  # an idle connection to each
+            leaving_clients.append(socket.create_connection((HOST, harness.sidecar.downstream.port)))
+            leaving_clients[0].sendall(request_bytes("lodge", timeout="50"))
+            await wait_until(lambda: len(harness.requests) >= 3)
+            await wait_until(lambda: open_requests(harness) == 0)
             await asyncio.sleep(0.05)
-            assert len(scene.heard) == 3
+            assert len(harness.requests) == 3
 
-    play(work)
+    run_async(work)
