--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -1,4 +1,4 @@
-"""Streamed responses: framing, backpressure, and how they end, over loopback sockets."""
+"""Streamed responses over loopback sockets: framing, backpressure, completion and failure."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 TRUNCATED_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"a" * 90_000  # of 200,000 bytes
 
 
-async def long_response(client: Client, kind: str = "check") -> tuple[int, bytes]:
+async def receive_long_response(client: Client, kind: str = "check") -> tuple[int, bytes]:
     client.send(request_bytes(kind, timeout="5"))
-    first, headers = await within_timeout(read_head(client.reader))
+    status_line, headers = await within_timeout(read_head(client.reader))
     if "content-length" in headers:
         body = await within_timeout(client.reader.readexactly(int(headers["content-length"])))
     else:
         body = await within_timeout(read_chunked_body(client.reader))
-    return int(first.split(" ")[1]), body
+    return int(status_line.split(" ")[1]), body
 
 
-@pytest.mark.parametrize("form", ["length", "chunks", "close"])
-def test_long_response_is_complete_in_every_framing(form: str) -> None:
+@pytest.mark.parametrize("framing", ["length", "chunks", "close"])
+def test_long_response_is_complete_in_every_framing(framing: str) -> None:
     async def work() -> None:
         async def script(heard: ReceivedRequest) -> bytes | None:
-            if form == "length":
+            if framing == "length":
                 return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY
-            if form == "chunks":
+            if framing == "chunks":
                 head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                pieces = (LONG_BODY[at : at + 100_000] for at in range(0, len(LONG_BODY), 100_000))
-                chunks = b"".join(b"%x;x=1\r\n%s\r\n" % (len(each), each) for each in pieces)
+                pieces = (LONG_BODY[start : start + 100_000] for start in range(0, len(LONG_BODY), 100_000))
+                chunks = b"".join(b"%x;x=1\r\n%s\r\n" % (len(piece), piece) for piece in pieces)
                 return head + chunks + b"0\r\nTrailer: t\r\n\r\n"
             heard.writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG_BODY)
             heard.writer.close()
@@ -53,16 +53,16 @@
         async with running_sidecar(script, has_admin_interface=True) as harness:
             client = await harness.client()
             for _ in range(2):
-                assert await long_response(client) == (200, LONG_BODY)
-            figures = await harness.metrics()
-            assert figures["downstream_requests"]["check"]["completed"] == 2
-            assert (figures["pending"], harness.sidecar.open_requests) == (0, 0)
+                assert await receive_long_response(client) == (200, LONG_BODY)
+            metrics = await harness.metrics()
+            assert metrics["downstream_requests"]["check"]["completed"] == 2
+            assert (metrics["pending"], harness.sidecar.open_requests) == (0, 0)
 
     run_async(work)
 
 
 def test_http_1_0_client_gets_long_response_delimited_by_close() -> None:
-    # It can't read chunks; the end of the connection is the end of the answer.
+    # HTTP/1.0 has no chunks, so the end of the connection delimits the response.
     async def work() -> None:
         async def script(heard: ReceivedRequest) -> None:
             heard.writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG_BODY)
@@ -71,8 +71,8 @@
         async with running_sidecar(script) as harness:
             client = await harness.client()
             client.send(request_bytes("check", timeout="5").replace(b"HTTP/1.1", b"HTTP/1.0", 1))
-            first, headers = await within_timeout(read_head(client.reader))
-            assert first.split(" ")[1] == "200" and headers["connection"] == "close"
+            status_line, headers = await within_timeout(read_head(client.reader))
+            assert status_line.split(" ")[1] == "200" and headers["connection"] == "close"
             assert "transfer-encoding" not in headers and "content-length" not in headers
             assert await within_timeout(client.reader.read()) == LONG_BODY
 
@@ -94,7 +94,7 @@
             await within_timeout(read_head(client.reader))
             assert await within_timeout(client.reader.readexactly(1_000)) == b"a" * 1_000
             await asyncio.sleep(0)
-            release.set()  # however long that takes: the client's time has stopped
+            release.set()  # no deadline applies once the response has begun
             assert await within_timeout(client.reader.readexactly(199_000)) == b"b" * 199_000
 
     run_async(work)
@@ -116,11 +116,14 @@
             client = await harness.client()
             client.send(request_bytes("check", timeout="5"))
             await wait_until(
-                lambda: any(side._is_writing_paused for side in harness.sidecar.downstream._connections)
+                lambda: any(
+                    connection._is_writing_paused for connection in harness.sidecar.downstream._connections
+                )
             )
-            (side,) = harness.sidecar.downstream._connections
+            (connection,) = harness.sidecar.downstream._connections
             limit = harness.sidecar.downstream.write_buffer_bytes + 2 * (1 << 16)
-            assert side._transport is not None and side._transport.get_write_buffer_size() <= limit
+            assert connection._transport is not None
+            assert connection._transport.get_write_buffer_size() <= limit
             assert sent < 32 << 20
             await within_timeout(read_head(client.reader))
             assert len(await within_timeout(client.reader.readexactly(32 << 20))) == 32 << 20
@@ -128,7 +131,7 @@
     run_async(work)
 
 
-def test_truncated_response_is_recognizable_to_client() -> None:
+def test_client_can_detect_truncated_response() -> None:
     async def work() -> None:
         async def script(heard: ReceivedRequest) -> None:
             heard.writer.write(TRUNCATED_RESPONSE)
@@ -149,7 +152,7 @@
 
 
 def test_graceful_shutdown_completes_long_response(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against losing what its server is still giving: whatever else has to be over, it goes on.
+    # Guards against truncating a streamed response: it continues after the other limits of the shutdown.
     for name in ("_KILL_DELAY_S", "_MAX_DEADLINE_S", "_ACCEPT_PERIOD_S", "_RESPONSE_RESERVE_S"):
         monkeypatch.setattr(graceful_shutdown, name, 0.0)
 
@@ -169,17 +172,17 @@
             await within_timeout(read_head(reading.reader))
             waiting.send(request_bytes("lodge", timeout="5"))
             await wait_until(lambda: len(harness.requests) == 2)
-            ending = asyncio.create_task(harness.sidecar.shut_down())
+            shutdown = asyncio.create_task(harness.sidecar.shut_down())
             assert (await waiting.read_response()).status == 504
-            assert not ending.done()
+            assert not shutdown.done()
             release.set()
             assert await within_timeout(reading.reader.readexactly(200_000)) == b"a" * 90_000 + b"b" * 110_000
-            await within_timeout(ending)
+            await within_timeout(shutdown)
 
     run_async(work)
 
 
-def test_disconnect_during_long_response_ends_the_exchange() -> None:
+def test_disconnect_during_long_response_cancels_the_exchange() -> None:
     async def work() -> None:
         async def script(heard: ReceivedRequest) -> bytes:
             return TRUNCATED_RESPONSE
@@ -196,7 +199,7 @@
     run_async(work)
 
 
-def test_server_that_stalls_within_long_response_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_response_of_server_that_stalls_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream, "STALL_TIMEOUT_S", 0.1)
 
     async def work() -> None:
@@ -213,8 +216,8 @@
     run_async(work)
 
 
-def test_slow_rejection_of_unknown_length_stays_a_rejection(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against passing on, and so misreading, what is no answer of a server to the client.
+def test_slow_rejection_of_unknown_length_is_not_streamed(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards against forwarding a server's rejection as if it were a response to the client.
     monkeypatch.setattr(http_exchange, "_MAX_BUFFERING_S", 0.0)
 
     async def work() -> None:
@@ -227,11 +230,13 @@
             return b"1\r\nl\r\n0\r\n\r\n"
 
         async with running_sidecar(script) as harness:
-            asking = await harness.client()
-            asking.send(request_bytes("lodge"))
+            client = await harness.client()
+            client.send(request_bytes("lodge"))
             await wait_until(lambda: len(harness.requests) == 1)
-            assert await health_status(await harness.client()) == 200  # some rounds of the event loop
+            assert (
+                await health_status(await harness.client()) == 200
+            )  # the event loop runs some iterations meanwhile
             release.set()
-            assert (await asking.read_response()).status == 503
+            assert (await client.read_response()).status == 503
 
     run_async(work)
