--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -73,12 +73,12 @@
 def test_bytes_that_arrive_with_the_last_response_do_not_truncate_it(cause: str) -> None:
     # Guards against closing a socket with unread data: that resets the connection, and the response is lost.
     async def work() -> None:
-        async def answer(heard: ReceivedRequest) -> bytes:
+        async def respond(request: ReceivedRequest) -> bytes:
             if cause == "drain":
                 harness.sidecar.downstream.drain()
             return OK
 
-        async with running_sidecar(answer) as harness:
+        async with running_sidecar(respond) as harness:
             client = RawClient(harness.sidecar.downstream.port)
             message = request_bytes("lodge")
             if cause == "connection: close":
@@ -237,7 +237,7 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: ReceivedRequest) -> bytes:
+        async def hold(request: ReceivedRequest) -> bytes:
             if len(harness.requests) > 1:
                 await release.wait()
             return OK
@@ -280,7 +280,7 @@
             if is_completed:
                 client.send(message[-20_000:])
                 assert (await client.read_response()).status == 200
-                assert [len(heard.body) for heard in harness.requests] == [30_000]
+                assert [len(request.body) for request in harness.requests] == [30_000]
             else:
                 harness.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 10.0)
                 assert (await client.read_response()).status == 408
@@ -309,7 +309,7 @@
         errors: list[Any] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
 
-        async def disconnect_first(heard: ReceivedRequest) -> bytes:
+        async def disconnect_first(request: ReceivedRequest) -> bytes:
             client.writer.transport.abort()
             return OK
 
@@ -371,19 +371,19 @@
 )
 def test_response_that_is_reset_is_not_forwarded(partial_response: bytes, status: int) -> None:
     async def work() -> None:
-        async def reset(heard: ReceivedRequest) -> None:
-            heard.writer.write(partial_response)
+        async def reset(request: ReceivedRequest) -> None:
+            request.writer.write(partial_response)
             await asyncio.sleep(0.01)  # by then the bytes are sent, and the reset may discard them unread
-            heard.writer.transport.abort()
+            request.writer.transport.abort()
 
         async with running_sidecar(reset) as harness:
 
-            async def send_reset(heard: ReceivedRequest) -> None:
-                sock = heard.writer.get_extra_info("socket")
+            async def send_reset(request: ReceivedRequest) -> None:
+                sock = request.writer.get_extra_info("socket")
                 sock.setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, (1).to_bytes(4, "little") + (0).to_bytes(4, "little")
                 )
-                await reset(heard)
+                await reset(request)
 
             harness.servers[0].script = send_reset
             assert (await harness.request("lodge")).status == status
@@ -412,7 +412,7 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: ReceivedRequest) -> bytes:
+        async def hold(request: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
@@ -457,7 +457,7 @@
 def test_last_response_reaches_client_that_continues_to_send(tmp_path: Path) -> None:
     # The server does not respond at SIGTERM, and the client has sent more data than the sidecar reads.
     async def work() -> None:
-        async def silent(heard: ReceivedRequest) -> None:
+        async def silent(request: ReceivedRequest) -> None:
             return None
 
         async with running_program(silent, tmp_path) as running:
@@ -473,7 +473,7 @@
 
 def test_server_error_during_drain_results_in_one_response() -> None:
     async def work() -> None:
-        async def fail(heard: ReceivedRequest) -> bytes:
+        async def fail(request: ReceivedRequest) -> bytes:
             harness.sidecar.downstream.drain()
             return ERROR
 
--- a/tests/test_downstream_requests.py
+++ b/tests/test_downstream_requests.py
@@ -30,13 +30,13 @@
         async with running_sidecar(OK) as harness:
             response = await harness.request(kind, body=body, timeout="1.5", Request_Id="9b1f03aa5c7e2d41")
             assert (response.status, response.body) == (200, b"served")
-            (heard,) = harness.requests
-            assert heard.method == ("GET" if kind == "check" else "POST")
-            assert heard.target == "/api/7f3a?x=1"
-            assert heard.body == body
-            assert heard.headers["request-id"] == "9b1f03aa5c7e2d41"
-            assert heard.headers.get("idempotency-key") == ("5c0f" if kind == "amend" else None)
-            assert 0.0 < float(heard.headers["request-timeout"]) <= 1.5
+            (request,) = harness.requests
+            assert request.method == ("GET" if kind == "check" else "POST")
+            assert request.target == "/api/7f3a?x=1"
+            assert request.body == body
+            assert request.headers["request-id"] == "9b1f03aa5c7e2d41"
+            assert request.headers.get("idempotency-key") == ("5c0f" if kind == "amend" else None)
+            assert 0.0 < float(request.headers["request-timeout"]) <= 1.5
 
     run_async(work)
 
@@ -139,7 +139,7 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: ReceivedRequest) -> bytes:
+        async def hold(request: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
@@ -155,7 +155,7 @@
             assert (response.status, response.headers["connection"]) == (200, "close")
             assert await within_timeout(client.reader.read()) == b""
             assert (await other.read_response()).status == 200
-            assert [heard.target for heard in harness.requests] == ["/api/1", "/api/3"]
+            assert [request.target for request in harness.requests] == ["/api/1", "/api/3"]
 
     run_async(work)
 
@@ -206,7 +206,7 @@
                 )  # closed before its request is read
             await wait_until(lambda: downstream.open_connections == 2)
             assert (await client.request(target="/api/3")).status == 200
-            assert [heard.target for heard in harness.requests] == ["/api/1", "/api/2", "/api/3"]
+            assert [request.target for request in harness.requests] == ["/api/1", "/api/2", "/api/3"]
 
     run_async(work)
 
@@ -229,7 +229,7 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: ReceivedRequest) -> bytes:
+        async def hold(request: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
@@ -267,7 +267,7 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: ReceivedRequest) -> bytes:
+        async def hold(request: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
--- a/tests/test_event_races.py
+++ b/tests/test_event_races.py
@@ -90,16 +90,16 @@
     unanswered: list[tuple[ReceivedRequest, asyncio.Future[bytes | None]]] = field(default_factory=list)
     executions: Counter[str] = field(default_factory=Counter)  # by request ID, of non-idempotent requests
     states: dict[str, str] = field(default_factory=dict)
-    is_finished: bool = False  # servers answer at once
+    is_finished: bool = False  # servers respond at once
 
-    async def serve(self, heard: ReceivedRequest) -> bytes | None:
-        if heard.headers.get("request-class") == "lodge":
-            self.executions[heard.headers["request-id"]] += 1
+    async def serve(self, request: ReceivedRequest) -> bytes | None:
+        if request.headers.get("request-class") == "lodge":
+            self.executions[request.headers["request-id"]] += 1
         if self.is_finished:
             return OK
-        answer: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
-        self.unanswered.append((heard, answer))
-        return await answer
+        pending_response: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
+        self.unanswered.append((request, pending_response))
+        return await pending_response
 
     async def step(self) -> None:
         event = self.rng.choice(
@@ -111,7 +111,7 @@
                 self.disconnect,
                 self.send_unexpected_bytes,
             ]
-            + [self.answer] * 4
+            + [self.respond] * 4
             + [self.update_list, self.exclude, self.pass_time, self.pause, self.pause]
         )
         await event()
@@ -171,26 +171,26 @@
             client.is_well_behaved = False
             client.send(self.rng.choice([b"x", self.random_request(), b"\r\n\r\n"]))
 
-    async def answer(self) -> None:
+    async def respond(self) -> None:
         if not self.unanswered:
             return
-        heard, answer = self.unanswered.pop(self.rng.randrange(len(self.unanswered)))
-        if answer.done():
+        request, pending_response = self.unanswered.pop(self.rng.randrange(len(self.unanswered)))
+        if pending_response.done():
             return
         response = self.rng.choice(
             [OK] * 6 + [FULL, ERROR, TRUNCATED, UNFRAMED, AMBIGUOUS, INTERIM + OK, OK + OK, b""]
         )
         if response == FULL:
-            self.executions[heard.headers["request-id"]] -= 1  # the server has not run it
-        answer.set_result(response)
+            self.executions[request.headers["request-id"]] -= 1  # the server has not run it
+        pending_response.set_result(response)
         if response in (TRUNCATED, UNFRAMED, b""):
             await asyncio.sleep(0)
             if self.rng.random() < 0.5:
-                heard.writer.transport.abort()
+                request.writer.transport.abort()
             else:
-                heard.writer.close()
+                request.writer.close()
         elif response == OK and self.rng.random() < 0.1:
-            asyncio.get_running_loop().call_later(0.003, send_partial_status_line, heard.writer)
+            asyncio.get_running_loop().call_later(0.003, send_partial_status_line, request.writer)
 
     async def update_list(self) -> None:
         name = f"s-{self.rng.randrange(len(self.harness.servers))}"
@@ -281,7 +281,7 @@
             expected = {id(client): client.sent for client in events.clients if client.is_well_behaved}
             shutdown = loop.create_task(harness.sidecar.shut_down())
             while not shutdown.done():
-                await events.rng.choice([events.answer, events.complete_request, events.pause])()
+                await events.rng.choice([events.respond, events.complete_request, events.pause])()
                 await asyncio.sleep(0.001)
             events.is_finished = True
             await shutdown
@@ -304,8 +304,8 @@
             await wait_until(lambda: not pool._endpoint_of and not pool._tasks)
             await wait_until(lambda: not harness.sidecar._discovery._tasks)
             assert not [entry for entry in harness.log if "internal" in entry]
-            for _, answer in events.unanswered:
-                answer.cancel()
+            for _, pending_response in events.unanswered:
+                pending_response.cancel()
         await wait_until(lambda: not [task for task in asyncio.all_tasks() if "/sidecar/" in repr(task)])
         gc.collect()
         await wait_until(lambda: open_sockets() <= sockets_before)
--- a/tests/test_late_connections.py
+++ b/tests/test_late_connections.py
@@ -320,7 +320,7 @@
         await slow.fill_accept_queue()
         release = asyncio.Event()
 
-        async def hold(heard: ReceivedRequest) -> bytes:
+        async def hold(request: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
@@ -356,9 +356,9 @@
         await slow.fill_accept_queue()
         is_listed = asyncio.Event()
 
-        async def reset_when_listed(heard: ReceivedRequest) -> None:
+        async def reset_when_listed(request: ReceivedRequest) -> None:
             await is_listed.wait()
-            heard.writer.transport.abort()
+            request.writer.transport.abort()
 
         service_class = {
             "name": "amend",
@@ -398,12 +398,12 @@
         may_respond = asyncio.Event()
         leaving_clients: list[socket.socket] = []
 
-        async def script(heard: ReceivedRequest) -> bytes | None:
+        async def script(request: ReceivedRequest) -> bytes | None:
             if not leaving_clients:
                 await may_respond.wait()
                 return OK
             # Both happen at once and in this order, so the event loop gets them in one iteration.
-            os.write(heard.writer.get_extra_info("socket").fileno(), FULL)
+            os.write(request.writer.get_extra_info("socket").fileno(), FULL)
             leaving_clients[0].close()
             return None
 
--- a/tests/test_response_streaming.py
+++ b/tests/test_response_streaming.py
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("framing", ["length", "chunks", "close"])
 def test_long_response_is_complete_in_every_framing(framing: str) -> None:
     async def work() -> None:
-        async def script(heard: ReceivedRequest) -> bytes | None:
+        async def script(request: ReceivedRequest) -> bytes | None:
             if framing == "length":
                 return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY
             if framing == "chunks":
@@ -46,8 +46,8 @@
                 pieces = (LONG_BODY[start : start + 100_000] for start in range(0, len(LONG_BODY), 100_000))
                 chunks = b"".join(b"%x;x=1\r\n%s\r\n" % (len(piece), piece) for piece in pieces)
                 return head + chunks + b"0\r\nTrailer: t\r\n\r\n"
-            heard.writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG_BODY)
-            heard.writer.close()
+            request.writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG_BODY)
+            request.writer.close()
             return None
 
         async with running_sidecar(script, has_admin_interface=True) as harness:
@@ -64,9 +64,9 @@
 def test_http_1_0_client_gets_long_response_delimited_by_close() -> None:
     # HTTP/1.0 has no chunks, so the end of the connection delimits the response.
     async def work() -> None:
-        async def script(heard: ReceivedRequest) -> None:
-            heard.writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG_BODY)
-            heard.writer.close()
+        async def script(request: ReceivedRequest) -> None:
+            request.writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG_BODY)
+            request.writer.close()
 
         async with running_sidecar(script) as harness:
             client = await harness.client()
@@ -83,8 +83,8 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def script(heard: ReceivedRequest) -> bytes:
-            heard.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"a" * 1_000)
+        async def script(request: ReceivedRequest) -> bytes:
+            request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"a" * 1_000)
             await release.wait()
             return b"b" * 199_000
 
@@ -104,12 +104,12 @@
     async def work() -> None:
         sent = 0
 
-        async def script(heard: ReceivedRequest) -> None:
+        async def script(request: ReceivedRequest) -> None:
             nonlocal sent
-            heard.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 << 20))
+            request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 << 20))
             while sent < 32 << 20:
-                heard.writer.write(bytes(1 << 16))
-                await heard.writer.drain()
+                request.writer.write(bytes(1 << 16))
+                await request.writer.drain()
                 sent += 1 << 16
 
         async with running_sidecar(script) as harness:
@@ -133,10 +133,10 @@
 
 def test_client_can_detect_truncated_response() -> None:
     async def work() -> None:
-        async def script(heard: ReceivedRequest) -> None:
-            heard.writer.write(TRUNCATED_RESPONSE)
-            await heard.writer.drain()
-            heard.writer.close()
+        async def script(request: ReceivedRequest) -> None:
+            request.writer.write(TRUNCATED_RESPONSE)
+            await request.writer.drain()
+            request.writer.close()
 
         async with running_sidecar(script, has_admin_interface=True) as harness:
             client = await harness.client()
@@ -159,10 +159,10 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def script(heard: ReceivedRequest) -> bytes | None:
-            if heard.headers["request-class"] == "lodge":
+        async def script(request: ReceivedRequest) -> bytes | None:
+            if request.headers["request-class"] == "lodge":
                 return None
-            heard.writer.write(TRUNCATED_RESPONSE)
+            request.writer.write(TRUNCATED_RESPONSE)
             await release.wait()
             return b"b" * 110_000
 
@@ -184,7 +184,7 @@
 
 def test_disconnect_during_long_response_cancels_the_exchange() -> None:
     async def work() -> None:
-        async def script(heard: ReceivedRequest) -> bytes:
+        async def script(request: ReceivedRequest) -> bytes:
             return TRUNCATED_RESPONSE
 
         async with running_sidecar(script) as harness:
@@ -203,7 +203,7 @@
     monkeypatch.setattr(upstream, "STALL_TIMEOUT_S", 0.1)
 
     async def work() -> None:
-        async def script(heard: ReceivedRequest) -> bytes:
+        async def script(request: ReceivedRequest) -> bytes:
             return TRUNCATED_RESPONSE
 
         async with running_sidecar(script) as harness:
@@ -223,9 +223,9 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def script(heard: ReceivedRequest) -> bytes:
+        async def script(request: ReceivedRequest) -> bytes:
             head = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
-            heard.writer.write(head + b"3\r\nful\r\n")
+            request.writer.write(head + b"3\r\nful\r\n")
             await release.wait()
             return b"1\r\nl\r\n0\r\n\r\n"
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -60,11 +60,11 @@
 @pytest.mark.parametrize("partial_response", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"])
 def test_non_idempotent_request_is_not_retried_after_connection_loss(partial_response: bytes) -> None:
     async def work() -> None:
-        async def hang_up(heard: ReceivedRequest) -> None:
-            heard.writer.write(partial_response)
-            heard.writer.close()
+        async def close_connection(request: ReceivedRequest) -> None:
+            request.writer.write(partial_response)
+            request.writer.close()
 
-        async with running_sidecar(hang_up, hang_up) as harness:
+        async with running_sidecar(close_connection, close_connection) as harness:
             assert (await harness.request("lodge")).status == 502
             assert len(harness.requests) == 1
 
@@ -73,9 +73,9 @@
 
 def test_response_delimited_by_close_is_complete() -> None:
     async def work() -> None:
-        async def respond_and_close(heard: ReceivedRequest) -> None:
-            heard.writer.write(b"HTTP/1.1 200 OK\r\n\r\nserved")
-            heard.writer.close()
+        async def respond_and_close(request: ReceivedRequest) -> None:
+            request.writer.write(b"HTTP/1.1 200 OK\r\n\r\nserved")
+            request.writer.close()
 
         async with running_sidecar(respond_and_close) as harness:
             assert (await harness.request("lodge")).body == b"served"
@@ -168,7 +168,7 @@
     async def work() -> None:
         release = asyncio.Event()
 
-        async def hold(heard: ReceivedRequest) -> bytes:
+        async def hold(request: ReceivedRequest) -> bytes:
             await release.wait()
             return OK
 
