--- a/testbed/clock.py
+++ b/testbed/clock.py
@@ -12,14 +12,14 @@
 _WORTH_TELLING_US = 20_000
 
 
-class DayClock:
+class RunClock:
     """Microseconds since the day began, by the system's monotonic clock, which all processes share."""
 
     def __init__(self, began_ns: int | None = None) -> None:
         """Until it begins, the day is an hour ahead: all times are negative, and nothing of it is due."""
         self._began_ns = time.monotonic_ns() + _AHEAD_NS if began_ns is None else began_ns
 
-    def begin(self, began_ns: int) -> None:
+    def set_origin(self, began_ns: int) -> None:
         """Set the origin of the clock, in nanoseconds of the monotonic clock."""
         self._began_ns = began_ns
 
@@ -36,7 +36,7 @@
         return (time.time_ns() + (at - self.now()) * 1_000) // 1_000_000
 
 
-async def watch_lateness(clock: DayClock, who: str, writer: EventLogWriter) -> None:
+async def log_lateness(clock: RunClock, who: str, writer: EventLogWriter) -> None:
     """Write how late this process's event loop was, where it was; runs until it is cancelled."""
     due = clock.now()
     while True:
--- a/testbed/cluster_simulation/discovery_queue.py
+++ b/testbed/cluster_simulation/discovery_queue.py
@@ -19,7 +19,7 @@
 from balancer.events import EndpointEntry, EndpointListKind, EndpointListReceived, Event, TimerFired
 from balancer.settings import Guarantees, Idempotency, ServiceClass
 from testbed.capacity.samples import Sample, save
-from testbed.simulation.queue import Queue
+from testbed.simulation.queue import EventQueue
 
 SIZES = (50, 100, 200, 400, 750, 1_000)
 CALLS_MS = (1, 2, 5, 10, 20, 50)
@@ -41,7 +41,7 @@
 class DiscoveryQueue:
     """DiscoveryMode: one call at a time, first come first served."""
 
-    def __init__(self, queue: Queue, call_us: int) -> None:
+    def __init__(self, queue: EventQueue, call_us: int) -> None:
         self.queue, self._call_us = queue, call_us
         self.is_down = False
         self._free_at = 0
@@ -104,7 +104,7 @@
 
 def returned(size: int, call_ms: float, down_s: float, seed: int) -> list[float]:
     """All watches break as discovery goes down; seconds from its return until each has an answer."""
-    queue = Queue()
+    queue = EventQueue()
     discovery = DiscoveryQueue(queue, int(call_ms * 1_000))
     settings = _settings(size)
     callers = [Caller(discovery, settings, seed * 10_000 + number) for number in range(size)]
--- a/testbed/cluster_simulation/virtual.py
+++ b/testbed/cluster_simulation/virtual.py
@@ -20,7 +20,7 @@
 from sidecar.cluster.membership import Membership
 from sidecar.cluster.message import MembershipUpdate, MemberState
 from sidecar.cluster.settings import MembershipSettings
-from testbed.simulation.queue import Queue
+from testbed.simulation.queue import EventQueue
 
 S = 1_000_000
 UNIX_S = 1_780_000_000.0  # the wall clock when virtual time begins
@@ -130,7 +130,7 @@
         self.size, self.loss, self.delay_us, self.name = size, loss, delay_us, name
         self.settings = settings or MembershipSettings()
         self.random = random.Random(seed)
-        self.queue = Queue()
+        self.queue = EventQueue()
         self.reports: list[Report] = []
         self.on_report: Callable[[Report], None] = self.reports.append  # or whoever needs less than all of it
         self.double = 0.0
--- a/testbed/emulator/copies.py
+++ b/testbed/emulator/copies.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from testbed import events as log
-from testbed.clock import DayClock
+from testbed.clock import RunClock
 from testbed.emulator import program
 from testbed.scenario.scenario_run import Replica, ScenarioRun
 from testbed.scenario.settings import replica_settings, sigkill_delay_us
@@ -157,7 +157,7 @@
         command: str,
         root: Path,
         folder: Path,
-        clock: DayClock,
+        clock: RunClock,
         writer: log.EventLogWriter,
         rng: random.Random,
         ready_within_s: float,
--- a/testbed/emulator/datagrams.py
+++ b/testbed/emulator/datagrams.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from testbed import events as log
-from testbed.clock import DayClock
+from testbed.clock import RunClock
 from testbed.links import Links
 
 MOST_BYTES = 256
@@ -17,7 +17,7 @@
 class Relay:
     """The switch's part for datagrams."""
 
-    def __init__(self, clock: DayClock, links: Links, writer: log.EventLogWriter, rng: random.Random) -> None:
+    def __init__(self, clock: RunClock, links: Links, writer: log.EventLogWriter, rng: random.Random) -> None:
         self._clock, self._links, self._writer, self._rng = clock, links, writer, rng
         self._places: list[_Place] = []
         self._everyone: _Place | None = None
@@ -62,7 +62,7 @@
         now = self._clock.now()
         chances = self._rng.random(), self._rng.random(), self._rng.random()
         link = self._links.between(f"copy:{sender}", f"copy:{receiver}")
-        arrivals = link.arrivals(now, chances)
+        arrivals = link.datagram_arrivals(now, chances)
         if len(data) > MOST_BYTES or self._waiting > _MOST_WAITING:
             arrivals = []
         if not arrivals:
--- a/testbed/emulator/discovery.py
+++ b/testbed/emulator/discovery.py
@@ -10,7 +10,7 @@
 
 from testbed import events as log
 from testbed.catalog import EndpointCatalog, EntryChange
-from testbed.clock import DayClock
+from testbed.clock import RunClock
 from testbed.emulator.message import MalformedRequestError, Requests, answer
 from testbed.emulator.switch import Handler, Passage
 from testbed.scenario.scenario_run import ScenarioRun
@@ -26,7 +26,7 @@
     def __init__(
         self,
         day: ScenarioRun,
-        clock: DayClock,
+        clock: RunClock,
         writer: log.EventLogWriter,
         addresses: list[list[str]],
         rng: random.Random,
--- a/testbed/emulator/play.py
+++ b/testbed/emulator/play.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from testbed import events as log
-from testbed.clock import DayClock, watch_lateness
+from testbed.clock import RunClock, log_lateness
 from testbed.emulator import shard as shards
 from testbed.emulator.copies import PlayError, Sidecar, deployed
 from testbed.emulator.datagrams import Relay
@@ -25,7 +25,7 @@
 from testbed.links import Links
 from testbed.load import worker as loads
 from testbed.scenario.scenario_run import DISCOVERY, Fault, Replica, ScenarioRun
-from testbed.streams import MOST_LINE, seeded
+from testbed.streams import MAX_LINE_BYTES, seeded
 
 __all__ = ["Ground", "PlayError", "play"]
 
@@ -64,7 +64,7 @@
             module,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
-            limit=MOST_LINE,
+            limit=MAX_LINE_BYTES,
             start_new_session=True,
             env={**os.environ, "PYTHONPATH": os.pathsep.join(folder for folder in sys.path if folder)},
         )
@@ -141,7 +141,7 @@
 
     def __init__(self, day: ScenarioRun, ground: Ground, writer: log.EventLogWriter) -> None:
         self._day, self._ground, self._writer = day, ground, writer
-        self._clock = DayClock()
+        self._clock = RunClock()
         self._links = Links(day)
         self._children: list[_Child] = []
         self._loads: list[_Child] = []
@@ -221,14 +221,14 @@
         """The day itself, until the load has every answer that comes."""
         assert self._discovery is not None
         began_ns = time.monotonic_ns() + round(_START_S * 1e9)
-        self._clock.begin(began_ns)
+        self._clock.set_origin(began_ns)
         for child in (*self._children, *self._loads):
             child.tell(b"%d" % began_ns)
         self._discovery.start()
         for gate in self._gates:
             gate.plan()
         self._failed = asyncio.get_running_loop().create_future()
-        watch = asyncio.create_task(watch_lateness(self._clock, "discovery", self._writer))
+        watch = asyncio.create_task(log_lateness(self._clock, "discovery", self._writer))
         self._tasks = [watch, asyncio.create_task(self._ask_figures())]
         self._tasks += [*(asyncio.create_task(self._trouble(trouble)) for trouble in self._day.faults)]
         for task in self._tasks:
--- a/testbed/emulator/servers.py
+++ b/testbed/emulator/servers.py
@@ -1,4 +1,4 @@
-"""The stand-in for a server: what a station makes of a request, said as the platform's servers say it."""
+"""The stand-in for a server: serves requests by a queueing server, and answers as the platform does."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 
 from testbed import events as log
-from testbed.clock import DayClock
+from testbed.clock import RunClock
 from testbed.emulator.message import MalformedRequestError, Requests, answer, header
 from testbed.emulator.switch import Gate, Handler, Passage
+from testbed.queueing_server import Job, OfferResult, QueueingServer
 from testbed.scenario.scenario_run import Fault, Server
-from testbed.station import Job, Place, Station
 
 _WORK = re.compile(rb"[?&]work=([0-9]{1,12})")
 _ID = re.compile(rb"[0-9a-f]{16}")
@@ -27,7 +27,7 @@
         self,
         server: Server,
         troubles: tuple[Fault, ...],
-        clock: DayClock,
+        clock: RunClock,
         writer: log.EventLogWriter,
         number_attempt: Callable[[], int],
         rng: random.Random,
@@ -35,7 +35,7 @@
         self.server = server
         self.gates: list[Gate] = []
         self.open = 0  # connections
-        self._station = Station(server, troubles)
+        self._queueing_server = QueueingServer(server, troubles)
         self._clock, self._writer, self._rng = clock, writer, rng
         self._number_attempt = number_attempt
         self._asked: dict[int, _Connection] = {}  # by attempt
@@ -53,10 +53,10 @@
         if what in ("down", "gone"):
             for gate in self.gates:
                 gate.down()
-            for job in self._station.restart(now):
+            for job in self._queueing_server.restart(now):
                 self._ended(job.attempt, "lost")
         elif what == "up":
-            self._station.restart(now)
+            self._queueing_server.restart(now)
             for gate in self.gates:
                 gate.up()
         self._writer.write(log.ServerStateChanged(at_us=now, server=self.server.number, state=what))
@@ -79,19 +79,19 @@
         connection.requests[attempt] = request
         self._asked[attempt] = connection
         job = Job(attempt, work, self._rng.random())
-        place = self._station.offer(now, job)
-        if place is Place.FULL:
+        place = self._queueing_server.offer(now, job)
+        if place is OfferResult.FULL:
             self._ended(attempt, "full")
-        elif place is Place.WORKING:
+        elif place is OfferResult.IN_SERVICE:
             self._work(job)
 
     def _work(self, job: Job) -> None:
-        asyncio.get_running_loop().call_later(self._clock.wait_s(job.ends), self._done, job)
+        asyncio.get_running_loop().call_later(self._clock.wait_s(job.ends_at), self._done, job)
 
     def _done(self, job: Job) -> None:
-        if not self._station.holds(job):
+        if not self._queueing_server.is_serving(job):
             return  # its process ended meanwhile
-        well, after = self._station.end(self._clock.now(), job)
+        well, after = self._queueing_server.complete(self._clock.now(), job)
         if after is not None:
             self._work(after)
         self._ended(job.attempt, "served" if well else "error")
--- a/testbed/emulator/shard.py
+++ b/testbed/emulator/shard.py
@@ -16,12 +16,12 @@
 
 from testbed import events as log
 from testbed.catalog import server_state_changes
-from testbed.clock import DayClock, watch_lateness
+from testbed.clock import RunClock, log_lateness
 from testbed.emulator.servers import StandIn
 from testbed.emulator.switch import Gate
 from testbed.links import Links
 from testbed.scenario import ScenarioRun
-from testbed.streams import lines_of_input, seeded
+from testbed.streams import open_stdin, seeded
 
 
 class Plan(msgspec.Struct, frozen=True):
@@ -41,7 +41,7 @@
 class Shard:
     """The servers of one process."""
 
-    def __init__(self, plan: Plan, clock: DayClock, writer: log.EventLogWriter) -> None:
+    def __init__(self, plan: Plan, clock: RunClock, writer: log.EventLogWriter) -> None:
         self._day, self._clock = plan.day, clock
         links = Links(plan.day)
         numbers = itertools.count(plan.shard, plan.shards)
@@ -87,18 +87,18 @@
 
 async def main() -> None:
     """Run the shard that standard input describes, until standard input is closed."""
-    told = await lines_of_input()
+    told = await open_stdin()
     plan = msgspec.json.decode(await told.readline(), type=Plan)
-    clock = DayClock()
+    clock = RunClock()
     with log.EventLogWriter(Path(plan.part)) as writer:
         shard = Shard(plan, clock, writer)
         print(msgspec.json.encode(shard.bind()).decode(), flush=True)
         shard.accept()
         began = await told.readline()
         if began:
-            clock.begin(int(began))
+            clock.set_origin(int(began))
             shard.begin()
-            watch = asyncio.create_task(watch_lateness(clock, f"servers {plan.shard}", writer))
+            watch = asyncio.create_task(log_lateness(clock, f"servers {plan.shard}", writer))
             await told.read()
             watch.cancel()
         shard.close()
--- a/testbed/emulator/switch.py
+++ b/testbed/emulator/switch.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from testbed.clock import DayClock
+from testbed.clock import RunClock
 from testbed.links import NEVER, Link
 
 _BACKLOG = 512
@@ -46,7 +46,7 @@
 class _Pipe:
     """One direction of a connection: bytes in order, each when the link lets it through."""
 
-    def __init__(self, clock: DayClock, link: Link, deliver: Callable[[bytes | None], None]) -> None:
+    def __init__(self, clock: RunClock, link: Link, deliver: Callable[[bytes | None], None]) -> None:
         self._clock, self._link, self._deliver = clock, link, deliver
         self._waiting: deque[tuple[int, bytes | None, Callable[[], None] | None]] = deque()
         self._timer: asyncio.TimerHandle | None = None
@@ -136,7 +136,7 @@
 
     def send(self, data: bytes, delivered: Callable[[], None] | None = None) -> None:
         """Send to the copy; `delivered` is called when it was passed on."""
-        if self._gate.outwards.cuts_off(self._gate.clock.now(), self._gate.chance()):
+        if self._gate.outwards.resets_response(self._gate.clock.now(), self._gate.chance()):
             self._out.push(data[: len(data) // 2])
             self._out.push(None)
             return
@@ -178,7 +178,7 @@
     """The address of one party as one copy sees it."""
 
     def __init__(
-        self, clock: DayClock, copy: int, party: Party, inwards: Link, outwards: Link, rng: random.Random
+        self, clock: RunClock, copy: int, party: Party, inwards: Link, outwards: Link, rng: random.Random
     ) -> None:
         self.clock, self.copy, self.party = clock, copy, party
         self.inwards, self.outwards = inwards, outwards
@@ -213,7 +213,7 @@
         """The day begins: plan every opening and closing of its links."""
         loop = asyncio.get_running_loop()
         for link in (self.inwards, self.outwards):
-            for since, until in link.closings():
+            for since, until in link.cut_intervals():
                 for at in (since, until):
                     if at < NEVER:
                         loop.call_later(self.clock.wait_s(at) + 0.0005, self.follow)
--- a/testbed/experiment/grid.py
+++ b/testbed/experiment/grid.py
@@ -19,7 +19,7 @@
 from testbed.experiment.cell import Cell
 from testbed.experiment.store import Key, Store
 from testbed.experiment.variants import Variant, checked_out, digest, has_earlier_layout
-from testbed.simulation.earlier_module import PACKAGE as EARLIER_PACKAGE
+from testbed.simulation.earlier_module import EARLIER_PACKAGE
 from testbed.simulation.policies import EARLIER_MODULE
 
 HERE = Path(__file__).resolve().parent.parent.parent
--- a/testbed/experiment/variants.py
+++ b/testbed/experiment/variants.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 
 from testbed.emulator.copies import PlayError
-from testbed.simulation.earlier_module import PACKAGE
+from testbed.simulation.earlier_module import EARLIER_PACKAGE
 from testbed.simulation.policies import POLICIES
 
 PACKAGES = ("balancer", "sidecar", "testbed")
-EARLIER_PACKAGES = (PACKAGE, "micadeck", "plumtrestle")
+EARLIER_PACKAGES = (EARLIER_PACKAGE, "micadeck", "plumtrestle")
 NEVER = 1e9
 
 
@@ -101,7 +101,7 @@
 
 def has_earlier_layout(root: Path) -> bool:
     """Whether a tree is of a commit from before the packages were named after their jobs."""
-    return (root / PACKAGE).is_dir()
+    return (root / EARLIER_PACKAGE).is_dir()
 
 
 def digest(root: Path) -> str:
--- a/testbed/links.py
+++ b/testbed/links.py
@@ -28,7 +28,7 @@
         """Whether nothing comes through, so that no connection can be made."""
         return any(each.kind in _CLOSING for each in self._now(now))
 
-    def closings(self) -> list[tuple[int, int]]:
+    def cut_intervals(self) -> list[tuple[int, int]]:
         """When it is cut, from and until."""
         return [(each.start_us, _end(each)) for each in self._troubles if each.kind in _CLOSING]
 
@@ -47,7 +47,7 @@
                 delay_us += round(each.amount * 1e3)
         return at + delay_us
 
-    def arrivals(self, now: int, chances: tuple[float, float, float]) -> list[int]:
+    def datagram_arrivals(self, now: int, chances: tuple[float, float, float]) -> list[int]:
         """When a datagram arrives that leaves now: never, once or twice; `chances` are drawn from 0 to 1."""
         loss, double, late = self._loss, 0.0, 0.0
         for each in self._now(now):
@@ -66,7 +66,7 @@
             at += 20_000 + 4 * self._delay_us  # later than some that leave after it
         return [at, at + 1_000] if chances[1] < double else [at]
 
-    def cuts_off(self, now: int, chance: float) -> bool:
+    def resets_response(self, now: int, chance: float) -> bool:
         """Whether an answer that leaves now is cut off in the middle."""
         return any(each.kind == "reset" and chance < each.amount for each in self._now(now))
 
--- a/testbed/load/client.py
+++ b/testbed/load/client.py
@@ -11,7 +11,7 @@
 import httptools
 
 from testbed import events as log
-from testbed.clock import DayClock
+from testbed.clock import RunClock
 from testbed.load.habits import MOST_RETRIES, Habits
 from testbed.scenario import Arrival, ScenarioRun
 
@@ -42,7 +42,7 @@
         day: ScenarioRun,
         copy: int,
         address: tuple[str, int],
-        clock: DayClock,
+        clock: RunClock,
         writer: log.EventLogWriter,
         grace_us: int,
         rng: random.Random,
--- a/testbed/load/worker.py
+++ b/testbed/load/worker.py
@@ -14,10 +14,10 @@
 import uvloop
 
 from testbed import events as log
-from testbed.clock import DayClock, watch_lateness
+from testbed.clock import RunClock, log_lateness
 from testbed.load.client import Application
 from testbed.scenario import ScenarioRun, draw_arrivals
-from testbed.streams import lines_of_input, seeded
+from testbed.streams import open_stdin, seeded
 
 
 class Plan(msgspec.Struct, frozen=True):
@@ -33,7 +33,7 @@
 
 async def play(plan: Plan, began_ns: int) -> None:
     """All requests of this worker's copies, from the day's beginning until each is answered or given up."""
-    clock = DayClock(began_ns)
+    clock = RunClock(began_ns)
     own = [number for number in range(len(plan.addresses)) if number % plan.workers == plan.worker]
     with log.EventLogWriter(Path(plan.part)) as writer:
         applications = {
@@ -48,7 +48,7 @@
             )
             for copy in own
         }
-        watch = asyncio.create_task(watch_lateness(clock, f"load {plan.worker}", writer))
+        watch = asyncio.create_task(log_lateness(clock, f"load {plan.worker}", writer))
         try:
             for arrival in draw_arrivals(plan.day):
                 application = applications.get(arrival.replica)
@@ -67,7 +67,7 @@
 
 async def main() -> None:
     """Generate the load that standard input describes, until standard input is closed."""
-    told = await lines_of_input()
+    told = await open_stdin()
     plan = msgspec.json.decode(await told.readline(), type=Plan)
     print("ready", flush=True)
     began = await told.readline()
--- a/testbed/station.py
+++ b/testbed/queueing_server.py
@@ -13,11 +13,11 @@
 
 
 @unique
-class Place(Enum):
+class OfferResult(Enum):
     """Where a job that was offered went."""
 
-    WORKING = "working"
-    WAITING = "waiting"
+    IN_SERVICE = "in service"
+    QUEUED = "queued"
     FULL = "full"
 
 
@@ -27,11 +27,11 @@
 
     attempt: int
     work_us: int
-    chance: float  # from 0 to 1, drawn by the caller: below the error rate it ends as an error
-    ends: int = 0  # once it is at work
+    error_draw: float  # from 0 to 1, drawn by the caller: below the error rate it ends as an error
+    ends_at: int = 0  # once it is at work
 
 
-class Station:
+class QueueingServer:
     """One server's process at a time."""
 
     def __init__(self, server: Server, troubles: tuple[Fault, ...] = ()) -> None:
@@ -43,7 +43,7 @@
         self._waiting: deque[Job] = deque()
 
     @property
-    def held(self) -> int:
+    def job_count(self) -> int:
         """Requests at work or waiting."""
         return len(self._at_work) + len(self._waiting)
 
@@ -64,9 +64,9 @@
                 own.slow_start_initial_capacity
                 + (1 - own.slow_start_initial_capacity) * (now - self._started) / own.slow_start_us
             )
-        if self.held > own.overload_threshold and own.overload_slowdown:
+        if self.job_count > own.overload_threshold and own.overload_slowdown:
             speed *= 1 - own.overload_slowdown * min(
-                (self.held - own.overload_threshold) / own.overload_threshold, 1.0
+                (self.job_count - own.overload_threshold) / own.overload_threshold, 1.0
             )
         for each in self._slow:
             if each.start_us <= now < each.end_us:
@@ -80,30 +80,30 @@
             default=self._server.error_rate,
         )
 
-    def offer(self, now: int, job: Job) -> Place:
+    def offer(self, now: int, job: Job) -> OfferResult:
         """Take a job, or turn it away; a job at work says when it `ends`."""
         if len(self._at_work) < self._server.slots:
             self._begin(now, job)
-            return Place.WORKING
+            return OfferResult.IN_SERVICE
         if len(self._waiting) < self._server.queue_limit:
             self._waiting.append(job)
-            return Place.WAITING
-        return Place.FULL
+            return OfferResult.QUEUED
+        return OfferResult.FULL
 
-    def end(self, now: int, job: Job) -> tuple[bool, Job | None]:
+    def complete(self, now: int, job: Job) -> tuple[bool, Job | None]:
         """A job is done: whether well, and the job that is at work in its place."""
         del self._at_work[job.attempt]
-        well = job.chance >= self.error_rate(now)
+        well = job.error_draw >= self.error_rate(now)
         if not self._waiting:
             return well, None
         after = self._waiting.popleft()
         self._begin(now, after)
         return well, after
 
-    def holds(self, job: Job) -> bool:
+    def is_serving(self, job: Job) -> bool:
         """Whether a job is at work here: not since a restart."""
         return self._at_work.get(job.attempt) is job
 
     def _begin(self, now: int, job: Job) -> None:
         self._at_work[job.attempt] = job
-        job.ends = now + max(round(job.work_us / self.speed(now)), 1)
+        job.ends_at = now + max(round(job.work_us / self.speed(now)), 1)
--- a/testbed/scale/crew.py
+++ b/testbed/scale/crew.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from testbed import events as log
-from testbed.clock import DayClock
+from testbed.clock import RunClock
 from testbed.emulator.copies import PlayError, end_with_parent
 from testbed.scale.discovery import Discovery
 from testbed.scale.lag import Lag
 from testbed.scale.plan import Plan, configuration, day_of
 from testbed.scale.real import Real, Usage, is_true
 from testbed.scale.worker import Order, Reply, Share
-from testbed.streams import MOST_LINE
+from testbed.streams import MAX_LINE_BYTES
 
 _ANSWER_WITHIN_S = 60.0
 _ENDS_WITHIN_S = 10.0
@@ -41,7 +41,7 @@
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=said,
-                limit=MOST_LINE,
+                limit=MAX_LINE_BYTES,
                 env={**os.environ, "TMPDIR": str(log_file.parent)},
                 start_new_session=True,
                 preexec_fn=end_with_parent,
@@ -120,7 +120,7 @@
             told = {each: self._configuration(each) for each in share}
             child.tell(Share(number, self.plan.seed, self.plan.real, told, str(self._folder)))
         ports = {each: port for reply in await self._all(Order("bind")) for each, port in reply.ports.items()}
-        clock = DayClock(time.monotonic_ns())
+        clock = RunClock(time.monotonic_ns())
         for number in range(self.plan.real + self.plan.off):
             is_member = number < self.plan.real
             # Beyond the members' numbers are those with membership off: addresses are by number.
--- a/testbed/scale/discovery.py
+++ b/testbed/scale/discovery.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from testbed import events as log
-from testbed.clock import DayClock
+from testbed.clock import RunClock
 from testbed.emulator.discovery import StandInDiscovery
 from testbed.emulator.switch import Gate
 from testbed.links import Links
@@ -34,7 +34,7 @@
     """Answers one call after another; may be away for a while."""
 
     def __init__(self, day: ScenarioRun) -> None:
-        clock = DayClock(time.monotonic_ns())
+        clock = RunClock(time.monotonic_ns())
         # Nobody dials servers without requests: any addresses will do.
         addresses = [[f"127.0.0.1:{1 + each.number % 60_000}" for each in day.servers]]
         self._counting = _Counting()
--- a/testbed/scale/real.py
+++ b/testbed/scale/real.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from testbed import events as log
-from testbed.clock import DayClock
+from testbed.clock import RunClock
 from testbed.emulator.copies import Sidecar, _asked
 from testbed.scenario.scenario_run import ScenarioRun
 
@@ -35,7 +35,7 @@
         command: str,
         root: Path,
         folder: Path,
-        clock: DayClock,
+        clock: RunClock,
         writer: log.EventLogWriter,
     ) -> None:
         rng = random.Random(f"real {day.seed} {number}")
--- a/testbed/scale/worker.py
+++ b/testbed/scale/worker.py
@@ -27,7 +27,7 @@
 from sidecar.configuration_reload import ConfigurationReloader
 from testbed.scale.hollow import Counts, Ground, Hollow, Watch, unheard
 from testbed.scale.lag import Lag
-from testbed.streams import lines_of_input
+from testbed.streams import open_stdin
 
 
 class Share(msgspec.Struct, frozen=True):
@@ -243,7 +243,7 @@
 
 async def main() -> None:
     """Execute the orders read from standard input, one a line, and print the replies."""
-    told = await lines_of_input()
+    told = await open_stdin()
     worker = Worker(msgspec.json.decode(await told.readline(), type=Share))
     lagging = asyncio.create_task(worker.lag.watch())
     try:
--- a/testbed/simulation/clients.py
+++ b/testbed/simulation/clients.py
@@ -12,7 +12,7 @@
 from testbed.load.habits import MOST_RETRIES, Habits
 from testbed.scenario.arrivals import Arrival
 from testbed.scenario.scenario_run import ScenarioRun
-from testbed.simulation.queue import Queue
+from testbed.simulation.queue import EventQueue
 from testbed.simulation.servers import Sink
 
 Take = Callable[[int, RequestArrived, int], bool]  # whether somebody is there to take it
@@ -25,7 +25,7 @@
         self,
         day: ScenarioRun,
         copy: int,
-        queue: Queue,
+        queue: EventQueue,
         sink: Sink,
         rng: random.Random,
         take: Take,
--- a/testbed/simulation/discovery.py
+++ b/testbed/simulation/discovery.py
@@ -11,7 +11,7 @@
 from testbed.catalog import EndpointCatalog, EntryChange
 from testbed.links import NEVER, Links
 from testbed.scenario.scenario_run import DISCOVERY, ScenarioRun
-from testbed.simulation.queue import Queue
+from testbed.simulation.queue import EventQueue
 from testbed.simulation.servers import Sink
 
 WATCH_US = 20_000_000  # how long a sidecar's watch may wait for news
@@ -35,7 +35,7 @@
     """One service for all copies."""
 
     def __init__(
-        self, day: ScenarioRun, queue: Queue, links: Links, sink: Sink, rng: random.Random, epoch_us: int
+        self, day: ScenarioRun, queue: EventQueue, links: Links, sink: Sink, rng: random.Random, epoch_us: int
     ) -> None:
         """`epoch_us` is the module's clock at the day's beginning."""
         self.catalog = EndpointCatalog(day)
--- a/testbed/simulation/earlier_module.py
+++ b/testbed/simulation/earlier_module.py
@@ -17,7 +17,7 @@
 from balancer.endpoints import EndpointCounts
 from balancer.events import Event
 
-PACKAGE = "magpiemux"  # of the decisions, in commits before the packages were named after their jobs
+EARLIER_PACKAGE = "magpiemux"  # of the decisions, in commits before the packages were named after their jobs
 
 # Type names today -> in commits of the earlier layout; what is not here has the same name in both.
 EARLIER_TYPES = {
@@ -58,8 +58,8 @@
     """The balancer of an earlier commit behind today's events and actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self._interface = importlib.import_module(f"{PACKAGE}.interface")
-        decisions = importlib.import_module(f"{PACKAGE}.balancer")
+        self._interface = importlib.import_module(f"{EARLIER_PACKAGE}.interface")
+        decisions = importlib.import_module(f"{EARLIER_PACKAGE}.balancer")
         self._balancer = decisions.Balancer(to_earlier(settings, self._interface), seed)
 
     def handle(self, now: int, event: Event) -> list[Action]:
--- a/testbed/simulation/play.py
+++ b/testbed/simulation/play.py
@@ -19,7 +19,7 @@
 from testbed.simulation.clients import Clients
 from testbed.simulation.discovery import ModelDiscovery
 from testbed.simulation.policies import Policy, SeesTrueState, policy_named
-from testbed.simulation.queue import Queue
+from testbed.simulation.queue import EventQueue
 from testbed.simulation.servers import ModelServer, Sink
 from testbed.simulation.sidecar import EPOCH_US, Sidecar
 from testbed.streams import seeded
@@ -198,7 +198,7 @@
 
     def __init__(self, day: ScenarioRun, policy: Callable[[Settings, int], Policy], sink: Sink) -> None:
         self.day, self.policy, self.sink = day, policy, sink
-        self.queue = Queue()
+        self.queue = EventQueue()
         self.links = Links(day)
         self.attempts = itertools.count()
         self.servers = [
@@ -282,7 +282,7 @@
                 continue
             chances = self._chances.random(), self._chances.random(), self._chances.random()
             link = self.links.between(f"copy:{sender}", f"copy:{target}")
-            arrivals_at = link.arrivals(self.queue.now, chances)
+            arrivals_at = link.datagram_arrivals(self.queue.now, chances)
             if not arrivals_at:
                 self._datagram(sender, target, payload, passed=False)
             for at in arrivals_at:
--- a/testbed/simulation/queue.py
+++ b/testbed/simulation/queue.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Queue:
+class EventQueue:
     """Virtual time in microseconds of the day."""
 
     def __init__(self) -> None:
--- a/testbed/simulation/servers.py
+++ b/testbed/simulation/servers.py
@@ -7,9 +7,9 @@
 
 from testbed import events as log
 from testbed.links import NEVER, Links
+from testbed.queueing_server import Job, OfferResult, QueueingServer
 from testbed.scenario.scenario_run import ScenarioRun, Server
-from testbed.simulation.queue import Queue
-from testbed.station import Job, Place, Station
+from testbed.simulation.queue import EventQueue
 
 Sink = Callable[[log.Event], None]
 # Told at the copy: how the attempt ended there (served, error, full, lost, refused, cut off).
@@ -20,13 +20,19 @@
     """One server and its process."""
 
     def __init__(
-        self, day: ScenarioRun, server: Server, queue: Queue, links: Links, sink: Sink, rng: random.Random
+        self,
+        day: ScenarioRun,
+        server: Server,
+        queue: EventQueue,
+        links: Links,
+        sink: Sink,
+        rng: random.Random,
     ) -> None:
         self.server = server
         self.is_up = True
         self.epoch = 0  # of its process; connections to an older one are gone
         self.open = 0  # connections
-        self._station = Station(server, day.faults)
+        self._queueing_server = QueueingServer(server, day.faults)
         self._queue, self._sink, self._rng = queue, sink, rng
         self.party = server.party
         self._day, self._links = day, links
@@ -35,7 +41,7 @@
     @property
     def held(self) -> int:
         """Requests at work or waiting; a process that is not there holds more than any."""
-        return self._station.held if self.is_up else 1 << 30
+        return self._queueing_server.job_count if self.is_up else 1 << 30
 
     def live(self, what: str) -> None:
         """Its process ends, begins, drains or goes, as the day has it."""
@@ -44,11 +50,11 @@
             self.is_up = False
             self.epoch += 1
             self.open = 0
-            for job in self._station.restart(now):
+            for job in self._queueing_server.restart(now):
                 self._end(job.attempt, "lost")
         elif what == "up":
             self.is_up = True
-            self._station.restart(now)
+            self._queueing_server.restart(now)
         self._sink(log.ServerStateChanged(at_us=now, server=self.server.number, state=what))
 
     def arrive(
@@ -72,18 +78,18 @@
         )
         self._owed[attempt] = copy, request, heard
         job = Job(attempt, work, self._rng.random())
-        place = self._station.offer(now, job)
-        if place is Place.FULL:
+        place = self._queueing_server.offer(now, job)
+        if place is OfferResult.FULL:
             self._end(attempt, "full")
-        elif place is Place.WORKING:
-            self._queue.at(job.ends, self._done, job)
+        elif place is OfferResult.IN_SERVICE:
+            self._queue.at(job.ends_at, self._done, job)
 
     def _done(self, job: Job) -> None:
-        if not self._station.holds(job):
+        if not self._queueing_server.is_serving(job):
             return
-        well, after = self._station.end(self._queue.now, job)
+        well, after = self._queueing_server.complete(self._queue.now, job)
         if after is not None:
-            self._queue.at(after.ends, self._done, after)
+            self._queue.at(after.ends_at, self._done, after)
         self._end(job.attempt, "served" if well else "error")
 
     def _end(self, attempt: int, how: str) -> None:
@@ -93,7 +99,7 @@
 
     def _tell(self, copy: int, heard: Heard, how: str) -> None:
         link = self._links.between(self.party, self._day.replicas[copy].party)
-        if link.cuts_off(self._queue.now, self._rng.random()):
+        if link.resets_response(self._queue.now, self._rng.random()):
             how = "cut off"
         at = link.arrival(self._queue.now)
         if at < NEVER:
--- a/testbed/simulation/sidecar.py
+++ b/testbed/simulation/sidecar.py
@@ -36,7 +36,7 @@
 from testbed.simulation.clients import Clients
 from testbed.simulation.discovery import WATCH_US, ListAnswer, ModelDiscovery
 from testbed.simulation.policies import CountsEndpoints, Policy
-from testbed.simulation.queue import Queue
+from testbed.simulation.queue import EventQueue
 from testbed.simulation.servers import ModelServer
 
 EPOCH_US = 1_700_000_000_000_000  # the module's clock at the day's beginning
@@ -78,7 +78,7 @@
 class Place(Protocol):
     """What one process of a copy needs of the rest of the model."""
 
-    queue: Queue
+    queue: EventQueue
     day: ScenarioRun
     settings: Settings
     number: int
--- a/testbed/streams.py
+++ b/testbed/streams.py
@@ -8,12 +8,12 @@
 
 from testbed.scenario.draw import random_stream
 
-MOST_LINE = 1 << 26  # bytes: a day with all of its parties
+MAX_LINE_BYTES = 1 << 26  # bytes: a day with all of its parties
 
 
-async def lines_of_input() -> asyncio.StreamReader:
+async def open_stdin() -> asyncio.StreamReader:
     """Standard input, to be read without holding up the loop."""
-    reader = asyncio.StreamReader(limit=MOST_LINE)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     return reader
--- a/tests/test_configuration_rollout.py
+++ b/tests/test_configuration_rollout.py
@@ -38,7 +38,7 @@
 from sidecar.configuration_rollout import log_event
 from sidecar.sidecar import Sidecar
 from testbed import events as log
-from testbed.clock import DayClock
+from testbed.clock import RunClock
 from testbed.emulator.copies import Sidecar as ReplicaProcess
 from testbed.emulator.copies import _asked
 from testbed.emulator.datagrams import Relay
@@ -94,7 +94,7 @@
     )
     base = read_small().replace("count = 2", f"count = {count}\nconsole = true")
     day = make_run(faults, base)
-    clock = DayClock()
+    clock = RunClock()
     with log.EventLogWriter(folder / "log.jsonl") as writer:
         relay = Relay(clock, Links(day), writer, random.Random(1))
         replicas = [
@@ -116,7 +116,7 @@
             replica.configure(f"{HOST}:9", relay.peers, relay.everyone)
             replica.config |= {**SHORT_ROUNDS, "version": 1}
             replica.listing = lambda: VALID_CONFIGURATION["known"]
-        clock.begin(0)
+        clock.set_origin(0)
         try:
             await asyncio.gather(*(replica.start() for replica in replicas))
             yield Cluster(replicas)
--- a/tests/test_discovery_queue.py
+++ b/tests/test_discovery_queue.py
@@ -5,16 +5,16 @@
 import pytest
 
 from testbed.cluster_simulation.discovery_queue import DiscoveryQueue, S, returned
-from testbed.simulation.queue import Queue
+from testbed.simulation.queue import EventQueue
 
 
 def test_queue_serves_calls_one_after_another() -> None:
-    discovery = DiscoveryQueue(Queue(), 1_000)
+    discovery = DiscoveryQueue(EventQueue(), 1_000)
     assert [discovery.takes_until() for _ in range(3)] == [(1_000, True), (2_000, True), (3_000, True)]
 
 
 def test_call_waiting_over_three_seconds_is_given_up_and_takes_no_time() -> None:
-    discovery = DiscoveryQueue(Queue(), 2 * S)
+    discovery = DiscoveryQueue(EventQueue(), 2 * S)
     assert [discovery.takes_until() for _ in range(4)] == [
         (2 * S, True),
         (4 * S, True),
@@ -26,7 +26,7 @@
 
 
 def test_call_while_down_is_rejected_at_once() -> None:
-    discovery = DiscoveryQueue(Queue(), 1_000)
+    discovery = DiscoveryQueue(EventQueue(), 1_000)
     discovery.is_down = True
     assert discovery.takes_until() == (0, False)
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -19,7 +19,7 @@
 
 from testbed import events as log
 from testbed.checker import check_invariants
-from testbed.clock import DayClock
+from testbed.clock import RunClock
 from testbed.emulator.copies import PlayError, Sidecar
 from testbed.emulator.play import Ground
 from testbed.emulator.play import play as play_day
@@ -193,7 +193,7 @@
         self._echo.heard.append(b"end")
 
 
-class FakeClock(DayClock):
+class FakeClock(RunClock):
     """A clock that a test sets; waits are short."""
 
     def __init__(self) -> None:
@@ -363,7 +363,7 @@
 def test_both_processes_of_an_upgrade_are_ended_at_the_close(tmp_path: Path) -> None:
     async def work() -> None:
         with log.EventLogWriter(tmp_path / "part.jsonl") as writer:
-            day, clock = make_run(base=read_small()), DayClock()
+            day, clock = make_run(base=read_small()), RunClock()
             rng, folder = random.Random(1), tmp_path / "copy"
             copy = Sidecar(day, day.replicas[0], "exec sleep 600", ROOT, folder, clock, writer, rng, 1.0)
             copy.configure("127.0.0.1:9", [], "")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -13,7 +13,7 @@
 from test_testbed_models import make_run
 
 from testbed import events as log
-from testbed.clock import DayClock
+from testbed.clock import RunClock
 from testbed.load.client import Application, Ask, Connection
 from testbed.scenario import Arrival
 
@@ -31,8 +31,8 @@
             log.EventLogWriter(folder / "part.jsonl") as writer,
         ):
             listener.setblocking(False)
-            clock = DayClock()
-            clock.begin(0)
+            clock = RunClock()
+            clock.set_origin(0)
             address = listener.getsockname()
             application = Application(make_run(), 0, address, clock, writer, 1_000_000, random.Random(1))
             own = socket.socket()
--- a/tests/test_testbed_models.py
+++ b/tests/test_testbed_models.py
@@ -1,4 +1,4 @@
-"""What both engines stand on, without I/O: stations, links and the catalog."""
+"""What both engines stand on, without I/O: queueing servers, links and the catalog."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from testbed.catalog import EndpointCatalog
 from testbed.links import NEVER, Links
+from testbed.queueing_server import Job, OfferResult, QueueingServer
 from testbed.scenario import ScenarioRun, draw_run
 from testbed.scenario.read import parse_scenario
-from testbed.station import Job, Place, Station
 
 S = 1_000_000
 BASE = """
@@ -55,26 +55,26 @@
     return f"[[troubles]]\n{lines}"
 
 
-def test_a_station_serves_queues_and_turns_away() -> None:
-    station = Station(make_run().servers[0])
+def test_queueing_server_serves_queues_and_rejects() -> None:
+    server = QueueingServer(make_run().servers[0])
     jobs = [Job(number, 100, 0.5) for number in range(4)]
-    assert [station.offer(0, each) for each in jobs] == [
-        Place.WORKING,
-        Place.WORKING,
-        Place.WAITING,
-        Place.FULL,
+    assert [server.offer(0, each) for each in jobs] == [
+        OfferResult.IN_SERVICE,
+        OfferResult.IN_SERVICE,
+        OfferResult.QUEUED,
+        OfferResult.FULL,
     ]
-    well, after = station.end(100, jobs[0])
-    assert well and after is jobs[2] and after.ends == 200
+    well, after = server.complete(100, jobs[0])
+    assert well and after is jobs[2] and after.ends_at == 200
 
 
-def test_a_station_is_cold_after_a_restart_and_loses_what_it_held() -> None:
-    station = Station(make_run().servers[0])
+def test_queueing_server_loses_its_jobs_and_starts_slowly_after_a_restart() -> None:
+    server = QueueingServer(make_run().servers[0])
     job = Job(1, 100, 0.5)
-    station.offer(0, job)
-    assert station.restart(5 * S) == [job] and not station.holds(job)
-    assert station.speed(5 * S) == pytest.approx(0.5)
-    assert station.speed(10 * S) == pytest.approx(0.75) and station.speed(15 * S) == 1.0
+    server.offer(0, job)
+    assert server.restart(5 * S) == [job] and not server.is_serving(job)
+    assert server.speed(5 * S) == pytest.approx(0.5)
+    assert server.speed(10 * S) == pytest.approx(0.75) and server.speed(15 * S) == 1.0
 
 
 def test_crowding_slowness_and_errors_take_their_part() -> None:
@@ -83,36 +83,36 @@
         "errors", 20, 5, who=["server:0"], amount=0.3
     )
     day = make_run(troubles, crowded)
-    station = Station(day.servers[0], day.faults)
-    assert station.speed(0) == 1.0 and station.speed(12 * S) == 0.25 and station.speed(15 * S) == 1.0
-    assert station.error_rate(0) == 0.0 and station.error_rate(21 * S) == 0.3
+    server = QueueingServer(day.servers[0], day.faults)
+    assert server.speed(0) == 1.0 and server.speed(12 * S) == 0.25 and server.speed(15 * S) == 1.0
+    assert server.error_rate(0) == 0.0 and server.error_rate(21 * S) == 0.3
     for number in range(4):
-        station.offer(0, Job(number, 100, 0.5))
-    assert station.speed(0) == pytest.approx(0.5)
+        server.offer(0, Job(number, 100, 0.5))
+    assert server.speed(0) == pytest.approx(0.5)
 
 
 def _mean_wait(slots: int, load: float, jobs: int) -> float:
-    """The mean wait before service, in mean service times, of a station fed by chance."""
+    """The mean wait before service, in mean service times, of a queueing server with Poisson arrivals."""
     base = BASE.replace("slots = 2", f"slots = {slots}").replace("queue = 1", "queue = 1000000")
-    station = Station(make_run(base=base).servers[0])
+    server = QueueingServer(make_run(base=base).servers[0])
     draw_ = random.Random(3)
     mean, now, waited = 1_000_000, 0.0, 0.0
     came: dict[int, int] = {}
     ends: list[tuple[int, int, Job]] = []
 
     def begins(job: Job) -> float:
-        heapq.heappush(ends, (job.ends, job.attempt, job))
-        return job.ends - job.work_us - came[job.attempt]
+        heapq.heappush(ends, (job.ends_at, job.attempt, job))
+        return job.ends_at - job.work_us - came[job.attempt]
 
     for number in range(jobs):
         now += draw_.expovariate(load * slots / mean)
         while ends and ends[0][0] <= now:
             at, _, done = heapq.heappop(ends)
-            _, after = station.end(at, done)
+            _, after = server.complete(at, done)
             waited += begins(after) if after is not None else 0.0
         job = Job(number, max(round(draw_.expovariate(1 / mean)), 1), 0.5)
         came[number] = round(now)
-        if station.offer(round(now), job) is Place.WORKING:
+        if server.offer(round(now), job) is OfferResult.IN_SERVICE:
             begins(job)
     return waited / jobs / mean
 
@@ -135,14 +135,17 @@
     there, back = links.between("copy:0", "copy:1"), links.between("copy:1", "copy:0")
     assert there.is_cut(1 * S) and not there.is_cut(3 * S) and not back.is_cut(2 * S)
     assert there.arrival(2 * S) == 3 * S + 7_000 and back.arrival(2 * S) == 2 * S + 7_000
-    assert there.arrivals(2 * S, (0.9, 0.9, 0.9)) == [] and len(back.arrivals(2 * S, (0.9, 0.9, 0.9))) == 1
+    assert (
+        there.datagram_arrivals(2 * S, (0.9, 0.9, 0.9)) == []
+        and len(back.datagram_arrivals(2 * S, (0.9, 0.9, 0.9))) == 1
+    )
 
 
 def test_held_back_datagrams_come_when_the_hold_ends() -> None:
     link = Links(make_run(fault_table("hold", 1, 30, between=["copy:0"], to=["copy:1"]))).between(
         "copy:0", "copy:1"
     )
-    assert link.arrivals(2 * S, (0.9, 0.9, 0.9)) == [31 * S + 7_000]
+    assert link.datagram_arrivals(2 * S, (0.9, 0.9, 0.9)) == [31 * S + 7_000]
 
 
 def test_one_fault_that_ends_while_another_holds_frees_nothing() -> None:
@@ -157,7 +160,7 @@
     link = Links(make_run(fault_table("cut", 1, 0, between=["copy:0"], to=["copy:1"]))).between(
         "copy:0", "copy:1"
     )
-    assert link.arrival(2 * S) == NEVER and link.arrivals(2 * S, (0.9, 0.9, 0.9)) == []
+    assert link.arrival(2 * S) == NEVER and link.datagram_arrivals(2 * S, (0.9, 0.9, 0.9)) == []
 
 
 def test_datagrams_are_lost_doubled_and_reordered_by_their_chances() -> None:
@@ -166,10 +169,10 @@
         for kind in ("loss", "double", "reorder")
     )
     link = Links(make_run(text)).between("copy:0", "copy:1")
-    assert link.arrivals(S, (0.4, 0.9, 0.9)) == []
-    assert len(link.arrivals(S, (0.6, 0.4, 0.9))) == 2
-    later = link.arrivals(S, (0.6, 0.9, 0.4))[0]
-    assert later > link.arrivals(S + 10_000, (0.6, 0.9, 0.9))[0]
+    assert link.datagram_arrivals(S, (0.4, 0.9, 0.9)) == []
+    assert len(link.datagram_arrivals(S, (0.6, 0.4, 0.9))) == 2
+    later = link.datagram_arrivals(S, (0.6, 0.9, 0.4))[0]
+    assert later > link.datagram_arrivals(S + 10_000, (0.6, 0.9, 0.9))[0]
 
 
 def test_a_silent_machine_is_cut_off_from_every_copy() -> None:
