--- a/testbed/queueing_server.py
+++ b/testbed/queueing_server.py
@@ -1,6 +1,7 @@
-"""A modelled server without I/O: slots, a waiting room, cold starts, crowding, slowness and errors.
+"""A modelled server without I/O: slots, a bounded queue, slow start, overload, slowness and errors.
 
-Both engines serve by it.  Times are microseconds; whoever calls holds the clock and wakes it when a job ends.
+Both engines use it.  Times are microseconds since the start of the run.  The caller keeps the clock and calls
+`complete` when a job ends.
 """
 
 from __future__ import annotations
@@ -14,96 +15,96 @@
 
 @unique
 class OfferResult(Enum):
-    """Where a job that was offered went."""
+    """What the server did with a job that was offered to it."""
 
     IN_SERVICE = "in service"
     QUEUED = "queued"
-    FULL = "full"
+    FULL = "full"  # rejected: all slots and the queue are occupied
 
 
 @dataclass(slots=True)
 class Job:
-    """A request at a server."""
+    """An attempt at a server."""
 
     attempt: int
-    work_us: int
-    error_draw: float  # from 0 to 1, drawn by the caller: below the error rate it ends as an error
-    ends_at: int = 0  # once it is at work
+    work_us: int  # the time in service at speed 1
+    error_draw: float  # random, from 0 to 1, drawn by the caller; the job fails if it is below the error rate
+    ends_at: int = 0  # set when the job enters service
 
 
 class QueueingServer:
-    """One server's process at a time."""
+    """One server, whose process can be restarted."""
 
-    def __init__(self, server: Server, troubles: tuple[Fault, ...] = ()) -> None:
+    def __init__(self, server: Server, faults: tuple[Fault, ...] = ()) -> None:
         self._server = server
-        self._slow = [each for each in troubles if each.kind == "slow" and server.party in each.parties]
-        self._errors = [each for each in troubles if each.kind == "errors" and server.party in each.parties]
-        self._started: int | None = None  # None: long ago
-        self._at_work: dict[int, Job] = {}
-        self._waiting: deque[Job] = deque()
+        self._slowness = [fault for fault in faults if fault.kind == "slow" and server.party in fault.parties]
+        self._errors = [fault for fault in faults if fault.kind == "errors" and server.party in fault.parties]
+        self._started_at: int | None = None  # None: its slow start ended before the run
+        self._in_service: dict[int, Job] = {}
+        self._queue: deque[Job] = deque()
 
     @property
     def job_count(self) -> int:
-        """Requests at work or waiting."""
-        return len(self._at_work) + len(self._waiting)
+        """The number of jobs in service or queued."""
+        return len(self._in_service) + len(self._queue)
 
     def restart(self, now: int) -> list[Job]:
-        """The process ended and another begins, cold; give what the old one held."""
-        lost = [*self._at_work.values(), *self._waiting]
-        self._at_work.clear()
-        self._waiting.clear()
-        self._started = now
+        """Replace the process by a new one in slow start; return the jobs that the old one lost."""
+        lost = [*self._in_service.values(), *self._queue]
+        self._in_service.clear()
+        self._queue.clear()
+        self._started_at = now
         return lost
 
     def speed(self, now: int) -> float:
-        """Of each slot, now: its own, less what cold, crowding and troubles take."""
-        own = self._server
-        speed = own.speed
-        if self._started is not None and now < self._started + own.slow_start_us:
+        """The speed of each slot: the server's own, reduced by slow start, overload and faults."""
+        server = self._server
+        speed = server.speed
+        if self._started_at is not None and now < self._started_at + server.slow_start_us:
             speed *= (
-                own.slow_start_initial_capacity
-                + (1 - own.slow_start_initial_capacity) * (now - self._started) / own.slow_start_us
+                server.slow_start_initial_capacity
+                + (1 - server.slow_start_initial_capacity) * (now - self._started_at) / server.slow_start_us
             )
-        if self.job_count > own.overload_threshold and own.overload_slowdown:
-            speed *= 1 - own.overload_slowdown * min(
-                (self.job_count - own.overload_threshold) / own.overload_threshold, 1.0
+        if self.job_count > server.overload_threshold and server.overload_slowdown:
+            speed *= 1 - server.overload_slowdown * min(
+                (self.job_count - server.overload_threshold) / server.overload_threshold, 1.0
             )
-        for each in self._slow:
-            if each.start_us <= now < each.end_us:
-                speed *= each.amount
+        for fault in self._slowness:
+            if fault.start_us <= now < fault.end_us:
+                speed *= fault.amount
         return max(speed, 1e-3)
 
     def error_rate(self, now: int) -> float:
-        """The error rate at a time in microseconds: the greatest of the faults, else the server's own."""
+        """The error rate: the highest of the active faults, or the server's own without such a fault."""
         return max(
-            [each.amount for each in self._errors if each.start_us <= now < each.end_us],
+            [fault.amount for fault in self._errors if fault.start_us <= now < fault.end_us],
             default=self._server.error_rate,
         )
 
     def offer(self, now: int, job: Job) -> OfferResult:
-        """Take a job, or turn it away; a job at work says when it `ends`."""
-        if len(self._at_work) < self._server.slots:
-            self._begin(now, job)
+        """Put a job into service or into the queue, or reject it; sets `ends_at` of a job in service."""
+        if len(self._in_service) < self._server.slots:
+            self._start(now, job)
             return OfferResult.IN_SERVICE
-        if len(self._waiting) < self._server.queue_limit:
-            self._waiting.append(job)
+        if len(self._queue) < self._server.queue_limit:
+            self._queue.append(job)
             return OfferResult.QUEUED
         return OfferResult.FULL
 
     def complete(self, now: int, job: Job) -> tuple[bool, Job | None]:
-        """A job is done: whether well, and the job that is at work in its place."""
-        del self._at_work[job.attempt]
-        well = job.error_draw >= self.error_rate(now)
-        if not self._waiting:
-            return well, None
-        after = self._waiting.popleft()
-        self._begin(now, after)
-        return well, after
+        """End a job; return whether it succeeded, and the queued job that enters service in its place."""
+        del self._in_service[job.attempt]
+        succeeded = job.error_draw >= self.error_rate(now)
+        if not self._queue:
+            return succeeded, None
+        next_job = self._queue.popleft()
+        self._start(now, next_job)
+        return succeeded, next_job
 
     def is_serving(self, job: Job) -> bool:
-        """Whether a job is at work here: not since a restart."""
-        return self._at_work.get(job.attempt) is job
+        """Whether a job is in service; a restart ends the service of all jobs."""
+        return self._in_service.get(job.attempt) is job
 
-    def _begin(self, now: int, job: Job) -> None:
-        self._at_work[job.attempt] = job
+    def _start(self, now: int, job: Job) -> None:
+        self._in_service[job.attempt] = job
         job.ends_at = now + max(round(job.work_us / self.speed(now)), 1)
--- a/testbed/simulation/__init__.py
+++ b/testbed/simulation/__init__.py
@@ -1,1 +1,5 @@
-"""The same day in virtual time: the real decisions against modelled servers, network and clients."""
+"""The simulation: plays a scenario run in virtual time, with real decisions and modelled surroundings.
+
+The balancer, or another policy, decides as in a real sidecar; servers, network, discovery and clients are
+modelled.
+"""
--- a/testbed/simulation/clients.py
+++ b/testbed/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Modelled clients: open loop, with patience, retries and a bounded number of connections to their copy."""
+"""Simulated clients: an open loop with timeouts, retries and a limited number of connections to a replica."""
 
 from __future__ import annotations
 
@@ -15,110 +15,117 @@
 from testbed.simulation.queue import EventQueue
 from testbed.simulation.servers import Sink
 
-Take = Callable[[int, RequestArrived, int], bool]  # whether somebody is there to take it
+# Offers a request to the replica by number, event and work in microseconds; returns whether it was accepted.
+OfferRequest = Callable[[int, RequestArrived, int], bool]
 
 
 class Clients:
-    """The application beside one copy."""
+    """The clients of one replica.
+
+    A request is a first attempt of a client or a client retry.  Its number is `MOST_RETRIES` times the number
+    of the client request, plus the retry index, which is 0 for the first attempt.
+    """
 
     def __init__(
         self,
-        day: ScenarioRun,
-        copy: int,
+        run: ScenarioRun,
+        replica: int,
         queue: EventQueue,
         sink: Sink,
         rng: random.Random,
-        take: Take,
-        grace_us: int,
+        offer_request: OfferRequest,
+        timeout_slack_us: int,
     ) -> None:
-        self._day, self._copy, self._queue, self._sink = day, copy, queue, sink
-        self._habits = Habits(day, rng)
-        self._take, self._grace_us = take, grace_us
-        self._out: dict[int, Arrival] = {}  # tries that wait for an answer
-        self._waiting: deque[tuple[Arrival, int, int]] = deque()  # and for a connection: due, place
-
-    def begin(self, arrival: Arrival, place: int = 0) -> None:
-        """A first try is due, or a retry."""
-        due = self._habits.due(arrival, self._queue.now)
-        if len(self._out) >= self._day.clients.max_connections:
-            self._waiting.append((arrival, due, place))
+        """Clients wait `timeout_slack_us` longer than their timeout for the end of a response."""
+        self._run, self._replica, self._queue, self._sink = run, replica, queue, sink
+        self._habits = Habits(run, rng)
+        self._offer_request, self._timeout_slack_us = offer_request, timeout_slack_us
+        self._pending: dict[int, Arrival] = {}  # by request: sent and not yet answered
+        # Waiting for a free connection: the arrival, the timeout and the retry index.
+        self._waiting: deque[tuple[Arrival, int, int]] = deque()
+
+    def begin(self, arrival: Arrival, retry_index: int = 0) -> None:
+        """Send a request, or queue it while all connections are in use."""
+        timeout_at = self._habits.due(arrival, self._queue.now)
+        if len(self._pending) >= self._run.clients.max_connections:
+            self._waiting.append((arrival, timeout_at, retry_index))
         else:
-            self._ask(arrival, due, place)
+            self._send(arrival, timeout_at, retry_index)
 
-    def _ask(self, arrival: Arrival, due: int, place: int) -> None:
-        kind, now = self._day.classes[arrival.service_class], self._queue.now
-        number = arrival.number * MOST_RETRIES + place
+    def _send(self, arrival: Arrival, timeout_at: int, retry_index: int) -> None:
+        service_class, now = self._run.classes[arrival.service_class], self._queue.now
+        request = arrival.number * MOST_RETRIES + retry_index
         event = RequestArrived(
-            request=number,
-            service_class=kind.name,
-            tenant=self._day.tenants[arrival.tenant].name if arrival.tenant >= 0 else None,
+            request=request,
+            service_class=service_class.name,
+            tenant=self._run.tenants[arrival.tenant].name if arrival.tenant >= 0 else None,
             key=zlib.crc32(b"%x" % arrival.key),
-            remaining_us=due - now,
-            is_client_retry=place > 0,
-            is_write=kind.idempotency != "read_like",
+            remaining_us=timeout_at - now,
+            is_client_retry=retry_index > 0,
+            is_write=service_class.idempotency != "read_like",
         )
-        self._out[number] = arrival
-        if due <= now or not self._take(number, event, arrival.work_us):
-            del self._out[number]
+        self._pending[request] = arrival
+        if timeout_at <= now or not self._offer_request(request, event, arrival.work_us):
+            del self._pending[request]
             self._sink(
                 log.RequestNotSent(
                     at_us=now,
-                    request=number,
+                    request=request,
                     client_request=arrival.number,
-                    replica=self._copy,
+                    replica=self._replica,
                     service_class=arrival.service_class,
                     scheduled_at_us=arrival.at_us,
                 )
             )
-            self._retry(arrival, place, 0)
+            self._retry(arrival, retry_index, 0)
             return
-        self._queue.at(due + self._grace_us, self._give_up, number)
+        self._queue.at(timeout_at + self._timeout_slack_us, self._time_out, request)
 
-    def taken(self, number: int, arrival_first: int, due: int) -> None:
-        """Its last byte was written to a connection that was accepted."""
-        arrival = self._out[number]
+    def log_sent(self, request: int, client_request: int, timeout_at: int) -> None:
+        """Log that the last byte of a request was written to an accepted connection."""
+        arrival = self._pending[request]
         self._sink(
             log.RequestSent(
                 at_us=self._queue.now,
-                request=number,
-                client_request=arrival_first,
-                replica=self._copy,
+                request=request,
+                client_request=client_request,
+                replica=self._replica,
                 service_class=arrival.service_class,
                 tenant=arrival.tenant,
                 scheduled_at_us=arrival.at_us,
-                timeout_at_us=due,
+                timeout_at_us=timeout_at,
             )
         )
 
-    def answered(
-        self, request: int, status: int, attempt: int, after_us: int, *, timed_out: bool = False
+    def receive_response(
+        self, request: int, status: int, attempt: int, retry_after_us: int, *, timed_out: bool = False
     ) -> None:
-        """An answer, or (status 0) the end of the connection without one."""
-        arrival = self._out.pop(request, None)
+        """Handle a response, or the end of the connection without one (status 0); retry if allowed."""
+        arrival = self._pending.pop(request, None)
         if arrival is None:
-            return
+            return  # it timed out before
         self._sink(
             log.ResponseReceived(
                 at_us=self._queue.now, request=request, status=status, attempt=attempt, timed_out=timed_out
             )
         )
         if self._habits.may_repeat(arrival, status):
-            self._retry(arrival, request % MOST_RETRIES, after_us)
-        self._next()
+            self._retry(arrival, request % MOST_RETRIES, retry_after_us)
+        self._send_waiting()
 
-    def lost(self, request: int) -> None:
-        """The copy was killed under it."""
-        self.answered(request, 0, -1, 0)
+    def connection_lost(self, request: int) -> None:
+        """Handle the end of the replica's process before its response."""
+        self.receive_response(request, 0, -1, 0)
 
-    def _give_up(self, request: int) -> None:
-        if request in self._out:
-            self.answered(request, 0, -1, 0, timed_out=True)
+    def _time_out(self, request: int) -> None:
+        if request in self._pending:
+            self.receive_response(request, 0, -1, 0, timed_out=True)
 
-    def _next(self) -> None:
-        while self._waiting and len(self._out) < self._day.clients.max_connections:
-            self._ask(*self._waiting.popleft())
+    def _send_waiting(self) -> None:
+        while self._waiting and len(self._pending) < self._run.clients.max_connections:
+            self._send(*self._waiting.popleft())
 
-    def _retry(self, arrival: Arrival, place: int, after_us: int) -> None:
-        wait_us = self._habits.again_after(arrival, place, after_us, self._queue.now)
+    def _retry(self, arrival: Arrival, retry_index: int, retry_after_us: int) -> None:
+        wait_us = self._habits.again_after(arrival, retry_index, retry_after_us, self._queue.now)
         if wait_us is not None:
-            self._queue.after(wait_us, self.begin, arrival, place + 1)
+            self._queue.after(wait_us, self.begin, arrival, retry_index + 1)
--- a/testbed/simulation/discovery.py
+++ b/testbed/simulation/discovery.py
@@ -1,4 +1,4 @@
-"""Modelled discovery: the catalog told by calls and watches, one call after another."""
+"""Simulated discovery: serves the endpoint list to polls and watches, one call after another."""
 
 from __future__ import annotations
 
@@ -14,128 +14,160 @@
 from testbed.simulation.queue import EventQueue
 from testbed.simulation.servers import Sink
 
-WATCH_US = 20_000_000  # how long a sidecar's watch may wait for news
-_ANSWER_WITHIN_US = 5_000_000  # and how long it waits for an answer that is owed at once
+WATCH_US = 20_000_000  # how long discovery may hold a sidecar's watch until the list changes
+_RESPONSE_TIMEOUT_US = 5_000_000  # how long a sidecar waits for a response beyond the time of a watch
+_FAILED_CONNECT_US = 1_000_000
 _STATES = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
 
 
 @dataclass(frozen=True, slots=True)
-class ListAnswer:
-    """An answer to a call, with the complete endpoint list or with changes since an earlier version."""
+class ListResponse:
+    """A response to a call, with the complete endpoint list or with changes since an earlier version."""
 
     version: int
     entries: list[EntryChange]
     is_complete: bool
 
 
-Answer = Callable[["ListAnswer | None"], None]  # None: the call failed
+OnResponse = Callable[["ListResponse | None"], None]  # called with None if the call failed
 
 
-class ModelDiscovery:
-    """One service for all copies."""
+class SimulatedDiscovery:
+    """The discovery service of all replicas."""
 
     def __init__(
-        self, day: ScenarioRun, queue: EventQueue, links: Links, sink: Sink, rng: random.Random, epoch_us: int
+        self,
+        run: ScenarioRun,
+        queue: EventQueue,
+        links: Links,
+        sink: Sink,
+        rng: random.Random,
+        epoch_us: int,
     ) -> None:
-        """`epoch_us` is the module's clock at the day's beginning."""
-        self.catalog = EndpointCatalog(day)
-        self._day, self._queue, self._sink, self._rng = day, queue, sink, rng
+        """`epoch_us` is the balancer's clock at the start of the run."""
+        self.catalog = EndpointCatalog(run)
+        self._run, self._queue, self._sink, self._rng = run, queue, sink, rng
         self._epoch_us = epoch_us
-        self._there = [links.between(copy.party, DISCOVERY) for copy in day.replicas]
-        self._back = [links.between(DISCOVERY, copy.party) for copy in day.replicas]
-        self._down = [fault for fault in day.faults if fault.kind == "discovery_down"]
-        self._free_at = 0
-        self._watches: dict[int, tuple[int, int, Answer]] = {}  # by call: copy, version, whom to tell
-        self._calls = 0
+        self._links_to = [links.between(replica.party, DISCOVERY) for replica in run.replicas]
+        self._links_from = [links.between(DISCOVERY, replica.party) for replica in run.replicas]
+        self._outages = [fault for fault in run.faults if fault.kind == "discovery_down"]
+        self._free_at = 0  # when the calls handled so far are done
+        self._watches: dict[int, tuple[int, int, OnResponse]] = {}  # by call: replica, version, callback
+        self._call_count = 0
         for change in self.catalog.changes:
-            queue.at(change.at_us, self._tell_watches)
-        for outage in self._down:
-            queue.at(outage.start_us, self._end_watches)
+            queue.at(change.at_us, self._notify_watches)
+        for outage in self._outages:
+            queue.at(outage.start_us, self._fail_watches)
 
-    def call(self, copy: int, after: int | None, wait_us: int, answer: Answer) -> None:
-        """A copy calls; it is answered once, unless a cut holds the answer for good."""
+    def call(self, replica: int, after: int | None, wait_us: int, on_response: OnResponse) -> None:
+        """Call discovery for a replica.
+
+        `after` is the version that the replica has, None for the complete list; with `wait_us`, the call is a
+        watch that waits so long for a newer version.  `on_response` is called once, or never if a cut without
+        end holds the call or the response.
+        """
         now = self._queue.now
-        if self._there[copy].is_cut(now) or self._back[copy].is_cut(now):
-            self._queue.after(1_000_000, answer, None)  # the connection never comes up
+        if self._links_to[replica].is_cut(now) or self._links_from[replica].is_cut(now):
+            self._queue.after(_FAILED_CONNECT_US, on_response, None)
             return
-        self._calls += 1
+        self._call_count += 1
         self._queue.at(
-            self._there[copy].arrival(now), self._called, self._calls, copy, after, wait_us, answer
+            self._links_to[replica].arrival(now),
+            self._receive_call,
+            self._call_count,
+            replica,
+            after,
+            wait_us,
+            on_response,
         )
 
-    def _called(self, call: int, copy: int, after: int | None, wait_us: int, answer: Answer) -> None:
+    def _receive_call(
+        self, call: int, replica: int, after: int | None, wait_us: int, on_response: OnResponse
+    ) -> None:
         now = self._queue.now
-        turn = max(self._free_at, now)
-        fails = self._is_down(now) or turn - now > self._day.discovery.max_queueing_us
-        if fails or self._rng.random() < self._day.discovery.failure_rate:
-            self._fail(copy, answer)
+        starts_at = max(self._free_at, now)
+        fails = self._is_down(now) or starts_at - now > self._run.discovery.max_queueing_us
+        if fails or self._rng.random() < self._run.discovery.failure_rate:
+            self._fail(replica, on_response)
             return
-        self._free_at = turn + self._day.discovery.service_time_us
-        self._queue.at(self._free_at, self._handle, call, copy, after, wait_us, answer)
+        self._free_at = starts_at + self._run.discovery.service_time_us
+        self._queue.at(self._free_at, self._handle_call, call, replica, after, wait_us, on_response)
 
-    def _handle(self, call: int, copy: int, after: int | None, wait_us: int, answer: Answer) -> None:
+    def _handle_call(
+        self, call: int, replica: int, after: int | None, wait_us: int, on_response: OnResponse
+    ) -> None:
         newest = self.catalog.version_at(self._queue.now)
         if after is not None and after >= newest and wait_us:
-            self._watches[call] = copy, after, answer
-            self._queue.after(wait_us, self._give_up, call)
+            self._watches[call] = replica, after, on_response
+            self._queue.after(wait_us, self._end_watch, call)
         else:
-            self._tell(copy, after, answer)
+            self._send_list(replica, after, on_response)
 
-    def _give_up(self, call: int) -> None:
+    def _end_watch(self, call: int) -> None:
+        """Answer a watch at the end of its time, without a newer version."""
         if call in self._watches:
-            self._tell(*self._watches.pop(call))
+            self._send_list(*self._watches.pop(call))
 
-    def _tell_watches(self) -> None:
+    def _notify_watches(self) -> None:
         watches, self._watches = self._watches, {}
-        for copy, after, answer in watches.values():
-            self._tell(copy, after, answer)
+        for replica, after, on_response in watches.values():
+            self._send_list(replica, after, on_response)
 
-    def _end_watches(self) -> None:
+    def _fail_watches(self) -> None:
         watches, self._watches = self._watches, {}
-        for copy, _, answer in watches.values():
-            self._fail(copy, answer)
+        for replica, _, on_response in watches.values():
+            self._fail(replica, on_response)
 
     def _is_down(self, now: int) -> bool:
-        return any(outage.start_us <= now < outage.end_us for outage in self._down)
+        return any(outage.start_us <= now < outage.end_us for outage in self._outages)
 
-    def _tell(self, copy: int, after: int | None, answer: Answer) -> None:
+    def _send_list(self, replica: int, after: int | None, on_response: OnResponse) -> None:
         version = self.catalog.version_at(self._queue.now)
-        whole = after is None or after > version
+        is_complete = after is None or after > version
         entries = (
-            self.catalog.full_list(version) if whole else self.catalog.changes_between(after or 1, version)
+            self.catalog.full_list(version)
+            if is_complete
+            else self.catalog.changes_between(after or 1, version)
         )
-        self._sink(log.DiscoveryPolled(at_us=self._queue.now, replica=copy, succeeded=True))
-        self._pass_on(copy, answer, ListAnswer(version, entries, is_complete=whole))
+        self._sink(log.DiscoveryPolled(at_us=self._queue.now, replica=replica, succeeded=True))
+        self._respond(replica, on_response, ListResponse(version, entries, is_complete=is_complete))
 
-    def _fail(self, copy: int, answer: Answer) -> None:
-        self._sink(log.DiscoveryPolled(at_us=self._queue.now, replica=copy, succeeded=False))
-        self._pass_on(copy, answer, None)
+    def _fail(self, replica: int, on_response: OnResponse) -> None:
+        self._sink(log.DiscoveryPolled(at_us=self._queue.now, replica=replica, succeeded=False))
+        self._respond(replica, on_response, None)
 
-    def _pass_on(self, copy: int, answer: Answer, answered: ListAnswer | None) -> None:
-        at = self._back[copy].arrival(self._queue.now)
+    def _respond(self, replica: int, on_response: OnResponse, response: ListResponse | None) -> None:
+        """Call back when the response arrives, or at the latest when the replica stops waiting for it."""
+        at = self._links_from[replica].arrival(self._queue.now)
         if at < NEVER:
-            self._queue.at(min(at, self._queue.now + _ANSWER_WITHIN_US + WATCH_US), answer, answered)
+            latest = self._queue.now + _RESPONSE_TIMEOUT_US + WATCH_US
+            self._queue.at(min(at, latest), on_response, response)
 
-    def told(self, copy: int, answer: ListAnswer) -> None:
-        """Log that an answer reached a copy that runs."""
-        lines = [(entry.server, entry.state, entry.started_at_us) for entry in answer.entries]
-        at, version, full = self._queue.now, answer.version, answer.is_complete
+    def log_delivery(self, replica: int, response: ListResponse) -> None:
+        """Log that a response reached a running replica."""
+        entries = [(entry.server, entry.state, entry.started_at_us) for entry in response.entries]
         self._sink(
-            log.EndpointListDelivered(at_us=at, replica=copy, version=version, is_full=full, entries=lines)
+            log.EndpointListDelivered(
+                at_us=self._queue.now,
+                replica=replica,
+                version=response.version,
+                is_full=response.is_complete,
+                entries=entries,
+            )
         )
 
     def event(self, version: int, entries: list[EntryChange], kind: EndpointListKind) -> EndpointListReceived:
-        """Entries as the module hears them."""
-        return EndpointListReceived(kind, [self._listed(entry) for entry in entries], version)
+        """Return the balancer's event for entries of the endpoint list."""
+        return EndpointListReceived(kind, [self._endpoint_entry(entry) for entry in entries], version)
 
-    def _listed(self, change: EntryChange) -> EndpointEntry:
-        server = self._day.servers[change.server]
-        started = None if change.started_at_us is None else self._epoch_us + change.started_at_us
+    def _endpoint_entry(self, change: EntryChange) -> EndpointEntry:
+        server = self._run.servers[change.server]
+        started_at = None if change.started_at_us is None else self._epoch_us + change.started_at_us
         return EndpointEntry(
             server=f"s-{server.number}",
             zone=server.zone,
             machine_type="m",
             cell=server.cell,
             state=_STATES[change.state],
-            started_at=started,
+            started_at=started_at,
         )
--- a/testbed/simulation/earlier_module.py
+++ b/testbed/simulation/earlier_module.py
@@ -1,7 +1,7 @@
-"""Plays the decisions of an earlier commit, whose packages and message types may have their earlier names.
+"""Runs the balancer of an earlier commit, in which the packages and message types may have other names.
 
-Messages are translated by position: the renames kept the order of the fields and of the members of
-enumerations, and an earlier class may lack the last fields.
+Messages are translated by position: renames have kept the order of fields and of enumeration members.  An
+earlier class may lack the last fields of today's.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from balancer.endpoints import EndpointCounts
 from balancer.events import Event
 
-EARLIER_PACKAGE = "magpiemux"  # of the decisions, in commits before the packages were named after their jobs
+EARLIER_PACKAGE = "magpiemux"  # the name of the package `balancer` in commits of the earlier layout
 
-# Type names today -> in commits of the earlier layout; what is not here has the same name in both.
+# Today's type names and those in commits of the earlier layout; other types have the same name in both.
 EARLIER_TYPES = {
     "CancelAttempt": "Cancel",
     "CapacityHint": "Weights",
@@ -51,45 +51,45 @@
     "SendPeerMessage": "Tell",
     "WatchEndpoints": "Follow",
 }
-_TYPES_TODAY = {earlier: today for today, earlier in EARLIER_TYPES.items()}
+_CURRENT_TYPES = {earlier: current for current, earlier in EARLIER_TYPES.items()}
 
 
 class EarlierModule:
-    """The balancer of an earlier commit behind today's events and actions."""
+    """The balancer of an earlier commit, with today's events and actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._interface = importlib.import_module(f"{EARLIER_PACKAGE}.interface")
-        decisions = importlib.import_module(f"{EARLIER_PACKAGE}.balancer")
-        self._balancer = decisions.Balancer(to_earlier(settings, self._interface), seed)
+        module = importlib.import_module(f"{EARLIER_PACKAGE}.balancer")
+        self._balancer = module.Balancer(to_earlier(settings, self._interface), seed)
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Pass on one event; give the actions that answer it.  `now` is in microseconds."""
-        earlier = self._balancer.handle(now, to_earlier(event, self._interface))
-        return [_action_today(action) for action in earlier]
+        """Handle an event at a time in microseconds; return the actions to execute."""
+        earlier_actions = self._balancer.handle(now, to_earlier(event, self._interface))
+        return [_to_current_action(action) for action in earlier_actions]
 
     def endpoint_counts(self) -> EndpointCounts:
-        """Count the listed endpoints, and those of them that are avoided."""
+        """Count the listed endpoints, and the unavailable ones among them."""
         return EndpointCounts(*self._balancer.members())
 
 
 def to_earlier(value: Any, interface: ModuleType) -> Any:
-    """Translate a message or setting, with all that it holds, into the earlier classes."""
+    """Translate a message or setting, and recursively its fields, into the classes of the earlier commit."""
     name = EARLIER_TYPES.get(type(value).__name__, type(value).__name__)
     if isinstance(value, Enum):
         return list(getattr(interface, name))[list(type(value)).index(value)]
     if dataclasses.is_dataclass(value):
-        earlier = getattr(interface, name)
-        count = len(dataclasses.fields(earlier))
+        earlier_type = getattr(interface, name)
+        count = len(dataclasses.fields(earlier_type))
         values = [getattr(value, field.name) for field in dataclasses.fields(value)[:count]]
-        return earlier(*(to_earlier(item, interface) for item in values))
+        return earlier_type(*(to_earlier(item, interface) for item in values))
     if isinstance(value, (list, tuple)):
         return type(value)(to_earlier(item, interface) for item in value)
     return value
 
 
-def _action_today(earlier: Any) -> Action:
+def _to_current_action(earlier: Any) -> Action:
     name = type(earlier).__name__
-    today = getattr(actions, _TYPES_TODAY.get(name, name))
+    current_type = getattr(actions, _CURRENT_TYPES.get(name, name))
     values = [getattr(earlier, field.name) for field in dataclasses.fields(earlier)]
-    action: Action = today(*values)
+    action: Action = current_type(*values)
     return action
--- a/testbed/simulation/play.py
+++ b/testbed/simulation/play.py
@@ -1,4 +1,4 @@
-"""Plays one day in virtual time and gives its log: the same for the same seed, on any machine."""
+"""Plays a scenario run in virtual time; the event log depends on the run and the policy alone."""
 
 from __future__ import annotations
 
@@ -17,296 +17,327 @@
 from testbed.scenario.scenario_run import Fault, ScenarioRun
 from testbed.scenario.settings import replica_settings, sigkill_delay_us
 from testbed.simulation.clients import Clients
-from testbed.simulation.discovery import ModelDiscovery
-from testbed.simulation.policies import Policy, SeesTrueState, policy_named
+from testbed.simulation.discovery import SimulatedDiscovery
+from testbed.simulation.policies import Policy, TrueStateBestOfFour, policy_named
 from testbed.simulation.queue import EventQueue
-from testbed.simulation.servers import ModelServer, Sink
-from testbed.simulation.sidecar import EPOCH_US, Sidecar
+from testbed.simulation.servers import SimulatedServer, Sink
+from testbed.simulation.sidecar import EPOCH_US, SidecarProcess
 from testbed.streams import seeded
 
-START_US = 150_000  # from a process's start to its readiness, as real ones take on a quiet machine
-_LISTENS_ON_US = 400_000  # after SIGTERM
-_GRACE_US = 600_000
-_FIGURES_EVERY_US = 500_000
-_FIGURES_OF = 32  # copies at most: each looks at its whole list
-
-
-class Copy:
-    """One copy over the day: its processes, one after the other."""
-
-    def __init__(self, model: Model, number: int) -> None:
-        self.queue, self.day, self.number = model.queue, model.day, number
-        self.settings: Settings = settings_from_wire(replica_settings(model.day, number))
-        self.servers, self.discovery = model.servers, model.discovery
-        own = self._party = model.day.replicas[number].party
-        self._model = model
-        self._seeds = seeded(model.day.seed, own)
-        rng = seeded(model.day.seed, f"load.{number}")
-        self.client = Clients(model.day, number, model.queue, model.sink, rng, self._take, _GRACE_US)
-        self._process: Sidecar | None = None
-        self._accepts = False
-        self._pauses = 0
-        self._lives = 0
+START_US = 150_000  # from the start of a process until it is ready, as for a real one on an idle machine
+_LISTEN_AFTER_SIGTERM_US = 400_000
+_DRAIN_CHECK_US = 10_000
+_TIMEOUT_SLACK_US = 600_000
+_METRICS_INTERVAL_US = 500_000
+_MAX_METRICS_REPLICAS = 32  # as each report goes through the replica's whole endpoint list
+
+
+class SimulatedReplica:
+    """One replica during the run: its clients, and its processes one after another."""
+
+    def __init__(self, simulation: Simulation, number: int) -> None:
+        self.queue, self.run, self.number = simulation.queue, simulation.run, number
+        self.settings: Settings = settings_from_wire(replica_settings(simulation.run, number))
+        self.servers, self.discovery = simulation.servers, simulation.discovery
+        self._party = simulation.run.replicas[number].party
+        self._simulation = simulation
+        self._policy_seeds = seeded(simulation.run.seed, self._party)
+        self.clients = Clients(
+            simulation.run,
+            number,
+            simulation.queue,
+            simulation.sink,
+            seeded(simulation.run.seed, f"load.{number}"),
+            self._offer_request,
+            _TIMEOUT_SLACK_US,
+        )
+        self._process: SidecarProcess | None = None
+        self._is_listening = False
+        self._pause_count = 0
+        self._incarnation = 0
 
-    # What a process of it needs
+    # What its processes use
 
     def link(self, server: int) -> Link:
-        """What lies between it and a server; made when it is first asked for, as most never are."""
-        return self._model.links.between(self._party, self.servers[server].party)
+        """The link to a server, created on first use: a large run has many links that are never used."""
+        return self._simulation.links.between(self._party, self.servers[server].party)
 
     def next_attempt(self) -> int:
         """The next attempt number, unique in the run."""
-        return next(self._model.attempts)
+        return next(self._simulation.attempt_numbers)
 
-    def connected(self, server: int, *, opened: bool) -> None:
+    def log_connection(self, server: int, *, opened: bool) -> None:
         """Log that a connection to a server was opened or closed."""
         at = self.queue.now
-        self._model.sink(log.ConnectionChanged(at_us=at, replica=self.number, server=server, opened=opened))
+        self._simulation.sink(
+            log.ConnectionChanged(at_us=at, replica=self.number, server=server, opened=opened)
+        )
 
-    def tell(self, receiver: int | None, payload: bytes) -> None:
+    def send_datagram(self, receiver: int | None, payload: bytes) -> None:
         """Send a datagram to one replica, or to all."""
-        self._model.tell(self.number, receiver, payload)
+        self._simulation.send_datagram(self.number, receiver, payload)
 
-    def hear(self, sender: int, payload: bytes) -> None:
-        """Receive a datagram, while the process runs."""
-        if self._process is not None and not self._process.is_over:
-            self._process.hear(sender, payload)
+    # Inputs
 
-    # Its life
+    def _running_process(self) -> SidecarProcess | None:
+        process = self._process
+        return None if process is None or process.has_ended else process
 
-    def _say(self, what: str, life: int, code: int | None = None) -> None:
-        at = self.queue.now
-        self._model.sink(
+    def receive_datagram(self, sender: int, payload: bytes) -> None:
+        """Pass a datagram to the process; it is lost if none is running."""
+        process = self._running_process()
+        if process is not None:
+            process.receive_datagram(sender, payload)
+
+    def _offer_request(self, request: int, event: RequestArrived, work_us: int) -> bool:
+        if not self._is_listening or self._process is None:
+            return False
+        self.clients.log_sent(request, request // MOST_RETRIES, self.queue.now + event.remaining_us)
+        self._process.accept(request, event, work_us)
+        return True
+
+    # Processes
+
+    def _log_state(self, state: str, incarnation: int, exit_code: int | None = None) -> None:
+        self._simulation.sink(
             log.ReplicaStateChanged(
-                at_us=at, replica=self.number, incarnation=life, state=what, exit_code=code
+                at_us=self.queue.now,
+                replica=self.number,
+                incarnation=incarnation,
+                state=state,
+                exit_code=exit_code,
             )
         )
 
     def start(self) -> None:
-        """Start the next process; a restart takes `START_US`."""
-        self._lives += 1
-        self._say("started", self._lives)
-        self.queue.after(START_US if self._lives > 1 else 0, self._ready, self._lives)
-
-    def _ready(self, life: int) -> None:
-        if life != self._lives:
+        """Start the next process; the first is ready at once, later ones after `START_US`."""
+        self._incarnation += 1
+        self._log_state("started", self._incarnation)
+        self.queue.after(START_US if self._incarnation > 1 else 0, self._ready, self._incarnation)
+
+    def _ready(self, incarnation: int) -> None:
+        if incarnation != self._incarnation:
+            return  # another process was started since
+        policy = self._simulation.make_policy(self.settings, self._policy_seeds.getrandbits(64))
+        if isinstance(policy, TrueStateBestOfFour):
+            policy.server_load = self._simulation.server_load
+        version = self.discovery.catalog.version_at(self.queue.now)
+        self._process = SidecarProcess(self, policy, version)
+        self._is_listening = True
+        self._log_state("ready", incarnation)
+
+    def report_metrics(self) -> None:
+        """Log the metrics of the running process, if its policy counts endpoints."""
+        process = self._running_process()
+        if process is None:
             return
-        policy = self._model.policy(self.settings, self._seeds.getrandbits(64))
-        if isinstance(policy, SeesTrueState):
-            policy.look = self._model.held
-        self._process = Sidecar(self, policy, self.discovery.catalog.version_at(self.queue.now))
-        self._accepts = True
-        self._say("ready", life)
-
-    def figures(self) -> None:
-        """Say what the decisions avoid, where they know."""
-        process = self._process
-        if process is None or process.is_over:
-            return
-        counted = process.members()
-        if counted is not None:
-            at, (members, unavailable) = self.queue.now, counted
-            self._model.sink(
+        counts = process.endpoint_counts()
+        if counts is not None:
+            listed, unavailable = counts
+            self._simulation.sink(
                 log.MetricsReported(
-                    at_us=at,
+                    at_us=self.queue.now,
                     replica=self.number,
-                    incarnation=self._lives,
-                    pending_requests=process.owed,
-                    listed_endpoints=members,
+                    incarnation=self._incarnation,
+                    pending_requests=process.pending_requests,
+                    listed_endpoints=listed,
                     unavailable_endpoints=unavailable,
                 )
             )
 
-    def _take(self, number: int, event: RequestArrived, work: int) -> bool:
-        if not self._accepts or self._process is None:
-            return False
-        self.client.taken(number, number // MOST_RETRIES, self.queue.now + event.remaining_us)
-        self._process.take(number, event, work)
-        return True
-
     def kill(self) -> bool:
-        """No if there is no process."""
-        process = self._process
-        if process is None or process.is_over:
+        """Kill the process; return whether one was running."""
+        process = self._running_process()
+        if process is None:
             return False
-        self._accepts = False
-        self._pauses = 0
-        self._say("killed", self._lives)
-        self._drop(process)
+        self._is_listening = False
+        self._pause_count = 0
+        self._log_state("killed", self._incarnation)
+        self._end_process(process)
         return True
 
-    def _drop(self, process: Sidecar) -> None:
+    def _end_process(self, process: SidecarProcess) -> None:
         for request in process.kill():
-            self.client.lost(request)
+            self.clients.connection_lost(request)
 
     def stop(self) -> None:
-        """SIGTERM: it goes on listening a little, answers what it took, ends, and is started again."""
-        process, life = self._process, self._lives
-        if process is None or process.is_over:
+        """Stop by SIGTERM: listen a little longer, drain, end, and start the next process."""
+        process, incarnation = self._running_process(), self._incarnation
+        if process is None:
             return
-        self._say("stopping", life)
-        until = self.queue.now + sigkill_delay_us(self.day)
-        self.queue.after(_LISTENS_ON_US, self._stop_listening, process)
-        self.queue.after(_LISTENS_ON_US, self._end_when_done, process, life, until)
+        self._log_state("stopping", incarnation)
+        sigkill_at = self.queue.now + sigkill_delay_us(self.run)
+        self.queue.after(_LISTEN_AFTER_SIGTERM_US, self._stop_listening, process)
+        self.queue.after(_LISTEN_AFTER_SIGTERM_US, self._end_when_drained, process, incarnation, sigkill_at)
 
-    def _stop_listening(self, process: Sidecar) -> None:
+    def _stop_listening(self, process: SidecarProcess) -> None:
         if process is self._process:
-            self._accepts = False
+            self._is_listening = False
 
-    def _end_when_done(self, process: Sidecar, life: int, until: int) -> None:
-        if process.is_over:
+    def _end_when_drained(self, process: SidecarProcess, incarnation: int, sigkill_at: int) -> None:
+        """End a process once it has no pending requests, or by SIGKILL; start the next if it is current."""
+        if process.has_ended:
             return
-        if process.owed and self.queue.now < until:
-            self.queue.after(10_000, self._end_when_done, process, life, until)
+        if process.pending_requests and self.queue.now < sigkill_at:
+            self.queue.after(_DRAIN_CHECK_US, self._end_when_drained, process, incarnation, sigkill_at)
             return
-        self._drop(process)
-        self._say("ended", life, 0)
+        self._end_process(process)
+        self._log_state("ended", incarnation, 0)
         if process is self._process:
             self.start()
 
     def upgrade(self) -> None:
-        """A second process takes over once it is ready; the first answers what it holds."""
-        old, life = self._process, self._lives
-        if old is None or old.is_over:
+        """Hot restart: start the next process, which takes over when it is ready; the old one drains."""
+        old, incarnation = self._running_process(), self._incarnation
+        if old is None:
             return
         self.start()
-        self.queue.after(START_US, self._retire, old, life)
+        self.queue.after(START_US, self._drain_old, old, incarnation)
 
-    def _retire(self, old: Sidecar, life: int) -> None:
-        self._say("stopping", life)
-        self._end_when_done(old, life, self.queue.now + sigkill_delay_us(self.day))
+    def _drain_old(self, old: SidecarProcess, incarnation: int) -> None:
+        self._log_state("stopping", incarnation)
+        self._end_when_drained(old, incarnation, self.queue.now + sigkill_delay_us(self.run))
 
     def pause(self) -> None:
-        """Pause the process; pauses nest."""
-        if self._process is not None and not self._process.is_over:
-            self._pauses += 1
-            if self._pauses == 1:
-                self._say("paused", self._lives)
-            self._process.pause()
+        """Pause the process; pauses of several faults can overlap."""
+        process = self._running_process()
+        if process is not None:
+            self._pause_count += 1
+            if self._pause_count == 1:
+                self._log_state("paused", self._incarnation)
+            process.pause()
 
     def resume(self) -> None:
         """End one pause; the process continues when none is left."""
-        if self._pauses:
-            self._pauses -= 1
-            if not self._pauses and self._process is not None:
-                self._say("resumed", self._lives)
+        if self._pause_count:
+            self._pause_count -= 1
+            if not self._pause_count and self._process is not None:
+                self._log_state("resumed", self._incarnation)
                 self._process.resume()
 
 
-class Model:
-    """One day."""
+class Simulation:
+    """One scenario run, played in virtual time with a policy."""
 
-    def __init__(self, day: ScenarioRun, policy: Callable[[Settings, int], Policy], sink: Sink) -> None:
-        self.day, self.policy, self.sink = day, policy, sink
+    def __init__(self, run: ScenarioRun, make_policy: Callable[[Settings, int], Policy], sink: Sink) -> None:
+        self.run, self.make_policy, self.sink = run, make_policy, sink
         self.queue = EventQueue()
-        self.links = Links(day)
-        self.attempts = itertools.count()
+        self.links = Links(run)
+        self.attempt_numbers = itertools.count()
         self.servers = [
-            ModelServer(day, server, self.queue, self.links, sink, seeded(day.seed, server.party))
-            for server in day.servers
+            SimulatedServer(run, server, self.queue, self.links, sink, seeded(run.seed, server.party))
+            for server in run.servers
         ]
-        self.discovery = ModelDiscovery(
-            day, self.queue, self.links, sink, seeded(day.seed, "discovery"), EPOCH_US
+        self.discovery = SimulatedDiscovery(
+            run, self.queue, self.links, sink, seeded(run.seed, "discovery"), EPOCH_US
         )
-        self._chances = seeded(day.seed, "datagrams")
-        self._copies = [Copy(self, copy.number) for copy in day.replicas]
+        self._datagram_draws = seeded(run.seed, "datagrams")
+        self._replicas = [SimulatedReplica(self, replica.number) for replica in run.replicas]
 
     def play(self) -> None:
-        """The day, until every answer that comes has come."""
-        for copy in self._copies:
-            copy.start()
-        for at, server, what in server_state_changes(self.day):
-            self.queue.at(at, self.servers[server].live, what)
-        for trouble in self.day.faults:
-            self._plan(trouble)
-        self._figures()
-        coming = iter(draw_arrivals(self.day))
-        self._next(coming)
-        longest = max(kind.deadline_us for kind in self.day.classes)
-        self.queue.run(self.day.duration_us + longest + 2 * _GRACE_US)
+        """Play the run, and go on until the last client request is answered or has timed out."""
+        for replica in self._replicas:
+            replica.start()
+        for at, server, state in server_state_changes(self.run):
+            self.queue.at(at, self.servers[server].change_state, state)
+        for fault in self.run.faults:
+            self._schedule_fault(fault)
+        self._report_metrics()
+        self._schedule_next(iter(draw_arrivals(self.run)))
+        longest_deadline_us = max(service_class.deadline_us for service_class in self.run.classes)
+        self.queue.run(self.run.duration_us + longest_deadline_us + 2 * _TIMEOUT_SLACK_US)
         self.sink(log.RunFinished(at_us=self.queue.now))
 
-    def _figures(self) -> None:
-        for copy in self._copies[:_FIGURES_OF]:
-            copy.figures()
-        if self.queue.now < self.day.duration_us:
-            self.queue.after(_FIGURES_EVERY_US, self._figures)
+    def _report_metrics(self) -> None:
+        for replica in self._replicas[:_MAX_METRICS_REPLICAS]:
+            replica.report_metrics()
+        if self.queue.now < self.run.duration_us:
+            self.queue.after(_METRICS_INTERVAL_US, self._report_metrics)
 
-    def held(self, server: str) -> int:
-        """What a server holds now."""
-        return self.servers[int(server[2:])].held
+    def server_load(self, endpoint: str) -> int:
+        """The number of jobs of all replicas that a server holds now."""
+        return self.servers[int(endpoint[2:])].job_count
 
-    def _next(self, coming: Iterator[Arrival]) -> None:
-        """The next first try, so that the queue never holds more than one of them."""
-        arrival = next(coming, None)
+    def _schedule_next(self, arrivals: Iterator[Arrival]) -> None:
+        """Schedule the next arrival alone, so that the event queue stays short."""
+        arrival = next(arrivals, None)
         if arrival is not None:
-            self.queue.at(arrival.at_us, self._begin, arrival, coming)
+            self.queue.at(arrival.at_us, self._begin_request, arrival, arrivals)
 
-    def _begin(self, arrival: Arrival, coming: Iterator[Arrival]) -> None:
-        self._copies[arrival.replica].client.begin(arrival)
-        self._next(coming)
+    def _begin_request(self, arrival: Arrival, arrivals: Iterator[Arrival]) -> None:
+        self._replicas[arrival.replica].clients.begin(arrival)
+        self._schedule_next(arrivals)
+
+    def _schedule_fault(self, fault: Fault) -> None:
+        """Schedule the log events of a fault, and what it does to replicas; links and others read the run."""
 
-    def _plan(self, trouble: Fault) -> None:
         def log_begin() -> None:
-            self.sink(log.FaultChanged(at_us=self.queue.now, fault_number=trouble.number, begins=True))
+            self.sink(log.FaultChanged(at_us=self.queue.now, fault_number=fault.number, begins=True))
 
         def log_end() -> None:
-            self.sink(log.FaultChanged(at_us=self.queue.now, fault_number=trouble.number, begins=False))
+            self.sink(log.FaultChanged(at_us=self.queue.now, fault_number=fault.number, begins=False))
 
-        self.queue.at(trouble.start_us, log_begin)
-        if trouble.end_us > trouble.start_us:
-            self.queue.at(trouble.end_us, log_end)
-        for party in trouble.parties:
+        self.queue.at(fault.start_us, log_begin)
+        if fault.end_us > fault.start_us:
+            self.queue.at(fault.end_us, log_end)
+        for party in fault.parties:
             if not party.startswith("copy:"):
                 continue
-            copy = self._copies[int(party[5:])]
-            if trouble.kind in ("kill", "damaged", "clock"):
-                self.queue.at(trouble.start_us, self._kill, copy, trouble)
-            elif trouble.kind == "term":
-                self.queue.at(trouble.start_us, copy.stop)
-            elif trouble.kind == "upgrade":
-                self.queue.at(trouble.start_us, copy.upgrade)
-            elif trouble.kind == "pause":
-                self.queue.at(trouble.start_us, copy.pause)
-                self.queue.at(trouble.end_us, copy.resume)
-
-    def _kill(self, copy: Copy, trouble: Fault) -> None:
-        has_end = trouble.end_us > trouble.start_us
-        if copy.kill() and (has_end or trouble.kind != "kill"):
-            self.queue.at(trouble.end_us, copy.start)
-
-    def tell(self, sender: int, receiver: int | None, payload: bytes) -> None:
-        """A datagram, or one to everybody."""
-        for target in range(len(self._copies)) if receiver is None else (receiver,):
+            replica = self._replicas[int(party[5:])]
+            if fault.kind in ("kill", "damaged", "clock"):
+                self.queue.at(fault.start_us, self._kill, replica, fault)
+            elif fault.kind == "term":
+                self.queue.at(fault.start_us, replica.stop)
+            elif fault.kind == "upgrade":
+                self.queue.at(fault.start_us, replica.upgrade)
+            elif fault.kind == "pause":
+                self.queue.at(fault.start_us, replica.pause)
+                self.queue.at(fault.end_us, replica.resume)
+
+    def _kill(self, replica: SimulatedReplica, fault: Fault) -> None:
+        """Kill a replica, and start it again when the fault ends; a "kill" without end is permanent."""
+        has_end = fault.end_us > fault.start_us
+        if replica.kill() and (has_end or fault.kind != "kill"):
+            self.queue.at(fault.end_us, replica.start)
+
+    def send_datagram(self, sender: int, receiver: int | None, payload: bytes) -> None:
+        """Send a datagram to one replica, or to all others (None)."""
+        for target in range(len(self._replicas)) if receiver is None else (receiver,):
             if target == sender:
                 continue
-            chances = self._chances.random(), self._chances.random(), self._chances.random()
+            rng = self._datagram_draws
+            draws = rng.random(), rng.random(), rng.random()
             link = self.links.between(f"copy:{sender}", f"copy:{target}")
-            arrivals_at = link.datagram_arrivals(self.queue.now, chances)
+            arrivals_at = link.datagram_arrivals(self.queue.now, draws)
             if not arrivals_at:
-                self._datagram(sender, target, payload, passed=False)
+                self._log_datagram(sender, target, payload, delivered=False)
             for at in arrivals_at:
                 if at < NEVER:
-                    self.queue.at(at, self._deliver, sender, target, payload)
+                    self.queue.at(at, self._deliver_datagram, sender, target, payload)
 
-    def _deliver(self, sender: int, target: int, payload: bytes) -> None:
-        self._datagram(sender, target, payload, passed=True)
-        self._copies[target].hear(sender, payload)
+    def _deliver_datagram(self, sender: int, target: int, payload: bytes) -> None:
+        self._log_datagram(sender, target, payload, delivered=True)
+        self._replicas[target].receive_datagram(sender, payload)
 
-    def _datagram(self, sender: int, target: int, payload: bytes, *, passed: bool) -> None:
-        at, size = self.queue.now, len(payload)
+    def _log_datagram(self, sender: int, target: int, payload: bytes, *, delivered: bool) -> None:
         self.sink(
-            log.DatagramSent(at_us=at, sender=sender, receiver=target, size_bytes=size, delivered=passed)
+            log.DatagramSent(
+                at_us=self.queue.now,
+                sender=sender,
+                receiver=target,
+                size_bytes=len(payload),
+                delivered=delivered,
+            )
         )
 
 
-def play(day: ScenarioRun, policy: str, sink: Sink, variant: str | None = None) -> None:
-    """Play a day with a policy by its name, and hand every event of its log to `sink`."""
-    sink(log.RunStarted(at_us=log.BEFORE_RUN_US, run=day, engine="model", variant=variant or policy))
-    Model(day, policy_named(policy), sink).play()
+def play(run: ScenarioRun, policy: str, sink: Sink, variant: str | None = None) -> None:
+    """Play a run with a policy, given by name, and pass every event of its log to `sink`."""
+    sink(log.RunStarted(at_us=log.BEFORE_RUN_US, run=run, engine="model", variant=variant or policy))
+    Simulation(run, policy_named(policy), sink).play()
 
 
-def play_into(day: ScenarioRun, policy: str, path: Path) -> None:
-    """Play a day and write its log."""
+def play_into(run: ScenarioRun, policy: str, path: Path) -> None:
+    """Play a run with a policy and write its event log to a file."""
     with log.EventLogWriter(path) as writer:
-        play(day, policy, writer.write)
+        play(run, policy, writer.write)
--- a/testbed/simulation/policies.py
+++ b/testbed/simulation/policies.py
@@ -1,4 +1,4 @@
-"""What decides in the model: the module, or a baseline of our own behind the same events and actions."""
+"""The policies of the simulation: the balancer, and baselines with the same events and actions."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from balancer.settings import DiscoveryMode, Idempotency
 from testbed.simulation.earlier_module import EarlierModule
 
-_EARLY_US = 10_000  # before a request's time is up, it is answered as failed
-_ASK_AGAIN_US = 500_000
+_DEADLINE_MARGIN_US = 10_000  # before its deadline, a request that is still pending is answered as failed
+_WATCH_RETRY_US = 500_000
 
 
 class Policy(Protocol):
-    """Events in, actions out, no I/O."""
+    """Decides without I/O: takes events and returns actions."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Handle an event at a time in microseconds; return the actions to execute."""
@@ -37,119 +37,119 @@
 
 @runtime_checkable
 class CountsEndpoints(Protocol):
-    """A policy that says how many endpoints it knows, and how many of them it avoids."""
+    """A policy that counts the endpoints that it knows, and the unavailable ones among them."""
 
     def endpoint_counts(self) -> EndpointCounts:
         """The number of endpoints by state."""
         ...
 
 
-class _Open:
-    __slots__ = ("attempts", "class_name", "due", "is_out", "may_have_run", "tried")
+class _Request:
+    __slots__ = ("attempt_count", "class_name", "deadline", "may_have_run", "tried")
 
-    def __init__(self, class_name: str, due: int) -> None:
-        self.class_name, self.due = class_name, due
-        self.attempts = 0
-        self.is_out = self.may_have_run = False
+    def __init__(self, class_name: str, deadline: int) -> None:
+        self.class_name, self.deadline = class_name, deadline
+        self.attempt_count = 0
+        self.may_have_run = False
         self.tried: set[str] = set()
 
 
 class Baseline:
-    """What every baseline has: a list of servers, one attempt at a time, and the rules on what may run again.
+    """Base class of the baselines: one attempt at a time, and retries only where they are allowed.
 
-    A subclass says where the next attempt goes; `redraws` says how often a "full" or, for what may run twice,
-    a failure is tried again.
+    A subclass picks the endpoint of each attempt.  `max_redraws` is the number of retries after a "full"
+    response or, for requests that may run twice, after a failure.
     """
 
-    redraws = 0
+    max_redraws = 0
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
-        self._classes = {kind.name: kind for kind in settings.classes}
+        self._classes = {service_class.name: service_class for service_class in settings.classes}
         self.random = random.Random(seed)
         self.ready: list[str] = []
         self.in_flight: dict[str, int] = {}
         self._listed: dict[str, EndpointState] = {}
-        self._open: dict[int, _Open] = {}
-        self._began = False
+        self._requests: dict[int, _Request] = {}
+        self._has_started = False
 
     def pick(self, tried: set[str]) -> str:
-        """One of the ready servers; there is at least one."""
+        """Pick one of the ready endpoints; there is at least one."""
         raise NotImplementedError
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Handle an event at a time in microseconds; return the actions to execute."""
         actions: list[Action] = []
-        if not self._began:
-            self._began = True
+        if not self._has_started:
+            self._has_started = True
             if self._settings.discovery is DiscoveryMode.ON_REQUEST:
                 actions.append(WatchEndpoints(is_enabled=True))
         match event:
             case EndpointListReceived():
-                actions += self._heard(event)
+                actions += self._list_received(event)
             case RequestArrived():
-                request = _Open(event.service_class, now + event.remaining_us)
-                self._open[event.request] = request
-                actions.append(SetTimer(max(event.remaining_us - _EARLY_US, 0), f"due {event.request}"))
+                request = _Request(event.service_class, now + event.remaining_us)
+                self._requests[event.request] = request
+                timer_us = max(event.remaining_us - _DEADLINE_MARGIN_US, 0)
+                actions.append(SetTimer(timer_us, f"due {event.request}"))
                 actions += self._send(now, event.request, request)
             case AttemptEnded():
-                actions += self._ended(now, event)
+                actions += self._attempt_ended(now, event)
             case ClientDisconnected():
-                self._open.pop(event.request, None)
+                self._requests.pop(event.request, None)
             case TimerFired():
-                actions += self._fired(event.token)
+                actions += self._timer_fired(event.token)
             case _:
                 pass
         return actions
 
-    def _heard(self, event: EndpointListReceived) -> list[Action]:
+    def _list_received(self, event: EndpointListReceived) -> list[Action]:
         if event.kind is EndpointListKind.FAILED:
-            return [SetTimer(_ASK_AGAIN_US, "ask")]
+            return [SetTimer(_WATCH_RETRY_US, "ask")]
         if event.kind is not EndpointListKind.CHANGES:
             self._listed = {}
         self._listed.update({entry.server: entry.state for entry in event.entries})
         self.ready = sorted(name for name, state in self._listed.items() if state is EndpointState.READY)
         return []
 
-    def _fired(self, token: str) -> list[Action]:
+    def _timer_fired(self, token: str) -> list[Action]:
         if token == "ask":
             return [WatchEndpoints(is_enabled=True)]
         number = int(token.split(" ")[1])
-        if self._open.pop(number, None) is None:
+        if self._requests.pop(number, None) is None:
             return []
         return [Fail(number)]
 
-    def _send(self, now: int, number: int, request: _Open) -> list[Action]:
-        if not self.ready or now >= request.due - _EARLY_US:
-            del self._open[number]
+    def _send(self, now: int, number: int, request: _Request) -> list[Action]:
+        if not self.ready or now >= request.deadline - _DEADLINE_MARGIN_US:
+            del self._requests[number]
             return [Fail(number) if request.may_have_run else Reject(number)]
         server = self.pick(request.tried)
         request.tried.add(server)
-        request.attempts += 1
-        request.is_out = True
+        request.attempt_count += 1
         self.in_flight[server] = self.in_flight.get(server, 0) + 1
-        return [SendAttempt(number, server, request.due - _EARLY_US)]
+        return [SendAttempt(number, server, request.deadline - _DEADLINE_MARGIN_US)]
 
-    def _ended(self, now: int, event: AttemptEnded) -> list[Action]:
+    def _attempt_ended(self, now: int, event: AttemptEnded) -> list[Action]:
         self.in_flight[event.server] -= 1
-        request = self._open.get(event.request)
+        request = self._requests.get(event.request)
         if request is None or event.is_request_answered:
-            self._open.pop(event.request, None)
+            self._requests.pop(event.request, None)
             return []
-        never_ran = self._settings.guarantees.proves_not_executed(event.outcome)
-        request.may_have_run = request.may_have_run or not never_ran
-        kind = self._classes[request.class_name]
-        may_again = not request.may_have_run or kind.idempotency is Idempotency.IDEMPOTENT
-        most = min(self._settings.limits.max_attempts, 1 + self.redraws)
-        if may_again and request.attempts < most:
+        is_not_executed = self._settings.guarantees.proves_not_executed(event.outcome)
+        request.may_have_run = request.may_have_run or not is_not_executed
+        service_class = self._classes[request.class_name]
+        may_retry = not request.may_have_run or service_class.idempotency is Idempotency.IDEMPOTENT
+        max_attempts = min(self._settings.limits.max_attempts, 1 + self.max_redraws)
+        if may_retry and request.attempt_count < max_attempts:
             return self._send(now, event.request, request)
-        del self._open[event.request]
-        harmless = not request.may_have_run and event.outcome is Outcome.FULL
-        return [Reject(event.request) if harmless else Fail(event.request)]
+        del self._requests[event.request]
+        may_reject = not request.may_have_run and event.outcome is Outcome.FULL
+        return [Reject(event.request) if may_reject else Fail(event.request)]
 
 
 class Random(Baseline):
-    """One server by chance; a full answer is final."""
+    """A random endpoint for each request; a "full" response is final."""
 
     def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
         """A random ready endpoint."""
@@ -157,54 +157,54 @@
 
 
 class RoundRobin(Baseline):
-    """Each server in turn, from a place of its own."""
+    """Each ready endpoint in turn; every replica starts at a random one."""
 
-    _place = -1
+    _position = -1
 
     def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
-        """The next ready endpoint, starting at a random one."""
-        if self._place < 0:
-            self._place = self.random.randrange(len(self.ready))
-        self._place += 1
-        return self.ready[self._place % len(self.ready)]
+        """The next ready endpoint."""
+        if self._position < 0:
+            self._position = self.random.randrange(len(self.ready))
+        self._position += 1
+        return self.ready[self._position % len(self.ready)]
 
 
 class BestOf(Baseline):
-    """The one with the fewest of this copy's own requests in flight, of k drawn by chance."""
+    """Best of k random endpoints by the requests that this replica has in flight."""
 
-    drawn = 2
+    sample_size = 2
 
     def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
-        """The endpoint with the fewest requests in flight, of a few drawn at random."""
-        drawn = self.random.sample(self.ready, min(self.drawn, len(self.ready)))
-        return min(drawn, key=lambda endpoint: self.in_flight.get(endpoint, 0))
+        """The endpoint with the fewest requests in flight, of a random sample."""
+        sample = self.random.sample(self.ready, min(self.sample_size, len(self.ready)))
+        return min(sample, key=lambda endpoint: self.in_flight.get(endpoint, 0))
 
 
 class BestOfFour(BestOf):
-    """The same of four: the module's draw without its redraw."""
+    """Best of 4, which is the balancer's selection without its redraw."""
 
-    drawn = 4
+    sample_size = 4
 
 
 class BestOfFourRedrawn(BestOfFour):
-    """And drawn again after a full answer or, where that is allowed, a failure."""
+    """Best of 4 with a redraw after a "full" response or, where that is allowed, a failure."""
 
-    redraws = 3
+    max_redraws = 3
 
 
-class SeesTrueState(BestOfFourRedrawn):
-    """Best of k by what the servers hold now, of all copies: what no real balancer can see."""
+class TrueStateBestOfFour(BestOfFourRedrawn):
+    """Best of 4 with redraw by the servers' current load from all replicas, which no real balancer knows."""
 
-    look: Callable[[str], int]  # how much a server holds; whoever plays it sets this
+    server_load: Callable[[str], int]  # the number of jobs that a server holds; set by the simulation
 
     def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
-        """The endpoint with the least true load, of a few drawn at random."""
-        drawn = self.random.sample(self.ready, min(self.drawn, len(self.ready)))
-        return min(drawn, key=self.look)
+        """The endpoint with the least load, of a random sample."""
+        sample = self.random.sample(self.ready, min(self.sample_size, len(self.ready)))
+        return min(sample, key=self.server_load)
 
 
 class LeastInFlight(Baseline):
-    """The one with the fewest of this copy's own in flight, of all."""
+    """Of all ready endpoints, the one with the fewest requests of this replica in flight."""
 
     def pick(self, tried: set[str]) -> str:  # noqa: ARG002 - the base class's signature
         """The endpoint with the fewest requests in flight; ties are broken at random."""
@@ -219,11 +219,15 @@
     "best-of-4": BestOfFour,
     "best-of-4-redraw": BestOfFourRedrawn,
     "least-in-flight": LeastInFlight,
-    "true-state": SeesTrueState,
+    "true-state": TrueStateBestOfFour,
 }
-EARLIER_MODULE = "earlier-module"  # that of an earlier commit, whose package is on the import path
+EARLIER_MODULE = "earlier-module"  # the balancer of an earlier commit, whose package is on the import path
 
 
 def policy_named(name: str) -> Callable[[Settings, int], Policy]:
-    """Give what makes a policy; raise KeyError if there is none of that name."""
+    """Return the factory of a policy, called with settings and a seed.
+
+    Raises:
+        KeyError: There is no policy of that name.
+    """
     return EarlierModule if name == EARLIER_MODULE else POLICIES[name]
--- a/testbed/simulation/servers.py
+++ b/testbed/simulation/servers.py
@@ -1,4 +1,4 @@
-"""Modelled servers: stations with connections, and what a copy's attempt meets on its way there and back."""
+"""Simulated servers: queueing servers with connections, and the way of their responses to the replicas."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 from testbed.simulation.queue import EventQueue
 
 Sink = Callable[[log.Event], None]
-# Told at the copy: how the attempt ended there (served, error, full, lost, refused, cut off).
-Heard = Callable[[str], None]
+# Called at the replica with the outcome of an attempt: "served", "error", "full", "lost" or "cut off".
+OnOutcome = Callable[[str], None]
+_DOWN_JOB_COUNT = 1 << 30  # more than any running server holds
 
 
-class ModelServer:
-    """One server and its process."""
+class SimulatedServer:
+    """One server: its process, its connections and the attempts that it holds."""
 
     def __init__(
         self,
-        day: ScenarioRun,
+        run: ScenarioRun,
         server: Server,
         queue: EventQueue,
         links: Links,
@@ -30,77 +31,88 @@
     ) -> None:
         self.server = server
         self.is_up = True
-        self.epoch = 0  # of its process; connections to an older one are gone
-        self.open = 0  # connections
-        self._queueing_server = QueueingServer(server, day.faults)
+        self.epoch = 0  # counts the ends of the process; connections of an earlier epoch are closed
+        self.open_connections = 0
+        self._queueing_server = QueueingServer(server, run.faults)
         self._queue, self._sink, self._rng = queue, sink, rng
         self.party = server.party
-        self._day, self._links = day, links
-        self._owed: dict[int, tuple[int, int, Heard]] = {}  # by attempt: copy, request, whom to tell
+        self._run, self._links = run, links
+        self._pending: dict[int, tuple[int, int, OnOutcome]] = {}  # by attempt: replica, request, callback
 
     @property
-    def held(self) -> int:
-        """Requests at work or waiting; a process that is not there holds more than any."""
-        return self._queueing_server.job_count if self.is_up else 1 << 30
+    def job_count(self) -> int:
+        """The number of jobs in service or queued; for a server that is down, more than any other has."""
+        return self._queueing_server.job_count if self.is_up else _DOWN_JOB_COUNT
 
-    def live(self, what: str) -> None:
-        """Its process ends, begins, drains or goes, as the day has it."""
+    def change_state(self, state: str) -> None:
+        """Apply and log a state change of the scenario run; down or gone loses all jobs."""
         now = self._queue.now
-        if what in ("down", "gone"):
+        if state in ("down", "gone"):
             self.is_up = False
             self.epoch += 1
-            self.open = 0
+            self.open_connections = 0
             for job in self._queueing_server.restart(now):
-                self._end(job.attempt, "lost")
-        elif what == "up":
+                self._end_attempt(job.attempt, "lost")
+        elif state == "up":
             self.is_up = True
             self._queueing_server.restart(now)
-        self._sink(log.ServerStateChanged(at_us=now, server=self.server.number, state=what))
+        self._sink(log.ServerStateChanged(at_us=now, server=self.server.number, state=state))
 
-    def arrive(
-        self, copy: int, request: int, attempt: int, sent: int, work: int, epoch: int, heard: Heard
+    def receive_attempt(
+        self,
+        replica: int,
+        request: int,
+        attempt: int,
+        sent_at: int,
+        work_us: int,
+        epoch: int,
+        on_outcome: OnOutcome,
     ) -> None:
-        """The last byte of an attempt is here, on a connection to the process of `epoch`."""
+        """Handle an attempt, received in full on a connection of the given epoch.
+
+        If the server is down or has restarted since, the attempt is lost and not logged as received.
+        """
         now = self._queue.now
         if not self.is_up or epoch != self.epoch:
-            self._tell(copy, heard, "lost")
+            self._respond(replica, on_outcome, "lost")
             return
         self._sink(
             log.AttemptReceived(
                 at_us=now,
                 request=request,
-                replica=copy,
+                replica=replica,
                 server=self.server.number,
                 attempt=attempt,
-                sent_at_us=sent,
-                work_us=work,
+                sent_at_us=sent_at,
+                work_us=work_us,
             )
         )
-        self._owed[attempt] = copy, request, heard
-        job = Job(attempt, work, self._rng.random())
-        place = self._queueing_server.offer(now, job)
-        if place is OfferResult.FULL:
-            self._end(attempt, "full")
-        elif place is OfferResult.IN_SERVICE:
-            self._queue.at(job.ends_at, self._done, job)
+        self._pending[attempt] = replica, request, on_outcome
+        job = Job(attempt, work_us, self._rng.random())
+        result = self._queueing_server.offer(now, job)
+        if result is OfferResult.FULL:
+            self._end_attempt(attempt, "full")
+        elif result is OfferResult.IN_SERVICE:
+            self._queue.at(job.ends_at, self._complete, job)
 
-    def _done(self, job: Job) -> None:
+    def _complete(self, job: Job) -> None:
         if not self._queueing_server.is_serving(job):
-            return
-        well, after = self._queueing_server.complete(self._queue.now, job)
-        if after is not None:
-            self._queue.at(after.ends_at, self._done, after)
-        self._end(job.attempt, "served" if well else "error")
+            return  # the process ended before the job
+        succeeded, next_job = self._queueing_server.complete(self._queue.now, job)
+        if next_job is not None:
+            self._queue.at(next_job.ends_at, self._complete, next_job)
+        self._end_attempt(job.attempt, "served" if succeeded else "error")
 
-    def _end(self, attempt: int, how: str) -> None:
-        copy, request, heard = self._owed.pop(attempt)
-        self._sink(log.AttemptEnded(at_us=self._queue.now, attempt=attempt, request=request, outcome=how))
-        self._tell(copy, heard, how)
+    def _end_attempt(self, attempt: int, outcome: str) -> None:
+        replica, request, on_outcome = self._pending.pop(attempt)
+        self._sink(log.AttemptEnded(at_us=self._queue.now, attempt=attempt, request=request, outcome=outcome))
+        self._respond(replica, on_outcome, outcome)
 
-    def _tell(self, copy: int, heard: Heard, how: str) -> None:
-        link = self._links.between(self.party, self._day.replicas[copy].party)
+    def _respond(self, replica: int, on_outcome: OnOutcome, outcome: str) -> None:
+        """Call back when the response reaches the replica; a fault of the link may reset or hold it."""
+        link = self._links.between(self.party, self._run.replicas[replica].party)
         if link.resets_response(self._queue.now, self._rng.random()):
-            how = "cut off"
+            outcome = "cut off"
         at = link.arrival(self._queue.now)
         if at < NEVER:
-            self._queue.at(at, heard, how)
+            self._queue.at(at, on_outcome, outcome)
--- a/testbed/simulation/sidecar.py
+++ b/testbed/simulation/sidecar.py
@@ -1,4 +1,4 @@
-"""A modelled copy: the real decisions, with the sidecar's ways of carrying them out, in virtual time."""
+"""A simulated sidecar process: a policy, and the actions as the sidecar executes them, in virtual time."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 from testbed.links import NEVER, Link
 from testbed.scenario.scenario_run import ScenarioRun
 from testbed.simulation.clients import Clients
-from testbed.simulation.discovery import WATCH_US, ListAnswer, ModelDiscovery
+from testbed.simulation.discovery import WATCH_US, ListResponse, SimulatedDiscovery
 from testbed.simulation.policies import CountsEndpoints, Policy
 from testbed.simulation.queue import EventQueue
-from testbed.simulation.servers import ModelServer
+from testbed.simulation.servers import SimulatedServer
 
-EPOCH_US = 1_700_000_000_000_000  # the module's clock at the day's beginning
-_IDLE_MARGIN = 0.9  # of the idle limit, after which a connection is not used again
+EPOCH_US = 1_700_000_000_000_000  # the balancer's clock at the start of the run
+_IDLE_REUSE_FRACTION = 0.9  # of the idle timeout; a connection that is idle for longer is not reused
 _OUTCOMES = {
     "served": Outcome.DELIVERED,
     "error": Outcome.ERROR,
@@ -53,38 +53,38 @@
 @dataclass(slots=True)
 class _Attempt:
     request: int
-    index: int
-    number: int  # unique over the day
+    index: int  # within the request
+    number: int  # unique in the run
     server: int
     sent_at: int
-    until: int
-    epoch: int = -1  # of the server's process that its connection goes to
-    is_over: bool = False
-    is_written: bool = False
+    deadline: int
+    epoch: int = -1  # of the server, when the attempt's connection was opened
+    has_ended: bool = False
+    holds_connection: bool = False  # from the writing of the attempt to the end of its response
 
 
-class _Held:
-    """A request that was taken."""
+class _Request:
+    """An accepted request, until it is answered and all of its attempts have ended."""
 
-    __slots__ = ("answered", "attempts", "out", "work")
+    __slots__ = ("attempts", "is_answered", "pending_attempts", "work_us")
 
-    def __init__(self, work: int) -> None:
-        self.work = work
+    def __init__(self, work_us: int) -> None:
+        self.work_us = work_us
         self.attempts: list[_Attempt] = []
-        self.answered = False
-        self.out = 0
+        self.is_answered = False
+        self.pending_attempts = 0
 
 
-class Place(Protocol):
-    """What one process of a copy needs of the rest of the model."""
+class ProcessContext(Protocol):
+    """What a process uses of its replica and of the rest of the simulation."""
 
     queue: EventQueue
-    day: ScenarioRun
+    run: ScenarioRun
     settings: Settings
     number: int
-    servers: list[ModelServer]
-    discovery: ModelDiscovery
-    client: Clients
+    servers: list[SimulatedServer]
+    discovery: SimulatedDiscovery
+    clients: Clients
 
     def link(self, server: int) -> Link:
         """The link to a server."""
@@ -94,339 +94,349 @@
         """The next attempt number, unique in the run."""
         ...
 
-    def connected(self, server: int, *, opened: bool) -> None:
+    def log_connection(self, server: int, *, opened: bool) -> None:
         """Log that a connection to a server was opened or closed."""
         ...
 
-    def tell(self, receiver: int | None, payload: bytes) -> None:
+    def send_datagram(self, receiver: int | None, payload: bytes) -> None:
         """Send a datagram to one replica, or to all."""
         ...
 
 
-class Sidecar:
-    """One process of one copy, from its start to its end."""
+class SidecarProcess:
+    """One process of a replica, from its start to its end."""
 
-    def __init__(self, place: Place, policy: Policy, version: int) -> None:
-        self._place, self._policy, self._queue = place, policy, place.queue
-        self._held: dict[int, _Held] = {}
-        self._idle: dict[int, list[tuple[int, int]]] = {}  # by server: (epoch, since), the latest last
+    def __init__(self, context: ProcessContext, policy: Policy, version: int) -> None:
+        """Start with the endpoint list of the given version, as if it was cached."""
+        self._context, self._policy, self._queue = context, policy, context.queue
+        self._requests: dict[int, _Request] = {}
+        # Idle connections by server: (epoch, idle since), the most recently used one last.
+        self._idle: dict[int, list[tuple[int, int]]] = {}
         self._listed: dict[int, EntryChange] = {}
         self._events: deque[Event] = deque()
-        self._handles = False
+        self._is_handling = False
         self._version = version
-        self._watching = 0  # which watch is the one that counts
-        self._watch_runs = self._watch_answered = False
-        self._paused: list[Callable[[], None]] | None = None
-        self.is_over = False
-        self.owed = 0
-        known = place.discovery.catalog.full_list(version)
-        cached = ListAnswer(version, known, is_complete=True)
-        place.discovery.told(place.number, cached)
-        self._take_list(cached)
-        self._post(place.discovery.event(version, known, EndpointListKind.CACHED))
-
-    # Its life
+        self._current_watch = 0  # responses to watches with another number are ignored
+        self._is_watching = self._is_watch_answered = False
+        self._paused_calls: list[Callable[[], None]] | None = None  # None: not paused
+        self.has_ended = False
+        self.pending_requests = 0
+        entries = context.discovery.catalog.full_list(version)
+        cached = ListResponse(version, entries, is_complete=True)
+        context.discovery.log_delivery(context.number, cached)
+        self._apply_list(cached)
+        self._post(context.discovery.event(version, entries, EndpointListKind.CACHED))
+
+    # Pause, resume and end
 
     def pause(self) -> None:
-        """Stop handling events; they wait."""
-        if self._paused is None:
-            self._paused = []
+        """Delay the handling of all events until `resume`."""
+        if self._paused_calls is None:
+            self._paused_calls = []
 
     def resume(self) -> None:
-        """Handle the events that waited, in order, and continue."""
-        waiting, self._paused = self._paused or [], None
-        for act in waiting:
-            act()
+        """Handle the delayed events in order, and continue."""
+        calls, self._paused_calls = self._paused_calls or [], None
+        for call in calls:
+            call()
 
     def kill(self) -> list[int]:
-        """It is gone; give the requests that it held, and close its connections."""
-        self.is_over = True
-        for server, idle in self._idle.items():
-            for epoch, _ in idle:
-                self._closed(server, epoch)
-        return [number for number, held in self._held.items() if not held.answered]
-
-    def members(self) -> tuple[int, int] | None:
-        """Servers listed, and how many of them are avoided; None where the decisions don't say."""
+        """End the process and close its idle connections; return the requests that it has not answered."""
+        self.has_ended = True
+        for server, connections in self._idle.items():
+            for epoch, _ in connections:
+                self._close_connection(server, epoch)
+        return [number for number, request in self._requests.items() if not request.is_answered]
+
+    def endpoint_counts(self) -> tuple[int, int] | None:
+        """Count the listed and the unavailable endpoints; None if the policy doesn't count them."""
         if not isinstance(self._policy, CountsEndpoints):
             return None
         counts = self._policy.endpoint_counts()
         return counts.listed, counts.unavailable
 
-    def _when_running(self, act: Callable[[], None]) -> None:
-        if self.is_over:
+    def _when_running(self, call: Callable[[], None]) -> None:
+        """Make a call now, or after a pause; drop it if the process has ended."""
+        if self.has_ended:
             return
-        if self._paused is not None:
-            self._paused.append(act)
+        if self._paused_calls is not None:
+            self._paused_calls.append(call)
         else:
-            act()
+            call()
 
-    # Events
+    # Events and actions
 
-    def take(self, request: int, event: RequestArrived, work: int) -> None:
-        """A client's request, written to a connection that was accepted."""
+    def accept(self, request: int, event: RequestArrived, work_us: int) -> None:
+        """Accept a request that a client wrote to an accepted connection."""
 
-        def act() -> None:
-            self._held[request] = _Held(work)
-            self.owed += 1
+        def handle() -> None:
+            self._requests[request] = _Request(work_us)
+            self.pending_requests += 1
             self._post(event)
 
-        self._when_running(act)
+        self._when_running(handle)
 
-    def hear(self, sender: int, payload: bytes) -> None:
-        """A datagram of another copy."""
+    def receive_datagram(self, sender: int, payload: bytes) -> None:
+        """Handle a datagram from another replica."""
         self._when_running(lambda: self._post(PeerMessageReceived(sender, payload)))
 
     def _post(self, event: Event) -> None:
+        """Handle an event; events that its actions cause are handled after it, in order."""
         self._events.append(event)
-        if self._handles:
+        if self._is_handling:
             return
-        self._handles = True
+        self._is_handling = True
         try:
             while self._events:
                 event = self._events.popleft()
                 if isinstance(event, AttemptEnded):
-                    held = self._held.get(event.request)
-                    event.is_request_answered = held is None or held.answered
+                    request = self._requests.get(event.request)
+                    event.is_request_answered = request is None or request.is_answered
                 for action in self._policy.handle(EPOCH_US + self._queue.now, event):
-                    self._carry_out(action)
+                    self._execute(action)
                 if isinstance(event, (AttemptEnded, ResponseStarted)):
                     self._forget_if_over(event.request)
         finally:
-            self._handles = False
+            self._is_handling = False
 
-    def _carry_out(self, action: object) -> None:
+    def _execute(self, action: object) -> None:
         match action:
             case SendAttempt():
-                self._send(action)
+                self._send_attempt(action)
             case SetTimer():
-                self._queue.after(max(action.delay_us, 0), self._fired, action.token)
+                self._queue.after(max(action.delay_us, 0), self._timer_fired, action.token)
             case Reject():
-                self._answer(action.request, 503, after_us=action.retry_after_us)
+                self._answer(action.request, 503, retry_after_us=action.retry_after_us)
             case Fail():
                 self._answer(action.request, 502)
             case CancelAttempt():
-                held = self._held.get(action.request)
-                if held is not None and action.attempt < len(held.attempts):
-                    self._end(held.attempts[action.attempt], Outcome.CANCELLED)
+                request = self._requests.get(action.request)
+                if request is not None and action.attempt < len(request.attempts):
+                    self._end_attempt(request.attempts[action.attempt], Outcome.CANCELLED)
             case CloseIdleConnections():
-                self._close_idle(int(action.server[2:]))
+                self._close_idle_connections(int(action.server[2:]))
             case WatchEndpoints():
-                self._follow(wanted=action.is_enabled)
+                self._set_watching(is_enabled=action.is_enabled)
             case PollEndpoints():
-                self._place.discovery.call(self._place.number, None, 0, self._fetched)
+                self._context.discovery.call(self._context.number, None, 0, self._poll_answered)
             case SendPeerMessage():
-                self._place.tell(action.receiver, action.payload)
+                self._context.send_datagram(action.receiver, action.payload)
             case _:
-                pass  # lines for a log; probes are off
+                pass  # log lines are not simulated, and health checks are switched off
 
-    def _fired(self, token: str) -> None:
+    def _timer_fired(self, token: str) -> None:
         self._when_running(lambda: self._post(TimerFired(token)))
 
-    # The list
+    # Discovery
 
-    def _follow(self, *, wanted: bool) -> None:
-        if wanted and self._watch_runs and not self._watch_answered:
+    def _set_watching(self, *, is_enabled: bool) -> None:
+        """Start a new watch or end the current one; a watch whose first response is pending goes on."""
+        if is_enabled and self._is_watching and not self._is_watch_answered:
             return
-        self._watching += 1
-        self._watch_runs = wanted
-        self._watch_answered = False
-        if wanted:
-            self._watch(self._watching, 0)
+        self._current_watch += 1
+        self._is_watching = is_enabled
+        self._is_watch_answered = False
+        if is_enabled:
+            self._call_watch(self._current_watch, 0)
 
-    def _watch(self, watch: int, wait_us: int) -> None:
-        def answered(answer: ListAnswer | None) -> None:
-            self._when_running(lambda: self._watched(watch, answer))
+    def _call_watch(self, watch: int, wait_us: int) -> None:
+        def on_response(response: ListResponse | None) -> None:
+            self._when_running(lambda: self._watch_answered(watch, response))
 
-        self._place.discovery.call(self._place.number, self._version, wait_us, answered)
+        self._context.discovery.call(self._context.number, self._version, wait_us, on_response)
 
-    def _watched(self, watch: int, answer: ListAnswer | None) -> None:
-        if watch != self._watching:
+    def _watch_answered(self, watch: int, response: ListResponse | None) -> None:
+        if watch != self._current_watch:
             return
-        if answer is None:
-            self._watch_runs = False
+        if response is None:
+            self._is_watching = False
             self._post(EndpointListReceived(EndpointListKind.FAILED))
             return
-        if answer.is_complete or answer.entries or not self._watch_answered:
-            self._watch_answered = True
-            self._heard(answer)
-        if watch == self._watching:
-            self._watch(watch, WATCH_US)
-
-    def _fetched(self, answer: ListAnswer | None) -> None:
-        def act() -> None:
-            if answer is None:
+        if response.is_complete or response.entries or not self._is_watch_answered:
+            self._is_watch_answered = True
+            self._receive_list(response)
+        if watch == self._current_watch:
+            self._call_watch(watch, WATCH_US)
+
+    def _poll_answered(self, response: ListResponse | None) -> None:
+        def handle() -> None:
+            if response is None:
                 self._post(EndpointListReceived(EndpointListKind.FAILED))
             else:
-                self._heard(answer)
+                self._receive_list(response)
 
-        self._when_running(act)
+        self._when_running(handle)
 
-    def _heard(self, answer: ListAnswer) -> None:
-        self._version = answer.version
-        self._place.discovery.told(self._place.number, answer)
-        self._take_list(answer)
-        kind = EndpointListKind.COMPLETE if answer.is_complete else EndpointListKind.CHANGES
-        self._post(self._place.discovery.event(answer.version, answer.entries, kind))
+    def _receive_list(self, response: ListResponse) -> None:
+        self._version = response.version
+        self._context.discovery.log_delivery(self._context.number, response)
+        self._apply_list(response)
+        kind = EndpointListKind.COMPLETE if response.is_complete else EndpointListKind.CHANGES
+        self._post(self._context.discovery.event(response.version, response.entries, kind))
 
-    def _take_list(self, answer: ListAnswer) -> None:
-        before = dict(self._listed)
-        if answer.is_complete:
+    def _apply_list(self, response: ListResponse) -> None:
+        """Update the listed endpoints; close idle connections to those that left or were restarted."""
+        old_entries = dict(self._listed)
+        if response.is_complete:
             self._listed = {}
-        self._listed.update({change.server: change for change in answer.entries})
-        for server, old in before.items():
-            now = self._listed.get(server)
-            if now is None or now.state != "active" or now.started_at_us != old.started_at_us:
-                self._close_idle(server)
+        self._listed.update({change.server: change for change in response.entries})
+        for server, old in old_entries.items():
+            new = self._listed.get(server)
+            if new is None or new.state != "active" or new.started_at_us != old.started_at_us:
+                self._close_idle_connections(server)
 
     # Attempts
 
-    def _send(self, action: SendAttempt) -> None:
-        held = self._held[action.request]
+    def _send_attempt(self, action: SendAttempt) -> None:
+        request = self._requests[action.request]
         server = int(action.server[2:])
         now = self._queue.now
-        until = action.deadline - EPOCH_US
-        number = self._place.next_attempt()
-        attempt = _Attempt(action.request, len(held.attempts), number, server, now, until)
-        held.attempts.append(attempt)
-        held.out += 1
+        deadline = action.deadline - EPOCH_US
+        number = self._context.next_attempt()
+        attempt = _Attempt(action.request, len(request.attempts), number, server, now, deadline)
+        request.attempts.append(attempt)
+        request.pending_attempts += 1
         listed = self._listed.get(server)
-        if listed is None or listed.state != "active" or until <= now:
-            self._queue.at(now, self._ends, attempt, Outcome.NOT_SENT)
+        if listed is None or listed.state != "active" or deadline <= now:
+            self._queue.at(now, self._attempt_failed, attempt, Outcome.NOT_SENT)
             return
-        self._queue.at(until, self._expire, attempt)
-        epoch = self._idle_connection(server)
+        self._queue.at(deadline, self._attempt_timed_out, attempt)
+        epoch = self._take_idle_connection(server)
         if epoch is not None:
             self._write(attempt, epoch)
         else:
-            self._dial(attempt)
-
-    def _idle_connection(self, server: int) -> int | None:
-        """The epoch that the most recently used good connection goes to."""
-        idle = self._idle.get(server)
-        use_within = self._place.settings.limits.idle_timeout_us * _IDLE_MARGIN
-        while idle:
-            epoch, since = idle.pop()
-            # A cut hides that the server has restarted.
-            seems_open = epoch == self._place.servers[server].epoch or self._place.link(server).is_cut(
+            self._connect(attempt)
+
+    def _take_idle_connection(self, server: int) -> int | None:
+        """Remove the most recently used open connection to a server from the idle ones; return its epoch."""
+        connections = self._idle.get(server)
+        max_idle_us = self._context.settings.limits.idle_timeout_us * _IDLE_REUSE_FRACTION
+        while connections:
+            epoch, idle_since = connections.pop()
+            # During a cut, the replica can't notice that the server has restarted.
+            seems_open = epoch == self._context.servers[server].epoch or self._context.link(server).is_cut(
                 self._queue.now
             )
-            if seems_open and self._queue.now - since < use_within:
+            if seems_open and self._queue.now - idle_since < max_idle_us:
                 return epoch
-            self._closed(server, epoch)
+            self._close_connection(server, epoch)
         return None
 
-    def _dial(self, attempt: _Attempt) -> None:
-        """A connection takes one way there and one back; a cut or silent one never comes up."""
-        now, link = self._queue.now, self._place.link(attempt.server)
-        there = link.arrival(now)
-        if link.is_cut(now) or there >= NEVER:
-            within = self._place.settings.limits.connect_timeout_us
-            self._queue.at(now + within, self._ends, attempt, Outcome.CONNECT_FAILED)
+    def _connect(self, attempt: _Attempt) -> None:
+        """Open a connection, which takes one round trip; during a cut it fails by the connect timeout."""
+        now, link = self._queue.now, self._context.link(attempt.server)
+        arrives_at = link.arrival(now)
+        if link.is_cut(now) or arrives_at >= NEVER:
+            connect_timeout_us = self._context.settings.limits.connect_timeout_us
+            self._queue.at(now + connect_timeout_us, self._attempt_failed, attempt, Outcome.CONNECT_FAILED)
             return
-        self._queue.at(there + (there - now), self._dialled, attempt)
+        self._queue.at(arrives_at + (arrives_at - now), self._connected, attempt)
 
-    def _dialled(self, attempt: _Attempt) -> None:
-        server = self._place.servers[attempt.server]
-        if not server.is_up or server.open >= server.server.max_connections:
-            self._ends(attempt, Outcome.CONNECT_FAILED)
+    def _connected(self, attempt: _Attempt) -> None:
+        server = self._context.servers[attempt.server]
+        if not server.is_up or server.open_connections >= server.server.max_connections:
+            self._attempt_failed(attempt, Outcome.CONNECT_FAILED)
             return
-        server.open += 1
-        self._place.connected(attempt.server, opened=True)
+        server.open_connections += 1
+        self._context.log_connection(attempt.server, opened=True)
         epoch = server.epoch
 
-        def act() -> None:
-            if attempt.is_over:
-                self._free(attempt.server, epoch)
+        def use_connection() -> None:
+            if attempt.has_ended:
+                self._release_connection(attempt.server, epoch)
             else:
                 self._write(attempt, epoch)
 
-        if self.is_over:
-            self._closed(attempt.server, epoch)
-        self._when_running(act)
+        if self.has_ended:
+            self._close_connection(attempt.server, epoch)
+        self._when_running(use_connection)
 
     def _write(self, attempt: _Attempt, epoch: int) -> None:
-        attempt.epoch, attempt.is_written = epoch, True
-        at = self._place.link(attempt.server).arrival(self._queue.now)
+        attempt.epoch, attempt.holds_connection = epoch, True
+        at = self._context.link(attempt.server).arrival(self._queue.now)
         if at >= NEVER:
             return
-        work = self._held[attempt.request].work
+        work_us = self._requests[attempt.request].work_us
         self._queue.at(
             at,
-            self._place.servers[attempt.server].arrive,
-            self._place.number,
+            self._context.servers[attempt.server].receive_attempt,
+            self._context.number,
             attempt.request,
             attempt.number,
             self._queue.now,
-            work,
+            work_us,
             epoch,
-            lambda how: self._when_running(lambda: self._came_back(attempt, how)),
+            lambda outcome: self._when_running(lambda: self._response_received(attempt, outcome)),
         )
 
-    def _came_back(self, attempt: _Attempt, how: str) -> None:
-        if attempt.is_over:
+    def _response_received(self, attempt: _Attempt, server_outcome: str) -> None:
+        if attempt.has_ended:
             return
-        outcome = _OUTCOMES[how]
+        outcome = _OUTCOMES[server_outcome]
         if outcome is Outcome.CONNECTION_LOST:
-            self._closed(attempt.server, attempt.epoch)
+            self._close_connection(attempt.server, attempt.epoch)
         else:
-            self._free(attempt.server, attempt.epoch)
-        attempt.is_written = False  # its connection is another's now
+            self._release_connection(attempt.server, attempt.epoch)
+        attempt.holds_connection = False  # so that the end of the attempt doesn't close it
         if outcome is Outcome.DELIVERED:
             self._answer(attempt.request, 200, attempt.number)
-        self._end(attempt, outcome)
+        self._end_attempt(attempt, outcome)
 
-    def _expire(self, attempt: _Attempt) -> None:
-        outcome = Outcome.TIMED_OUT if attempt.is_written else Outcome.CONNECT_FAILED
-        self._when_running(lambda: self._end(attempt, outcome))
+    def _attempt_timed_out(self, attempt: _Attempt) -> None:
+        outcome = Outcome.TIMED_OUT if attempt.holds_connection else Outcome.CONNECT_FAILED
+        self._when_running(lambda: self._end_attempt(attempt, outcome))
 
-    def _ends(self, attempt: _Attempt, outcome: Outcome) -> None:
-        self._when_running(lambda: self._end(attempt, outcome))
+    def _attempt_failed(self, attempt: _Attempt, outcome: Outcome) -> None:
+        self._when_running(lambda: self._end_attempt(attempt, outcome))
 
-    def _end(self, attempt: _Attempt, outcome: Outcome) -> None:
-        if attempt.is_over:
+    def _end_attempt(self, attempt: _Attempt, outcome: Outcome) -> None:
+        """End an attempt once: close the connection that it holds, and tell the policy."""
+        if attempt.has_ended:
             return
-        attempt.is_over = True
-        if attempt.is_written:
-            self._closed(attempt.server, attempt.epoch)
-        self._held[attempt.request].out -= 1
-        elapsed = self._queue.now - attempt.sent_at
-        name = f"s-{attempt.server}"
+        attempt.has_ended = True
+        if attempt.holds_connection:
+            self._close_connection(attempt.server, attempt.epoch)
+        self._requests[attempt.request].pending_attempts -= 1
+        elapsed_us = self._queue.now - attempt.sent_at
+        server = f"s-{attempt.server}"
         self._post(
-            AttemptEnded(attempt.request, attempt.index, name, outcome, elapsed, is_request_answered=False)
+            AttemptEnded(
+                attempt.request, attempt.index, server, outcome, elapsed_us, is_request_answered=False
+            )
         )
 
     # Connections
 
-    def _free(self, server: int, epoch: int) -> None:
+    def _release_connection(self, server: int, epoch: int) -> None:
+        """Keep a connection as idle, or close it if its server is not listed as active."""
         listed = self._listed.get(server)
         if listed is None or listed.state != "active":
-            self._closed(server, epoch)
+            self._close_connection(server, epoch)
         else:
             self._idle.setdefault(server, []).append((epoch, self._queue.now))
 
-    def _close_idle(self, server: int) -> None:
+    def _close_idle_connections(self, server: int) -> None:
         for epoch, _ in self._idle.pop(server, ()):
-            self._closed(server, epoch)
+            self._close_connection(server, epoch)
 
-    def _closed(self, server: int, epoch: int) -> None:
-        other = self._place.servers[server]
-        if other.epoch == epoch:
-            other.open -= 1
-        self._place.connected(server, opened=False)
+    def _close_connection(self, server: int, epoch: int) -> None:
+        simulated_server = self._context.servers[server]
+        if simulated_server.epoch == epoch:  # a restart has already closed connections of earlier epochs
+            simulated_server.open_connections -= 1
+        self._context.log_connection(server, opened=False)
 
-    # Answers
+    # Responses to clients
 
-    def _answer(self, request: int, status: int, attempt: int = -1, after_us: int = 0) -> None:
-        held = self._held.get(request)
-        if held is None or held.answered:
+    def _answer(self, number: int, status: int, attempt: int = -1, retry_after_us: int = 0) -> None:
+        request = self._requests.get(number)
+        if request is None or request.is_answered:
             return
-        held.answered = True
-        self.owed -= 1
-        self._place.client.answered(request, status, attempt, after_us)
-        self._forget_if_over(request)
-
-    def _forget_if_over(self, request: int) -> None:
-        held = self._held.get(request)
-        if held is not None and held.answered and not held.out:
-            del self._held[request]
+        request.is_answered = True
+        self.pending_requests -= 1
+        self._context.clients.receive_response(number, status, attempt, retry_after_us)
+        self._forget_if_over(number)
+
+    def _forget_if_over(self, number: int) -> None:
+        request = self._requests.get(number)
+        if request is not None and request.is_answered and not request.pending_attempts:
+            del self._requests[number]
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -27,7 +27,7 @@
 from testbed.scenario.read import parse_scenario
 from testbed.scenario.settings import replica_settings
 from testbed.simulation.play import play, play_into
-from testbed.simulation.policies import POLICIES, SeesTrueState
+from testbed.simulation.policies import POLICIES, TrueStateBestOfFour
 
 
 def modelled(day: ScenarioRun, policy: str = "module") -> list[log.Event]:
@@ -108,9 +108,9 @@
     """1 / (1 - C(nU, k) / C(n, k)): the draws that a request needs where nU of n servers are busy, c = 1."""
     count, requests = 50, 12_000
     given = settings_from_wire({**replica_settings(checked_run(), 0), "bounds": {"sendCap": 10_000}})
-    policy = SeesTrueState(given, 5)
-    policy.drawn, policy.redraws = drawn, 10_000
-    policy.look = lambda server: int(int(server[2:]) < busy)
+    policy = TrueStateBestOfFour(given, 5)
+    policy.sample_size, policy.max_redraws = drawn, 10_000
+    policy.server_load = lambda server: int(int(server[2:]) < busy)
     policy.handle(
         0,
         EndpointListReceived(
@@ -123,7 +123,7 @@
         while True:
             draws += 1
             server = next(each.server for each in actions if isinstance(each, SendAttempt))
-            is_busy = bool(policy.look(server))
+            is_busy = bool(policy.server_load(server))
             outcome = Outcome.FULL if is_busy else Outcome.DELIVERED
             actions = policy.handle(0, AttemptEnded(number, 0, server, outcome, 1, not is_busy))
             if not is_busy:
