--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -1,4 +1,4 @@
-"""How connections of clients end, and what may cross that end."""
+"""Closing client connections, and data that arrives at the same time."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 from sidecar.downstream.connection_state import TRANSITIONS, ConnectionState
 
 
-class Raw:
-    """A client's bare socket: no event loop reads from it, or ends it, of its own accord."""
+class RawClient:
+    """A client's socket without a transport, so that only the test reads from it and closes it."""
 
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection((HOST, port))
@@ -41,11 +41,11 @@
         assert self.socket.send(data) == len(data)
 
     async def read_all(self) -> bytes:
-        """What comes until the other side ends; raise ConnectionResetError if it was cut."""
-        whole = b""
+        """Read to the end of the stream; raise ConnectionResetError if the connection was reset."""
+        received = b""
         while piece := await within_timeout(self._loop.sock_recv(self.socket, 65_536)):
-            whole += piece
-        return whole
+            received += piece
+        return received
 
     def is_reset(self) -> bool:
         return self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0
@@ -54,13 +54,12 @@
         self.socket.close()
 
 
-def states(harness: SidecarHarness) -> list[ConnectionState]:
-    """The states of all client connections."""
+def connection_states(harness: SidecarHarness) -> list[ConnectionState]:
     return [connection.state for connection in harness.sidecar.downstream._connections]
 
 
-async def a_round_trip(harness: SidecarHarness) -> None:
-    """By its end the event loop has seen all that was sent before."""
+async def process_sent_data(harness: SidecarHarness) -> None:
+    """Run the event loop until it has processed all data that was sent before."""
     _, writer = await asyncio.open_connection(HOST, harness.servers[0].address.rpartition(":")[2])
     writer.close()
     for _ in range(20):
@@ -68,173 +67,166 @@
     await asyncio.sleep(0.02)
 
 
-@pytest.mark.parametrize("why", ["asked for", "http 1.0", "drained", "refused", "more beside it"])
-def test_bytes_that_cross_the_last_response_do_not_truncate_it(why: str) -> None:
-    # Guards against a close over unread bytes: it resets the connection, and the answer goes with it.
+@pytest.mark.parametrize(
+    "cause", ["connection: close", "HTTP/1.0", "drain", "invalid request", "pipelined request"]
+)
+def test_bytes_that_arrive_with_the_last_response_do_not_truncate_it(cause: str) -> None:
+    # Guards against closing a socket with unread data: that resets the connection, and the response is lost.
     async def work() -> None:
         async def answer(heard: ReceivedRequest) -> bytes:
-            if why == "drained":
+            if cause == "drain":
                 harness.sidecar.downstream.drain()
             return OK
 
         async with running_sidecar(answer) as harness:
-            raw = Raw(harness.sidecar.downstream.port)
-            asked = request_bytes("lodge")
-            if why == "asked for":
-                asked = request_bytes("lodge", Connection="close")
-            elif why == "http 1.0":
-                asked = asked.replace(b"HTTP/1.1", b"HTTP/1.0")
-            elif why == "refused":
-                asked = request_bytes("lodge", Request_Class="unheard-of")
-            elif why == "more beside it":
-                asked += request_bytes("lodge")
-            raw.send(asked)
-            whole = await raw.read_all()
-            assert whole.startswith(
-                b"HTTP/1.1 4" if why in ("refused", "more beside it") else b"HTTP/1.1 200"
-            )
+            client = RawClient(harness.sidecar.downstream.port)
+            message = request_bytes("lodge")
+            if cause == "connection: close":
+                message = request_bytes("lodge", Connection="close")
+            elif cause == "HTTP/1.0":
+                message = message.replace(b"HTTP/1.1", b"HTTP/1.0")
+            elif cause == "invalid request":
+                message = request_bytes("lodge", Request_Class="unheard-of")
+            elif cause == "pipelined request":
+                message += request_bytes("lodge")
+            client.send(message)
+            response = await client.read_all()
+            is_rejected = cause in ("invalid request", "pipelined request")
+            assert response.startswith(b"HTTP/1.1 4" if is_rejected else b"HTTP/1.1 200")
             (connection,) = harness.sidecar.downstream._connections
             assert connection.state is ConnectionState.LINGERING
             before = len(harness.requests)
             for _ in range(3):
-                raw.send(request_bytes("lodge"))
-                await a_round_trip(harness)
-            assert not raw.is_reset() and len(harness.requests) == before
-            raw.close()
+                client.send(request_bytes("lodge"))
+                await process_sent_data(harness)
+            assert not client.is_reset() and len(harness.requests) == before
+            client.close()
             await wait_until(lambda: harness.sidecar.downstream.is_empty)
 
     run_async(work)
 
 
-@pytest.mark.parametrize("why", ["drain", "evacuation", "at rest too long"])
-def test_request_that_crosses_close_of_idle_connection_is_not_forwarded(why: str) -> None:
-    # Guards rule 1: what is read after the shutdown and sent on is lost; the client sends it again elsewhere.
+@pytest.mark.parametrize("cause", ["drain", "evacuation", "idle timeout"])
+def test_request_sent_while_idle_connection_is_closed_is_not_forwarded(cause: str) -> None:
+    # Guards against running a request twice: its client gets no response and sends it again elsewhere.
     async def work() -> None:
         async with running_sidecar(OK) as harness:
-            raw = Raw(harness.sidecar.downstream.port)
-            raw.send(request_bytes("lodge"))
+            client = RawClient(harness.sidecar.downstream.port)
+            client.send(request_bytes("lodge"))
             await wait_until(lambda: len(harness.sidecar.downstream._idle_since) == 1)
-            if why == "drain":
+            if cause == "drain":
                 harness.sidecar.downstream.drain()
-            elif why == "evacuation":
+            elif cause == "evacuation":
                 harness.sidecar.administration.drain_clients()
             else:
                 harness.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 3_600)
-            raw.send(request_bytes("lodge"))  # in that very moment: nothing has run since
-            assert (await raw.read_all()).count(b"HTTP/1.1 200") == 1
-            raw.send(request_bytes("lodge"))
-            await a_round_trip(harness)
-            assert not raw.is_reset() and len(harness.requests) == 1
-            raw.close()
+            client.send(request_bytes("lodge"))  # before the event loop has run again
+            assert (await client.read_all()).count(b"HTTP/1.1 200") == 1
+            client.send(request_bytes("lodge"))
+            await process_sent_data(harness)
+            assert not client.is_reset() and len(harness.requests) == 1
+            client.close()
             await wait_until(lambda: harness.sidecar.downstream.is_empty)
 
     run_async(work)
 
 
-def test_client_that_never_hangs_up_is_closed_in_time() -> None:
+def test_lingering_client_that_never_closes_is_closed_in_time() -> None:
     async def work() -> None:
         async with running_sidecar(OK) as harness:
-            raw = Raw(harness.sidecar.downstream.port)
-            raw.send(request_bytes("lodge", Connection="close"))
-            assert (await raw.read_all()).startswith(b"HTTP/1.1 200")
+            client = RawClient(harness.sidecar.downstream.port)
+            client.send(request_bytes("lodge", Connection="close"))
+            assert (await client.read_all()).startswith(b"HTTP/1.1 200")
             now = asyncio.get_running_loop().time()
 
-            def is_let_go() -> bool:
+            def is_closed_at_next_timeout() -> bool:
                 nonlocal now
                 now += 2.5
                 harness.sidecar.downstream.close_overdue(now)
                 return harness.sidecar.downstream.is_empty
 
-            await wait_until(is_let_go)
-            raw.close()
+            await wait_until(is_closed_at_next_timeout)
+            client.close()
 
     run_async(work)
 
 
 def test_slow_reader_gets_the_complete_last_response() -> None:
-    # Guards against a bounded time to hang up that would cut whoever is still reading.
+    # Guards against a timeout for lingering connections that aborts a client which is still reading.
     async def work() -> None:
         body = b"x" * 65_000
 
         async with running_sidecar(b"HTTP/1.1 200 OK\r\nContent-Length: 65000\r\n\r\n" + body) as harness:
-            raw = Raw(harness.sidecar.downstream.port)
-            raw.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            raw.send(request_bytes("lodge", Connection="close"))
-            await wait_until(
-                lambda: (
-                    [each.state for each in harness.sidecar.downstream._connections]
-                    == [ConnectionState.LINGERING]
-                )
-            )
+            client = RawClient(harness.sidecar.downstream.port)
+            client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+            client.send(request_bytes("lodge", Connection="close"))
+            await wait_until(lambda: connection_states(harness) == [ConnectionState.LINGERING])
             (connection,) = harness.sidecar.downstream._connections
-            now, got, steps = asyncio.get_running_loop().time(), b"", 0
-            while before := connection._undelivered_bytes():
-                while connection._undelivered_bytes() >= before:
-                    got += await within_timeout(asyncio.get_running_loop().sock_recv(raw.socket, 2_048))
+            now, received, steps = asyncio.get_running_loop().time(), b"", 0
+            while undelivered := connection._undelivered_bytes():
+                while connection._undelivered_bytes() >= undelivered:
+                    received += await within_timeout(
+                        asyncio.get_running_loop().sock_recv(client.socket, 2_048)
+                    )
                 if not connection._undelivered_bytes():
-                    break  # all is with its machine: nothing can cut it any more
-                now += 2.5  # it has taken some, so it may go on
+                    break  # the client's machine has all of it, so closing loses nothing
+                now += 2.5  # some was delivered, so the connection stays open
                 harness.sidecar.downstream.close_overdue(now)
                 assert connection.state is ConnectionState.LINGERING
                 steps += 1
             assert steps > 0
-            got += await raw.read_all()
-            assert got.endswith(body)
-            raw.close()
+            received += await client.read_all()
+            assert received.endswith(body)
+            client.close()
 
     run_async(work)
 
 
-def test_room_is_made_by_silent_connection_not_by_one_that_takes_its_response() -> None:
+def test_silent_connection_is_evicted_rather_than_one_that_reads_its_response() -> None:
     async def work() -> None:
         body = b"x" * 65_000
         limits = {"limits": {"sockets": 72}}
         async with running_sidecar(
             b"HTTP/1.1 200 OK\r\nContent-Length: 65000\r\n\r\n" + body, configuration=limits
         ) as harness:
-            most = harness.sidecar.downstream._max_connections
-            slow = socket.socket()
-            slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-            slow.connect((HOST, harness.sidecar.downstream.port))
-            slow.setblocking(False)
-            slow.send(request_bytes("lodge", Connection="close"))
-            await wait_until(
-                lambda: (
-                    [each.state for each in harness.sidecar.downstream._connections]
-                    == [ConnectionState.LINGERING]
-                )
-            )
+            limit = harness.sidecar.downstream._max_connections
+            slow_reader = socket.socket()
+            slow_reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+            slow_reader.connect((HOST, harness.sidecar.downstream.port))
+            slow_reader.setblocking(False)
+            slow_reader.send(request_bytes("lodge", Connection="close"))
+            await wait_until(lambda: connection_states(harness) == [ConnectionState.LINGERING])
             (connection,) = harness.sidecar.downstream._connections
             assert connection.has_undelivered_bytes
-            silent = [Raw(harness.sidecar.downstream.port) for _ in range(most - 1)]
-            await wait_until(lambda: harness.sidecar.downstream.open_connections == most)
-            harness.sidecar.downstream._awaited_since[connection] -= 10.0  # it waits for longest
-            for each in harness.sidecar.downstream._awaited_since:
-                harness.sidecar.downstream._awaited_since[each] -= 1.0
+            silent = [RawClient(harness.sidecar.downstream.port) for _ in range(limit - 1)]
+            await wait_until(lambda: harness.sidecar.downstream.open_connections == limit)
+            harness.sidecar.downstream._awaited_since[connection] -= 10.0  # the one that has waited longest
+            for awaited in harness.sidecar.downstream._awaited_since:
+                harness.sidecar.downstream._awaited_since[awaited] -= 1.0
             newcomer = await harness.client()
             newcomer.send(request_bytes("lodge"))
             await wait_until(lambda: len(harness.requests) == 2)
             assert connection.state is ConnectionState.LINGERING
-            for raw in silent:
-                raw.close()
-            slow.close()
+            for client in silent:
+                client.close()
+            slow_reader.close()
 
     run_async(work)
 
 
 def test_connections_queued_before_listener_closes_are_served() -> None:
-    # Guards rule 1 at SIGTERM: the end of a listening socket resets all that waits in its queue.
+    # Guards against losing requests at SIGTERM: closing a listening socket resets its queued connections.
     async def work() -> None:
         async with running_sidecar(OK) as harness:
-            raws = [Raw(harness.sidecar.downstream.port) for _ in range(20)]
-            for raw in raws:
-                raw.send(request_bytes("lodge"))
+            clients = [RawClient(harness.sidecar.downstream.port) for _ in range(20)]
+            for client in clients:
+                client.send(request_bytes("lodge"))
             harness.sidecar.downstream.drain()
             harness.sidecar.downstream.stop_listening(accept_queued=True)
             assert not harness.sidecar.downstream.is_empty
-            for raw in raws:
-                assert (await raw.read_all()).startswith(b"HTTP/1.1 200")
-                raw.close()
+            for client in clients:
+                assert (await client.read_all()).startswith(b"HTTP/1.1 200")
+                client.close()
             assert len(harness.requests) == 20
             await wait_until(lambda: harness.sidecar.downstream.is_empty)
 
@@ -251,41 +243,44 @@
             return OK
 
         async with running_sidecar(hold) as harness:
-            resting, owed = await harness.client(), await harness.client()
-            assert (await resting.request("lodge")).status == 200
-            owed.send(request_bytes("lodge"))
+            idle, waiting = await harness.client(), await harness.client()
+            assert (await idle.request("lodge")).status == 200
+            waiting.send(request_bytes("lodge"))
             await wait_until(lambda: len(harness.requests) == 2)
             silent = await harness.client()
             await wait_until(lambda: harness.sidecar.downstream.open_connections == 3)
             draining = asyncio.get_running_loop().create_task(harness.sidecar.shut_down())
-            for each in (resting, silent):
-                assert await within_timeout(each.reader.read()) == b""
-                each.close()
+            for client in (idle, silent):
+                assert await within_timeout(client.reader.read()) == b""
+                client.close()
             assert not draining.done()
             release.set()
-            assert (await owed.read_response()).status == 200
-            assert await within_timeout(owed.reader.read()) == b""
-            owed.close()
+            assert (await waiting.read_response()).status == 200
+            assert await within_timeout(waiting.reader.read()) == b""
+            waiting.close()
             await within_timeout(draining)
 
     run_async(work)
 
 
-@pytest.mark.parametrize("ends", [True, False])
-def test_partial_body_at_drain_is_accepted_if_it_ends_in_time(ends: bool) -> None:
+@pytest.mark.parametrize("is_completed", [True, False])
+def test_partial_body_at_drain_is_accepted_if_it_is_completed_in_time(is_completed: bool) -> None:
     async def work() -> None:
         async with running_sidecar(OK) as harness:
             client = await harness.client()
-            whole = request_bytes("lodge", body=b"x" * 30_000)
-            client.send(whole[:-20_000])
+            message = request_bytes("lodge", body=b"x" * 30_000)
+            client.send(message[:-20_000])
             await wait_until(
-                lambda: [each.is_sending_body for each in harness.sidecar.downstream._connections] == [True]
+                lambda: (
+                    [connection.is_sending_body for connection in harness.sidecar.downstream._connections]
+                    == [True]
+                )
             )
             harness.sidecar.downstream.drain()
-            if ends:
-                client.send(whole[-20_000:])
+            if is_completed:
+                client.send(message[-20_000:])
                 assert (await client.read_response()).status == 200
-                assert [len(each.body) for each in harness.requests] == [30_000]
+                assert [len(heard.body) for heard in harness.requests] == [30_000]
             else:
                 harness.sidecar.downstream.close_overdue(asyncio.get_running_loop().time() + 10.0)
                 assert (await client.read_response()).status == 408
@@ -296,7 +291,7 @@
 
 
 def test_half_close_counts_as_disconnect() -> None:
-    # On the wire both are the same end; nothing is sent on for either.
+    # A FIN looks the same for both, and the request of a disconnected client is not forwarded.
     async def work() -> None:
         async with running_sidecar(None) as harness:
             client = await harness.client()
@@ -309,16 +304,16 @@
     run_async(work)
 
 
-def test_disconnect_at_the_moment_of_the_response_harms_nobody() -> None:
+def test_disconnect_at_the_time_of_the_response_causes_no_error() -> None:
     async def work() -> None:
-        faults: list[Any] = []
-        asyncio.get_running_loop().set_exception_handler(lambda _, what: faults.append(what))
+        errors: list[Any] = []
+        asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
 
-        async def leave_first(heard: ReceivedRequest) -> bytes:
+        async def disconnect_first(heard: ReceivedRequest) -> bytes:
             client.writer.transport.abort()
             return OK
 
-        async with running_sidecar(leave_first) as harness:
+        async with running_sidecar(disconnect_first) as harness:
             for _ in range(20):
                 client = await harness.client()
                 client.send(request_bytes("lodge"))
@@ -326,24 +321,24 @@
                     lambda: harness.sidecar.downstream.is_empty and harness.sidecar.open_requests == 0
                 )
             assert len(harness.requests) == 20 and harness.sidecar.unanswered_requests == 0
-            assert not [each for each in harness.log if "internal" in each]
-        assert not [each for each in faults if "sidecar" in repr(each)]
+            assert not [entry for entry in harness.log if "internal" in entry]
+        assert not [error for error in errors if "sidecar" in repr(error)]
 
     run_async(work)
 
 
-def test_floods_that_disconnect_leave_other_clients_served() -> None:
+def test_clients_are_served_beside_others_that_flood_and_disconnect() -> None:
     async def work() -> None:
         async with running_sidecar(OK, configuration={"limits": {"sockets": 180}}) as harness:
             for _ in range(5):
-                floods = [Raw(harness.sidecar.downstream.port) for _ in range(30)]
-                for number, raw in enumerate(floods):
-                    raw.send((request_bytes("lodge") * 40)[: 3_000 + number])
-                legal = await harness.client()
-                assert (await legal.request("lodge")).status == 200
-                for raw in floods:
-                    raw.close()
-                legal.close()
+                flooding = [RawClient(harness.sidecar.downstream.port) for _ in range(30)]
+                for number, client in enumerate(flooding):
+                    client.send((request_bytes("lodge") * 40)[: 3_000 + number])
+                well_behaved = await harness.client()
+                assert (await well_behaved.request("lodge")).status == 200
+                for client in flooding:
+                    client.close()
+                well_behaved.close()
             await wait_until(
                 lambda: harness.sidecar.downstream.is_empty and harness.sidecar.open_requests == 0
             )
@@ -351,48 +346,46 @@
     run_async(work)
 
 
-@pytest.mark.parametrize("late", [b"HTTP/1.1 20", OK, b"\r\n"])
-def test_bytes_on_idle_upstream_connection_are_no_response(late: bytes) -> None:
+@pytest.mark.parametrize("unsolicited", [b"HTTP/1.1 20", OK, b"\r\n"])
+def test_bytes_on_idle_upstream_connection_are_not_read_as_a_response(unsolicited: bytes) -> None:
     async def work() -> None:
         async with running_sidecar(OK) as harness:
             client = await harness.client()
             assert (await client.request("lodge")).status == 200
-            harness.requests[0].writer.write(late)
-            answer = await client.request("lodge")
-            assert (answer.status, answer.body) == (200, b"served")
+            harness.requests[0].writer.write(unsolicited)
+            response = await client.request("lodge")
+            assert (response.status, response.body) == (200, b"served")
             await wait_until(lambda: 0 in harness.servers[0].closed_connections)
 
     run_async(work)
 
 
 @pytest.mark.parametrize(
-    ("cut", "status"),
+    ("partial_response", "status"),
     [
-        (b"HTTP/1.1 200 OK\r\n\r\nser", 502),  # of unknown length: a reset is no end
+        (b"HTTP/1.1 200 OK\r\n\r\nser", 502),  # of unknown length: a reset does not delimit it
         (b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nser", 502),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nser\r\n", 502),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nserX", 502),
     ],
 )
-def test_response_that_is_reset_is_not_forwarded(cut: bytes, status: int) -> None:
+def test_response_that_is_reset_is_not_forwarded(partial_response: bytes, status: int) -> None:
     async def work() -> None:
         async def reset(heard: ReceivedRequest) -> None:
-            heard.writer.write(cut)
-            await asyncio.sleep(0.01)  # it has left; then unread or not, it is cut
+            heard.writer.write(partial_response)
+            await asyncio.sleep(0.01)  # by then the bytes are sent, and the reset may discard them unread
             heard.writer.transport.abort()
 
         async with running_sidecar(reset) as harness:
-            sock = None
 
-            async def cut_off(heard: ReceivedRequest) -> None:
-                nonlocal sock
+            async def send_reset(heard: ReceivedRequest) -> None:
                 sock = heard.writer.get_extra_info("socket")
                 sock.setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, (1).to_bytes(4, "little") + (0).to_bytes(4, "little")
                 )
                 await reset(heard)
 
-            harness.servers[0].script = cut_off
+            harness.servers[0].script = send_reset
             assert (await harness.request("lodge")).status == status
             assert len(harness.requests) == 1
 
@@ -404,15 +397,15 @@
     assert set(TRANSITIONS) == set(ConnectionState)
     assert TRANSITIONS[ConnectionState.CLOSED] == set()
     assert all(ConnectionState.CLOSED in TRANSITIONS[state] for state in open_states)
-    # Nothing is read as a request after our side has ended.
+    # After the sidecar has closed its side, nothing is read as a request.
     assert TRANSITIONS[ConnectionState.LINGERING] == {ConnectionState.CLOSED}
-    side = DownstreamConnection(None)  # type: ignore[arg-type]
-    side._enter(ConnectionState.LINGERING)
+    connection = DownstreamConnection(None)  # type: ignore[arg-type]
+    connection._enter(ConnectionState.LINGERING)
     with pytest.raises(AssertionError):
-        side._enter(ConnectionState.READING)
+        connection._enter(ConnectionState.READING)
 
 
-# The program, by signals
+# The sidecar process under signals
 
 
 def test_second_sigterm_and_sighup_during_shutdown_change_nothing(tmp_path: Path) -> None:
@@ -424,8 +417,8 @@
             return OK
 
         async with running_program(hold, tmp_path) as running:
-            taken = await running.client()
-            taken.send(request_bytes("lodge"))
+            client = await running.client()
+            client.send(request_bytes("lodge"))
             await wait_until(lambda: len(running.server.requests) == 1)
             assert running.process.stderr is not None
             running.process.send_signal(signal.SIGTERM)
@@ -436,9 +429,9 @@
                 b"configuration_reloaded: "
             )
             release.set()
-            assert (await taken.read_response()).status == 200
-            assert await within_timeout(taken.reader.read()) == b""
-            taken.close()
+            assert (await client.read_response()).status == 200
+            assert await within_timeout(client.reader.read()) == b""
+            client.close()
             assert await within_timeout(running.process.wait()) == 0
 
     run_async(work)
@@ -446,46 +439,48 @@
 
 def test_sigterm_before_ready_exits_with_0(tmp_path: Path) -> None:
     async def work() -> None:
-        agent = await ScriptedServer(None).start()  # pushes lists, and is silent: the start waits for it
+        discovery = await ScriptedServer(None).start()  # never answers, so the start waits for it
         path = tmp_path / "config.json"
         settings = {**VALID_CONFIGURATION["settings"], "discovery": "pushed"}
-        path.write_text(json.dumps({**VALID_CONFIGURATION, "discovery": agent.address, "settings": settings}))
+        path.write_text(
+            json.dumps({**VALID_CONFIGURATION, "discovery": discovery.address, "settings": settings})
+        )
         process = await start_program(path)
-        await wait_until(lambda: len(agent.requests) == 1)
+        await wait_until(lambda: len(discovery.requests) == 1)
         process.send_signal(signal.SIGTERM)
         assert await within_timeout(process.wait()) == 0
-        agent.stop()
+        discovery.stop()
 
     run_async(work)
 
 
-def test_last_response_reaches_client_that_goes_on_sending(tmp_path: Path) -> None:
-    # Servers hang just at SIGTERM, and the client has sent more than is read.
+def test_last_response_reaches_client_that_continues_to_send(tmp_path: Path) -> None:
+    # The server does not respond at SIGTERM, and the client has sent more data than the sidecar reads.
     async def work() -> None:
         async def silent(heard: ReceivedRequest) -> None:
             return None
 
         async with running_program(silent, tmp_path) as running:
-            taken = await running.client()
-            taken.send(request_bytes("lodge", timeout="30") + b"x" * 100_000)
+            client = await running.client()
+            client.send(request_bytes("lodge", timeout="30") + b"x" * 100_000)
             running.process.send_signal(signal.SIGTERM)
-            first = await within_timeout(taken.reader.readline())
-            assert first.split()[1] in (b"400", b"502", b"503", b"504")
+            status_line = await within_timeout(client.reader.readline())
+            assert status_line.split()[1] in (b"400", b"502", b"503", b"504")
             assert await within_timeout(running.process.wait()) == 0
 
     run_async(work)
 
 
-def test_server_error_and_drain_at_once_are_one_response() -> None:
+def test_server_error_during_drain_results_in_one_response() -> None:
     async def work() -> None:
         async def fail(heard: ReceivedRequest) -> bytes:
             harness.sidecar.downstream.drain()
             return ERROR
 
         async with running_sidecar(fail) as harness:
-            raw = Raw(harness.sidecar.downstream.port)
-            raw.send(request_bytes("lodge"))
-            assert (await raw.read_all()).count(b"HTTP/1.1 ") == 1
-            raw.close()
+            client = RawClient(harness.sidecar.downstream.port)
+            client.send(request_bytes("lodge"))
+            assert (await client.read_all()).count(b"HTTP/1.1 ") == 1
+            client.close()
 
     run_async(work)
--- a/tests/test_downstream_requests.py
+++ b/tests/test_downstream_requests.py
@@ -1,4 +1,4 @@
-"""The application's side, over loopback sockets."""
+"""Requests of clients over loopback sockets: forwarding, rejection, timeouts and connection limits."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 def test_request_is_forwarded_unchanged_and_response_returned(kind: str, body: bytes) -> None:
     async def work() -> None:
         async with running_sidecar(OK) as harness:
-            answer = await harness.request(kind, body=body, timeout="1.5", Request_Id="9b1f03aa5c7e2d41")
-            assert (answer.status, answer.body) == (200, b"served")
+            response = await harness.request(kind, body=body, timeout="1.5", Request_Id="9b1f03aa5c7e2d41")
+            assert (response.status, response.body) == (200, b"served")
             (heard,) = harness.requests
             assert heard.method == ("GET" if kind == "check" else "POST")
             assert heard.target == "/api/7f3a?x=1"
@@ -76,53 +76,54 @@
             client.send(raw)
             assert (await client.read_response()).status == 400
             assert harness.requests == []
-            assert (await harness.request()).status == 200  # it lives on
+            assert (await harness.request()).status == 200  # other requests are still served
 
     run_async(work)
 
 
-@pytest.mark.parametrize("form", ["length", "chunked"])
-def test_body_over_the_limit_gets_413(form: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against a reset that takes the answer with it, when the client is still sending.
+@pytest.mark.parametrize("framing", ["length", "chunked"])
+def test_body_over_the_limit_gets_413(framing: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    # Guards against a reset that loses the response while the client is still sending.
     monkeypatch.setattr(connection, "MAX_BODY_BYTES", 150_000)
 
     async def work() -> None:
         async with running_sidecar(OK) as harness:
             client = await harness.client()
             body = b"x" * 200_000
-            if form == "length":
+            if framing == "length":
                 client.send(request_bytes("lodge", body=body))
             else:
                 head = request_bytes("lodge", Content_Length="", Transfer_Encoding="chunked")
                 client.send(head + b"%x\r\n%s\r\n0\r\n\r\n" % (len(body), body))
             assert (await client.read_response()).status == 413
             assert (
-                form == "chunked" or harness.requests == []
-            )  # else it began to pass through, and was cut off
+                framing == "chunked" or harness.requests == []
+            )  # a chunked body is forwarded until the limit
             await wait_until(lambda: harness.sidecar.open_requests == 0)
 
     run_async(work)
 
 
-@pytest.mark.parametrize("form", ["length beside chunks", "chunks in HTTP/1.0"])
-def test_request_smuggled_by_two_lengths_reaches_no_server(form: str) -> None:
-    # Guards against smuggling: by its chunks the body ends before the inner request, by its length after it.
+@pytest.mark.parametrize("framing", ["chunked with a length", "chunked in HTTP/1.0"])
+def test_request_smuggled_by_ambiguous_framing_reaches_no_server(framing: str) -> None:
+    # Guards against request smuggling: by its chunks, the body ends before the inner request; by its length,
+    # after it.
     async def work() -> None:
         async with running_sidecar(OK) as harness:
             client = await harness.client()
             body = b"0\r\n\r\n" + request_bytes("check")
-            length = str(len(body)) if form == "length beside chunks" else ""
+            length = str(len(body)) if framing == "chunked with a length" else ""
             raw = request_bytes("lodge", Content_Length=length, Transfer_Encoding="chunked") + body
             client.send(raw if length else raw.replace(b"HTTP/1.1", b"HTTP/1.0", 1))
             assert (await client.read_response()).status == 400
-            assert await within_timeout(client.reader.read()) == b""  # it hung up, so nothing more is read
+            assert await within_timeout(client.reader.read()) == b""  # closed, so nothing more is read
             assert harness.requests == []
 
     run_async(work)
 
 
 def test_pipelined_request_is_rejected() -> None:
-    # Guards against bodies longer than their head says; clients send one request at a time.
+    # Guards against bodies that are longer than their head says; clients send one request at a time.
     async def work() -> None:
         async with running_sidecar(OK) as harness:
             client = await harness.client()
@@ -134,7 +135,7 @@
     run_async(work)
 
 
-def test_bytes_beside_a_pending_request_are_no_request() -> None:
+def test_bytes_received_while_a_request_is_pending_are_not_read_as_a_request() -> None:
     async def work() -> None:
         release = asyncio.Event()
 
@@ -147,14 +148,14 @@
             client.send(request_bytes(target="/api/1"))
             await wait_until(lambda: len(harness.requests) == 1)
             client.send(request_bytes(target="/api/2"))
-            other.send(request_bytes(target="/api/3"))  # it is read after the second one
+            other.send(request_bytes(target="/api/3"))  # read after the second request of the first client
             await wait_until(lambda: len(harness.requests) == 2)
             release.set()
-            answer = await client.read_response()
-            assert (answer.status, answer.headers["connection"]) == (200, "close")
+            response = await client.read_response()
+            assert (response.status, response.headers["connection"]) == (200, "close")
             assert await within_timeout(client.reader.read()) == b""
             assert (await other.read_response()).status == 200
-            assert [each.target for each in harness.requests] == ["/api/1", "/api/3"]
+            assert [heard.target for heard in harness.requests] == ["/api/1", "/api/3"]
 
     run_async(work)
 
@@ -187,35 +188,37 @@
 
 
 def test_request_of_disconnected_client_is_not_forwarded() -> None:
-    # Guards against collapse: a sidecar short of time would spend it on answers that nobody reads.
+    # Guards against congestion collapse: an overloaded sidecar would send responses that nobody reads.
     async def work() -> None:
         async with running_sidecar(OK) as harness:
             client = await harness.client()
-            assert (await client.request(target="/api/1")).status == 200  # there is a connection to reuse now
+            assert (await client.request(target="/api/1")).status == 200  # leaves a connection to reuse
             downstream = harness.sidecar.downstream
-            with socket.create_connection((HOST, downstream.port)) as gone:
-                gone.sendall(request_bytes("check", target="/api/gone"))  # it leaves before it is accepted
+            with socket.create_connection((HOST, downstream.port)) as closed:
+                closed.sendall(request_bytes("check", target="/api/gone"))  # closed before it is accepted
             later = await harness.client()
-            assert (await later.request(target="/api/2")).status == 200  # accepted after the other
+            assert (await later.request(target="/api/2")).status == 200  # accepted after the closed one
             assert downstream.open_connections == 2
-            with socket.create_connection((HOST, downstream.port)) as gone:
+            with socket.create_connection((HOST, downstream.port)) as closed:
                 await wait_until(lambda: downstream.open_connections == 3)
-                gone.sendall(request_bytes("check", target="/api/gone"))  # and this one before it is read
+                closed.sendall(
+                    request_bytes("check", target="/api/gone")
+                )  # closed before its request is read
             await wait_until(lambda: downstream.open_connections == 2)
             assert (await client.request(target="/api/3")).status == 200
-            assert [each.target for each in harness.requests] == ["/api/1", "/api/2", "/api/3"]
+            assert [heard.target for heard in harness.requests] == ["/api/1", "/api/2", "/api/3"]
 
     run_async(work)
 
 
-def test_time_that_a_request_lay_unread_counts_against_its_deadline() -> None:
-    # Guards against answers that come when the client has given up, after the event loop was held up.
+def test_time_that_a_request_was_unread_counts_against_its_deadline() -> None:
+    # Guards against responses after the client has given up, when the event loop was blocked.
     async def work() -> None:
         async with running_sidecar(OK) as harness:
             client = await harness.client()
             assert (await client.request()).status == 200
             client.send(request_bytes("check", timeout="1.0"))
-            time.sleep(0.4)  # the event loop is held up: it reads the request only then
+            time.sleep(0.4)  # blocks the event loop, which reads the request only afterwards
             assert (await client.read_response()).status == 200
             assert float(harness.requests[1].headers["request-timeout"]) <= 0.61
 
@@ -243,8 +246,8 @@
     run_async(work)
 
 
-def test_longest_idle_connection_makes_room_for_a_new_one() -> None:
-    # Guards against running out of descriptors: 64 leave room for a handful of clients.
+def test_longest_idle_connection_is_evicted_for_a_new_one() -> None:
+    # Guards against running out of descriptors: with a limit of 64, few are left for clients.
     async def work() -> None:
         async with running_sidecar(OK, configuration={"limits": {"sockets": 64}}) as harness:
             clients = []
@@ -260,7 +263,7 @@
 
 
 def test_clients_get_at_most_a_third_of_the_descriptors() -> None:
-    # Guards against running out of descriptors: with none left, nothing is accepted or sent for a second.
+    # Guards against running out of descriptors: without any, nothing would be accepted or sent for a second.
     async def work() -> None:
         release = asyncio.Event()
 
@@ -275,11 +278,12 @@
                 clients[-1].send(request_bytes("lodge", timeout="10"))
                 await wait_until(lambda sent=number + 1: len(harness.requests) == sent)  # type: ignore[misc]
             surplus = [await harness.client() for _ in range(20)]
-            for each in surplus:
-                assert await within_timeout(each.reader.read()) == b""  # no answer that is owed makes room
+            for client in surplus:
+                # No connection that waits for a response is evicted.
+                assert await within_timeout(client.reader.read()) == b""
             assert harness.sidecar.downstream.open_connections == 60
             release.set()
-            assert [(await each.read_response()).status for each in clients] == [200] * 60
+            assert [(await client.read_response()).status for client in clients] == [200] * 60
             assert (await harness.request()).status == 200
 
     run_async(work)
@@ -289,31 +293,32 @@
     return sum(1 for _ in Path("/proc/self/fd").iterdir())
 
 
-def test_rush_of_silent_connections_does_not_hold_the_descriptors() -> None:
-    # They all wait to be accepted when the event loop runs next, as in a rush of clients that come back.
+def test_burst_of_silent_connections_does_not_use_up_descriptors() -> None:
+    # All wait in the listen queue when the event loop runs next, as when many clients reconnect at once.
     async def work() -> None:
         async with running_sidecar(OK, configuration={"limits": {"sockets": 180}}) as harness:
             before = _open_descriptors()
             address = (HOST, harness.sidecar.downstream.port)
-            rush = [socket.create_connection(address) for _ in range(300)]
-            most = 0
-            while harness.sidecar.downstream.open_connections < 60 or most == 0:
-                most = max(most, _open_descriptors() - before - len(rush))
+            burst = [socket.create_connection(address) for _ in range(300)]
+            peak = 0
+            while harness.sidecar.downstream.open_connections < 60 or peak == 0:
+                peak = max(peak, _open_descriptors() - before - len(burst))
                 await asyncio.sleep(0)
-            assert most <= 100
+            assert peak <= 100
             assert (await harness.request()).status == 200
-            for each in rush:
-                each.close()
+            for connection in burst:
+                connection.close()
 
     run_async(work)
 
 
 def test_connection_header_does_not_remove_host_or_ids() -> None:
-    # Guards against a request that can't be written to a server: its client would wait for the deadline.
+    # Guards against removing headers that a request needs: it can't be written to a server, and its client
+    # would wait until the deadline.
     async def work() -> None:
         async with running_sidecar(OK) as harness:
-            answer = await harness.request("amend", Connection="host, request-id, idempotency-key, tenant")
-            assert answer.status == 200
+            response = await harness.request("amend", Connection="host, request-id, idempotency-key, tenant")
+            assert response.status == 200
             headers = harness.requests[0].headers
             assert headers["host"] == "origin.svc" and headers["idempotency-key"] == "5c0f"
             assert "request-id" in headers and "tenant" not in headers
@@ -321,8 +326,8 @@
     run_async(work)
 
 
-def test_stalled_requests_make_room_for_new_ones() -> None:
-    # Guards against clients that begin a body and never end it: each would hold its descriptor for good.
+def test_clients_with_stalled_requests_are_evicted_for_new_ones() -> None:
+    # Guards against clients that begin a body and never complete it: each would hold its descriptor forever.
     async def work() -> None:
         async with running_sidecar(OK, configuration={"limits": {"sockets": 64}}) as harness:
             for _ in range(12):
@@ -334,7 +339,7 @@
     run_async(work)
 
 
-OVERDUE_S = 2.8  # after so long a client has had its time
+OVERDUE_S = 2.8  # longer than the timeout for a client to send or read
 
 
 @pytest.mark.parametrize(
@@ -346,21 +351,21 @@
     async def work() -> None:
         async with running_sidecar(OK) as harness:
             downstream, now = harness.sidecar.downstream, asyncio.get_running_loop().time
-            kept = await harness.client()
-            assert (await kept.request()).status == 200
+            idle = await harness.client()
+            assert (await idle.request()).status == 200
             slow = await harness.client()
             await wait_until(lambda: downstream.open_connections == 2)
             slow.send(sent)
-            assert (await kept.request()).status == 200  # what was sent before is read by now
+            assert (await idle.request()).status == 200  # the bytes sent before are read by now
             downstream.close_overdue(downstream.last_opened_at + OVERDUE_S - 0.6)
             assert downstream.open_connections == 2
             downstream.close_overdue(now() + OVERDUE_S)
             if sent:
                 assert (await slow.read_response()).status == 408
             assert await within_timeout(slow.reader.read()) == b""
-            downstream.close_overdue(now() + OVERDUE_S)  # it has answer and end; if it stays, it is cut
+            downstream.close_overdue(now() + OVERDUE_S)  # aborts it if it lingers after its response
             await wait_until(lambda: downstream.open_connections == 1)
-            assert (await kept.request()).status == 200
+            assert (await idle.request()).status == 200
 
     run_async(work)
 
@@ -383,18 +388,18 @@
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60_000
         async with running_sidecar(large) as harness:
             downstream, now = harness.sidecar.downstream, asyncio.get_running_loop().time
-            with socket.socket() as deaf:
-                deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-                deaf.connect((HOST, downstream.port))
+            with socket.socket() as non_reader:
+                non_reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+                non_reader.connect((HOST, downstream.port))
 
-                def moved(sent: int) -> bool:
+                def is_forwarded_or_closed(sent: int) -> bool:
                     if sent > 1:
                         downstream.close_overdue(now() + OVERDUE_S)
                     return len(harness.requests) == sent or (sent > 1 and downstream.open_connections == 0)
 
                 for number in range(1, 400):
-                    deaf.sendall(request_bytes("check"))
-                    await wait_until(lambda sent=number: moved(sent))  # type: ignore[misc]
+                    non_reader.sendall(request_bytes("check"))
+                    await wait_until(lambda sent=number: is_forwarded_or_closed(sent))  # type: ignore[misc]
                     if downstream.open_connections == 0:
                         break
                 assert downstream.open_connections == 0
@@ -403,15 +408,13 @@
     run_async(work)
 
 
-def test_closing_idle_connections_spares_one_with_an_unread_request() -> None:
-    # Guards against a reset that loses a request at the end of a drain, when nobody listens for a second try.
+def test_closing_idle_connections_keeps_one_with_an_unread_request() -> None:
+    # Guards against a reset that loses a request at the end of a drain, when a retry finds no listener.
     async def work() -> None:
         async with running_sidecar(OK) as harness:
             client = await harness.client()
             assert (await client.request()).status == 200
-            client.send(
-                request_bytes("lodge")
-            )  # it is in the sidecar's socket now, and the event loop has not run
+            client.send(request_bytes("lodge"))  # in the sidecar's socket; the event loop has not run
             harness.sidecar.downstream.close_idle()
             assert (await client.read_response()).status == 200
 
