--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""The model: the same log for the same seed, and results that are known in closed form."""
+"""The simulation: reproducible event logs, invariants under faults, and results known in closed form."""
 
 from __future__ import annotations
 
@@ -30,42 +30,43 @@
 from testbed.simulation.policies import POLICIES, TrueStateBestOfFour
 
 
-def modelled(day: ScenarioRun, policy: str = "module") -> list[log.Event]:
-    out: list[log.Event] = []
-    play(day, policy, out.append)
-    return out
+def simulate(run: ScenarioRun, policy: str = "module") -> list[log.Event]:
+    events: list[log.Event] = []
+    play(run, policy, events.append)
+    return events
 
 
-def test_the_same_day_gives_the_same_log(tmp_path: Path) -> None:
-    day = draw_run(read_scenario("zone-lost"), 3)
+def test_same_run_gives_the_same_event_log(tmp_path: Path) -> None:
+    run = draw_run(read_scenario("zone-lost"), 3)
     for name in ("one", "other"):
-        play_into(day, "module", tmp_path / name)
+        play_into(run, "module", tmp_path / name)
     assert (tmp_path / "one").read_bytes() == (tmp_path / "other").read_bytes()
 
 
-@pytest.mark.parametrize("world", [each for each in shipped_scenarios() if each != "fleet"])
-def test_the_module_keeps_the_rules_on_every_shipped_world(world: str) -> None:
-    verdict = check_invariants(modelled(draw_run(read_scenario(world), 2)))
+@pytest.mark.parametrize("scenario", [name for name in shipped_scenarios() if name != "fleet"])
+def test_balancer_keeps_the_invariants_in_every_shipped_scenario(scenario: str) -> None:
+    verdict = check_invariants(simulate(draw_run(read_scenario(scenario), 2)))
     assert verdict.label == "kept", verdict.violations[:3]
 
 
 @pytest.mark.parametrize("policy", sorted(POLICIES))
-def test_every_policy_answers_what_it_took(policy: str) -> None:
-    events = modelled(draw_run(read_scenario("three-copies"), 4), policy)
-    assert {each.invariant for each in check_invariants(events).violations} <= {"drained", "cold"}
+def test_every_policy_answers_the_requests_that_it_accepts(policy: str) -> None:
+    events = simulate(draw_run(read_scenario("three-copies"), 4), policy)
+    violations = check_invariants(events).violations
+    assert {violation.invariant for violation in violations} <= {"drained", "cold"}
     assert compute_account(events).served_fraction > 0.8
 
 
-def test_bad_servers_cost_the_plain_draw_more_than_the_module() -> None:
-    day = draw_run(read_scenario("bad-servers"), 1)
+def test_balancer_serves_more_than_random_selection_with_bad_servers() -> None:
+    run = draw_run(read_scenario("bad-servers"), 1)
     served = {
-        policy: compute_account(modelled(day, policy)).served_fraction
+        policy: compute_account(simulate(run, policy)).served_fraction
         for policy in ("module", "random", "best-of-2")
     }
     assert served["module"] > max(served["random"], served["best-of-2"]) + 0.02
 
 
-ALL_TROUBLES = (
+ALL_FAULTS = (
     fault_table("pause", 1, 2, who=["copy:0"])
     + fault_table("kill", 2, 1, who=["copy:1"])
     + fault_table("term", 5, 0, who=["copy:0"])
@@ -80,61 +81,70 @@
 )
 
 
-def test_what_a_copy_is_told_at_its_start_counts_as_word() -> None:
-    """A server that left is back when a copy that heard of it starts again: it may be used at once."""
-    text = (
+def test_endpoint_list_at_the_start_of_a_process_counts_as_notified() -> None:
+    """A server has left the list, and returns to it while a replica is down.
+
+    The replica's next process learns of the return from the list with which it starts, so that it may use the
+    server at once.
+    """
+    faults = (
         fault_table("drain", 1, 1, who=["server:1"])
         + fault_table("kill", 2.5, 4, who=["copy:0"])
         + fault_table("crash", 3, 1, who=["server:1"])
     )
-    day = draw_run(parse_scenario(SCENARIO.replace("rate_per_s = 10", "rate_per_s = 60") + text, "back"), 1)
-    events = modelled(day)
+    scenario = SCENARIO.replace("rate_per_s = 10", "rate_per_s = 60") + faults
+    events = simulate(draw_run(parse_scenario(scenario, "back"), 1))
     assert check_invariants(events).violations == ()
-    late = [each for each in events if isinstance(each, log.AttemptReceived) and each.at_us > 7_000_000]
-    assert any(each.server == 1 and each.replica == 0 for each in late)
+    attempts = [event for event in events if isinstance(event, log.AttemptReceived)]
+    late = [attempt for attempt in attempts if attempt.at_us > 7_000_000]
+    assert any(attempt.server == 1 and attempt.replica == 0 for attempt in late)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_every_trouble_at_once_keeps_the_rules(seed: int) -> None:
-    world = SCENARIO.replace("count = 2", "count = 2\noperated = true").replace(
+def test_balancer_keeps_the_invariants_under_all_kinds_of_faults(seed: int) -> None:
+    scenario = SCENARIO.replace("count = 2", "count = 2\noperated = true").replace(
         "rate_per_s = 10", "rate_per_s = 40"
     )
-    verdict = check_invariants(modelled(draw_run(parse_scenario(world + ALL_TROUBLES, "all"), seed)))
+    verdict = check_invariants(simulate(draw_run(parse_scenario(scenario + ALL_FAULTS, "all"), seed)))
     assert verdict.violations == () and verdict.is_complete
 
 
-@pytest.mark.parametrize(("drawn", "busy"), [(k, busy) for k in (1, 2, 3) for busy in (5, 25, 40, 47)])
-def test_draws_until_an_idle_server_are_those_of_the_paper(drawn: int, busy: int) -> None:
-    """1 / (1 - C(nU, k) / C(n, k)): the draws that a request needs where nU of n servers are busy, c = 1."""
+@pytest.mark.parametrize(("sample_size", "busy"), [(k, busy) for k in (1, 2, 3) for busy in (5, 25, 40, 47)])
+def test_number_of_redraws_until_an_idle_server_has_its_closed_form(sample_size: int, busy: int) -> None:
+    """With nU of n servers busy, a request needs 1 / (1 - C(nU, k) / C(n, k)) draws of k servers on average.
+
+    The formula of the paper on best-of-k selection holds for servers with one slot (c = 1): a draw fails if
+    all of its servers are busy.
+    """
     count, requests = 50, 12_000
-    given = settings_from_wire({**replica_settings(checked_run(), 0), "bounds": {"sendCap": 10_000}})
-    policy = TrueStateBestOfFour(given, 5)
-    policy.sample_size, policy.max_redraws = drawn, 10_000
+    settings = settings_from_wire({**replica_settings(checked_run(), 0), "bounds": {"sendCap": 10_000}})
+    policy = TrueStateBestOfFour(settings, 5)
+    policy.sample_size, policy.max_redraws = sample_size, 10_000
     policy.server_load = lambda server: int(int(server[2:]) < busy)
     policy.handle(
         0,
         EndpointListReceived(
-            EndpointListKind.COMPLETE, [EndpointEntry(f"s-{each}") for each in range(count)]
+            EndpointListKind.COMPLETE, [EndpointEntry(f"s-{number}") for number in range(count)]
         ),
     )
     draws = 0
-    for number in range(requests):
-        actions = policy.handle(0, RequestArrived(number, "look", None, None, 1_000_000))
+    for request in range(requests):
+        actions = policy.handle(0, RequestArrived(request, "look", None, None, 1_000_000))
         while True:
             draws += 1
-            server = next(each.server for each in actions if isinstance(each, SendAttempt))
+            server = next(action.server for action in actions if isinstance(action, SendAttempt))
             is_busy = bool(policy.server_load(server))
             outcome = Outcome.FULL if is_busy else Outcome.DELIVERED
-            actions = policy.handle(0, AttemptEnded(number, 0, server, outcome, 1, not is_busy))
+            actions = policy.handle(0, AttemptEnded(request, 0, server, outcome, 1, not is_busy))
             if not is_busy:
                 break
-    expected = 1 / (1 - comb(busy, drawn) / comb(count, drawn))
+    expected = 1 / (1 - comb(busy, sample_size) / comb(count, sample_size))
     assert draws / requests == pytest.approx(expected, rel=0.02)
 
 
-def test_a_baseline_speaks_on_the_simulators_wire() -> None:
+def test_baseline_runs_behind_the_simulators_wire_protocol() -> None:
     command = [sys.executable, "-m", "testbed.simulation.wire"]
     batch = '["FRAME",1]\n["COMMIT"]\n'
-    done = subprocess.run([*command, "best-of-2"], input=batch, capture_output=True, text=True, check=False)
-    assert (done.returncode, done.stdout) == (0, '["DONE"]\n')
+    result = subprocess.run([*command, "best-of-2"], input=batch, capture_output=True, text=True, check=False)
+    assert (result.returncode, result.stdout) == (0, '["DONE"]\n')
     assert subprocess.run([*command, "true-state"], capture_output=True, check=False).returncode == 2
