--- a/tests/test_testbed_models.py
+++ b/tests/test_testbed_models.py
@@ -9,9 +9,9 @@
 
 from testbed.catalog import EndpointCatalog
 from testbed.links import NEVER, Links
+from testbed.queueing_server import Job, OfferResult, QueueingServer
 from testbed.scenario import ScenarioRun, draw_run
 from testbed.scenario.read import parse_scenario
-from testbed.station import Job, Place, Station
 
 S = 1_000_000
 BASE = """
@@ -58,25 +58,25 @@
 
 
 def test_server_processes_queues_and_rejects_requests() -> None:
-    station = Station(make_run().servers[0])
+    server = QueueingServer(make_run().servers[0])
     jobs = [Job(number, 100, 0.5) for number in range(4)]
-    assert [station.offer(0, job) for job in jobs] == [
-        Place.WORKING,
-        Place.WORKING,
-        Place.WAITING,
-        Place.FULL,
+    assert [server.offer(0, job) for job in jobs] == [
+        OfferResult.IN_SERVICE,
+        OfferResult.IN_SERVICE,
+        OfferResult.QUEUED,
+        OfferResult.FULL,
     ]
-    succeeded, next_job = station.end(100, jobs[0])
-    assert succeeded and next_job is jobs[2] and next_job.ends == 200
+    succeeded, next_job = server.complete(100, jobs[0])
+    assert succeeded and next_job is jobs[2] and next_job.ends_at == 200
 
 
 def test_restarted_server_is_in_slow_start_and_loses_its_requests() -> None:
-    station = Station(make_run().servers[0])
+    server = QueueingServer(make_run().servers[0])
     job = Job(1, 100, 0.5)
-    station.offer(0, job)
-    assert station.restart(5 * S) == [job] and not station.holds(job)
-    assert station.speed(5 * S) == pytest.approx(0.5)
-    assert station.speed(10 * S) == pytest.approx(0.75) and station.speed(15 * S) == 1.0
+    server.offer(0, job)
+    assert server.restart(5 * S) == [job] and not server.is_serving(job)
+    assert server.speed(5 * S) == pytest.approx(0.5)
+    assert server.speed(10 * S) == pytest.approx(0.75) and server.speed(15 * S) == 1.0
 
 
 def test_overload_slowness_and_errors_reduce_what_a_server_delivers() -> None:
@@ -85,18 +85,18 @@
         "errors", 20, 5, who=["server:0"], amount=0.3
     )
     run = make_run(faults, overloadable)
-    station = Station(run.servers[0], run.faults)
-    assert station.speed(0) == 1.0 and station.speed(12 * S) == 0.25 and station.speed(15 * S) == 1.0
-    assert station.error_rate(0) == 0.0 and station.error_rate(21 * S) == 0.3
+    server = QueueingServer(run.servers[0], run.faults)
+    assert server.speed(0) == 1.0 and server.speed(12 * S) == 0.25 and server.speed(15 * S) == 1.0
+    assert server.error_rate(0) == 0.0 and server.error_rate(21 * S) == 0.3
     for number in range(4):
-        station.offer(0, Job(number, 100, 0.5))
-    assert station.speed(0) == pytest.approx(0.5)
+        server.offer(0, Job(number, 100, 0.5))
+    assert server.speed(0) == pytest.approx(0.5)
 
 
 def _mean_wait(slots: int, load: float, jobs: int) -> float:
     """Return the mean wait for a slot, in mean service times, with random arrivals and service times."""
     base = BASE.replace("slots = 2", f"slots = {slots}").replace("queue = 1", "queue = 1000000")
-    station = Station(make_run(base=base).servers[0])
+    server = QueueingServer(make_run(base=base).servers[0])
     generator = random.Random(3)
     mean_us, now, total_wait_us = 1_000_000, 0.0, 0.0
     arrived_at: dict[int, int] = {}
@@ -104,18 +104,18 @@
 
     def begin(job: Job) -> float:
         """Schedule the end of a job that got a slot; return how long it waited."""
-        heapq.heappush(ends, (job.ends, job.attempt, job))
-        return job.ends - job.work_us - arrived_at[job.attempt]
+        heapq.heappush(ends, (job.ends_at, job.attempt, job))
+        return job.ends_at - job.work_us - arrived_at[job.attempt]
 
     for number in range(jobs):
         now += generator.expovariate(load * slots / mean_us)
         while ends and ends[0][0] <= now:
             end_at, _, ended = heapq.heappop(ends)
-            _, next_job = station.end(end_at, ended)
+            _, next_job = server.complete(end_at, ended)
             total_wait_us += begin(next_job) if next_job is not None else 0.0
         job = Job(number, max(round(generator.expovariate(1 / mean_us)), 1), 0.5)
         arrived_at[number] = round(now)
-        if station.offer(round(now), job) is Place.WORKING:
+        if server.offer(round(now), job) is OfferResult.IN_SERVICE:
             begin(job)
     return total_wait_us / jobs / mean_us
 
@@ -138,15 +138,15 @@
     forward, reverse = links.between("copy:0", "copy:1"), links.between("copy:1", "copy:0")
     assert forward.is_cut(1 * S) and not forward.is_cut(3 * S) and not reverse.is_cut(2 * S)
     assert forward.arrival(2 * S) == 3 * S + 7_000 and reverse.arrival(2 * S) == 2 * S + 7_000
-    assert forward.arrivals(2 * S, (0.9, 0.9, 0.9)) == []
-    assert len(reverse.arrivals(2 * S, (0.9, 0.9, 0.9))) == 1
+    assert forward.datagram_arrivals(2 * S, (0.9, 0.9, 0.9)) == []
+    assert len(reverse.datagram_arrivals(2 * S, (0.9, 0.9, 0.9))) == 1
 
 
 def test_held_datagrams_arrive_when_the_hold_ends() -> None:
     link = Links(make_run(fault_table("hold", 1, 30, between=["copy:0"], to=["copy:1"]))).between(
         "copy:0", "copy:1"
     )
-    assert link.arrivals(2 * S, (0.9, 0.9, 0.9)) == [31 * S + 7_000]
+    assert link.datagram_arrivals(2 * S, (0.9, 0.9, 0.9)) == [31 * S + 7_000]
 
 
 def test_link_stays_cut_until_the_last_of_overlapping_cuts_ends() -> None:
@@ -161,7 +161,7 @@
     link = Links(make_run(fault_table("cut", 1, 0, between=["copy:0"], to=["copy:1"]))).between(
         "copy:0", "copy:1"
     )
-    assert link.arrival(2 * S) == NEVER and link.arrivals(2 * S, (0.9, 0.9, 0.9)) == []
+    assert link.arrival(2 * S) == NEVER and link.datagram_arrivals(2 * S, (0.9, 0.9, 0.9)) == []
 
 
 def test_datagrams_are_lost_doubled_and_reordered_by_probability() -> None:
@@ -170,10 +170,10 @@
         for kind in ("loss", "double", "reorder")
     )
     link = Links(make_run(faults)).between("copy:0", "copy:1")
-    assert link.arrivals(S, (0.4, 0.9, 0.9)) == []
-    assert len(link.arrivals(S, (0.6, 0.4, 0.9))) == 2
-    reordered = link.arrivals(S, (0.6, 0.9, 0.4))[0]
-    assert reordered > link.arrivals(S + 10_000, (0.6, 0.9, 0.9))[0]
+    assert link.datagram_arrivals(S, (0.4, 0.9, 0.9)) == []
+    assert len(link.datagram_arrivals(S, (0.6, 0.4, 0.9))) == 2
+    reordered = link.datagram_arrivals(S, (0.6, 0.9, 0.4))[0]
+    assert reordered > link.datagram_arrivals(S + 10_000, (0.6, 0.9, 0.9))[0]
 
 
 def test_silent_server_is_cut_off_from_every_replica() -> None:
