--- a/bench/ground.py
+++ b/bench/ground.py
@@ -20,7 +20,7 @@
 from testbed import events as log
 from testbed.checker import check_invariants, compute_account
 from testbed.checker.history import build_history
-from testbed.emulator.play import Ground, play
+from testbed.emulator.play import RunOptions, run_scenario
 from testbed.report import plots
 from testbed.scenario import ScenarioRun, draw_run, read_scenario
 from testbed.scenario.read import parse_scenario
@@ -55,8 +55,8 @@
     """One day at a rate; what came of it, and whether the ground itself was late."""
     day = draw_run(parse_scenario(RATE.format(rate=rate), "rate"), 1)
     with tempfile.TemporaryDirectory() as folder:
-        ground = Ground(Path(folder) / "day", ROOT, command, shards=processes, workers=processes)
-        history = build_history(log.load(asyncio.run(play(day, ground))))
+        ground = RunOptions(Path(folder) / "day", ROOT, command, shards=processes, workers=processes)
+        history = build_history(log.load(asyncio.run(run_scenario(day, ground))))
     verdict, told = check_invariants(history), compute_account(history)
     worst_ms = max((each.late_us for each in history.writer_delays), default=0) / 1e3
     latency = ", ".join(f"{name} {value:.1f}" for name, value in told.latency_ms.items())
--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -25,9 +25,8 @@
 from testbed import events as log
 from testbed.checker import check_invariants, compute_account
 from testbed.checker.history import History, build_history
-from testbed.emulator.copies import PlayError, built, deployed
-from testbed.emulator.play import Ground
-from testbed.emulator.play import play as play_real
+from testbed.emulator.play import RunOptions, run_scenario
+from testbed.emulator.replica_process import RunError, build_tree, deployed_command
 from testbed.experiment.compare import compared, knee
 from testbed.experiment.grid import Grid
 from testbed.experiment.grid import play as play_grid
@@ -81,7 +80,7 @@
         for each in fault.errors:
             print(f"sidecar-testbed: {fault.source}: {each}", file=sys.stderr)
         sys.exit(USER_ERROR)
-    except (PlayError, StoreError, log.EventLogError) as fault:
+    except (RunError, StoreError, log.EventLogError) as fault:
         print(f"sidecar-testbed: {fault}", file=sys.stderr)
         sys.exit(USER_ERROR)
     except KeyboardInterrupt:
@@ -106,10 +105,10 @@
     day = draw_run(read_scenario(world), seed)
     root = root.resolve()
     if build:
-        built(root)
+        build_tree(root)
     folder = out or root / "build" / "days" / f"{day.scenario}-{seed}-{datetime.now(UTC):%Y%m%dT%H%M%S}"
     print(f"plays {day.duration_us / 1e6:g} s with {len(day.replicas)} copies in {folder}", file=sys.stderr)
-    path = asyncio.run(play_real(day, Ground(folder.resolve(), root, shards=shards, workers=workers)))
+    path = asyncio.run(run_scenario(day, RunOptions(folder.resolve(), root, shards=shards, workers=workers)))
     tell(build_history(log.load(path)), path.with_name("report.html"), as_json=as_json)
 
 
@@ -123,7 +122,7 @@
 ) -> None:
     """Play a day in virtual time, and judge it."""
     if policy not in POLICIES:
-        raise PlayError(f"{policy}: no such policy: choose from {', '.join(POLICIES)}")
+        raise RunError(f"{policy}: no such policy: choose from {', '.join(POLICIES)}")
     day = draw_run(read_scenario(world), seed)
     events: list[log.Event] = []
     play_model(day, policy, events.append)
@@ -241,7 +240,7 @@
         for key, why in failed:
             print(f"sidecar-testbed: {key.world}, seed {key.seed}, {key.variant}: {why}", file=sys.stderr)
         if failed:
-            raise PlayError(f"{len(failed)} days could not be played; run it again for what is left")
+            raise RunError(f"{len(failed)} days could not be played; run it again for what is left")
         names = {name for name, _ in grid.worlds}
         wanted = {each.name for each in grid.variants}
         return [
@@ -314,9 +313,11 @@
     check(plan)
     root = root.resolve()
     if build:
-        built(root)
+        build_tree(root)
     command = "sidecar-testbed " + " ".join(sys.argv[1:])
-    figures = asyncio.run(play_scale(plan, root, deployed(root), lambda text: print(text, file=sys.stderr)))
+    figures = asyncio.run(
+        play_scale(plan, root, deployed_command(root), lambda text: print(text, file=sys.stderr))
+    )
     if save:
         for path in kept(figures, command):
             print(f"kept: {path}", file=sys.stderr)
--- a/testbed/emulator/datagrams.py
+++ b/testbed/emulator/datagrams.py
@@ -44,7 +44,7 @@
         return [place.address for place in self._places]
 
     @property
-    def everyone(self) -> str:
+    def broadcast_address(self) -> str:
         """The broadcast address."""
         assert self._everyone is not None
         return self._everyone.address
--- a/testbed/emulator/play.py
+++ b/testbed/emulator/play.py
@@ -18,16 +18,16 @@
 from testbed import events as log
 from testbed.clock import DayClock, watch_lateness
 from testbed.emulator import shard as shards
-from testbed.emulator.copies import PlayError, Sidecar, deployed
 from testbed.emulator.datagrams import Relay
 from testbed.emulator.discovery import StandInDiscovery
+from testbed.emulator.replica_process import ReplicaProcess, RunError, deployed_command
 from testbed.emulator.switch import Gate
 from testbed.links import Links
 from testbed.load import worker as loads
 from testbed.scenario.scenario_run import DISCOVERY, Fault, Replica, ScenarioRun
 from testbed.streams import MOST_LINE, seeded
 
-__all__ = ["Ground", "PlayError", "play"]
+__all__ = ["RunError", "RunOptions", "run_scenario"]
 
 _START_S = 0.3  # from everybody being ready to the day's beginning
 _ANSWER_WITHIN_S = 60.0  # for a process of the ground
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ground:
+class RunOptions:
     """Where and how a day is played."""
 
     folder: Path  # for the log and all that copies write; made if need be
@@ -77,15 +77,15 @@
         self._process.stdin.write(line + b"\n")
 
     async def hear(self, within_s: float = _ANSWER_WITHIN_S) -> bytes:
-        """Its next line; raise PlayError if none comes."""
+        """Its next line; raise RunError if none comes."""
         assert self._process.stdout is not None
         try:
             async with asyncio.timeout(within_s):
                 line = await self._process.stdout.readline()
         except TimeoutError:
-            raise PlayError(f"{self._name} does not answer") from None
+            raise RunError(f"{self._name} does not answer") from None
         if not line:
-            raise PlayError(f"{self._name} ended with code {await self._process.wait()}")
+            raise RunError(f"{self._name} ended with code {await self._process.wait()}")
         return line
 
     async def close(self) -> None:
@@ -100,8 +100,8 @@
             await self._process.wait()
 
 
-async def play(day: ScenarioRun, ground: Ground) -> Path:
-    """Play a day with real copies; give its log.  Raise PlayError if it can't be played here."""
+async def run_scenario(day: ScenarioRun, ground: RunOptions) -> Path:
+    """Play a day with real copies; give its log.  Raise RunError if it can't be played here."""
     _check(day)
     ground.folder.mkdir(parents=True, exist_ok=True)
     for stale in (*log.log_parts(ground.folder), ground.folder / "log.jsonl"):
@@ -121,17 +121,17 @@
 
 
 def _check(day: ScenarioRun) -> None:
-    """Whether this machine can hold it; raise PlayError if not."""
+    """Whether this machine can hold it; raise RunError if not."""
     links = len(day.replicas) * len(day.servers)
     if len(day.replicas) > _MOST_COPIES or links > _MOST_LINKS:
-        raise PlayError(
+        raise RunError(
             f"{len(day.replicas)} copies and {len(day.servers)} servers are too many for real time"
             f" ({_MOST_COPIES} copies, {_MOST_LINKS} links at most): use the model"
         )
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = 3 * links + 8 * len(day.replicas) + _SPARE_DESCRIPTORS
     if hard != resource.RLIM_INFINITY and hard < needed:
-        raise PlayError(f"the day needs {needed} descriptors, and this user may have {hard}")
+        raise RunError(f"the day needs {needed} descriptors, and this user may have {hard}")
     if soft != resource.RLIM_INFINITY and soft < needed:
         resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
 
@@ -139,13 +139,13 @@
 class _Play:
     """One day being played."""
 
-    def __init__(self, day: ScenarioRun, ground: Ground, writer: log.EventLogWriter) -> None:
+    def __init__(self, day: ScenarioRun, ground: RunOptions, writer: log.EventLogWriter) -> None:
         self._day, self._ground, self._writer = day, ground, writer
         self._clock = DayClock()
         self._links = Links(day)
         self._children: list[_Child] = []
         self._loads: list[_Child] = []
-        self._copies: list[Sidecar] = []
+        self._copies: list[ReplicaProcess] = []
         self._gates: list[Gate] = []
         self._discovery: StandInDiscovery | None = None
         self._relay = Relay(self._clock, self._links, writer, seeded(day.seed, "datagrams"))
@@ -170,7 +170,7 @@
         self._discovery = StandInDiscovery(
             self._day, self._clock, self._writer, addresses, seeded(self._day.seed, DISCOVERY)
         )
-        command = self._ground.command or deployed(self._ground.root)
+        command = self._ground.command or deployed_command(self._ground.root)
         self._copies = [self._sidecar(copy, command) for copy in self._day.replicas]
         await self._relay.start("127.15.0.1", [copy.peer_listen for copy in self._copies])
         for sidecar in self._copies:
@@ -193,16 +193,18 @@
     def _part(self, name: str) -> str:
         return str(self._ground.folder / f"part-{name}.jsonl")
 
-    def _sidecar(self, copy: Replica, command: str) -> Sidecar:
+    def _sidecar(self, copy: Replica, command: str) -> ReplicaProcess:
         folder = self._ground.folder / f"copy-{copy.number}"
         if folder.exists():
-            raise PlayError(f"{folder} is there already: give an empty folder")
+            raise RunError(f"{folder} is there already: give an empty folder")
         rng = seeded(self._day.seed, copy.party)
         root = self._ground.root
         within_s = self._ground.ready_within_s
-        return Sidecar(self._day, copy, command, root, folder, self._clock, self._writer, rng, within_s)
+        return ReplicaProcess(
+            self._day, copy, command, root, folder, self._clock, self._writer, rng, within_s
+        )
 
-    def _introduce(self, sidecar: Sidecar, discovery: StandInDiscovery) -> None:
+    def _introduce(self, sidecar: ReplicaProcess, discovery: StandInDiscovery) -> None:
         """Tell a copy where the others are, through the switch."""
         copy = sidecar.copy
         inwards = self._links.between(copy.party, DISCOVERY)
@@ -210,10 +212,12 @@
         rng = seeded(self._day.seed, f"discovery.{copy.number}")
         gate = Gate(self._clock, copy.number, discovery, inwards, outwards, rng)
         self._gates.append(gate)
-        sidecar.configure(gate.bind(shards.host_for(copy.number)), self._relay.peers, self._relay.everyone)
+        sidecar.configure(
+            gate.bind(shards.host_for(copy.number)), self._relay.peers, self._relay.broadcast_address
+        )
         gate.start()
 
-        sidecar.listing = lambda: discovery.known(copy.number)
+        sidecar.endpoint_list = lambda: discovery.known(copy.number)
 
     # The day
 
@@ -278,58 +282,58 @@
     async def _until(self, trouble: Fault) -> None:
         await asyncio.sleep(self._clock.wait_s(trouble.end_us))
 
-    async def _kill(self, copy: Sidecar, trouble: Fault) -> None:
+    async def _kill(self, copy: ReplicaProcess, trouble: Fault) -> None:
         async with copy.lifecycle:
             was_there = await copy.kill()
         await self._until(trouble)
         if was_there and trouble.end_us > trouble.start_us:
             await self._start_again(copy)
 
-    async def _start_again(self, copy: Sidecar) -> None:
+    async def _start_again(self, copy: ReplicaProcess) -> None:
         """Under load; one that does not get ready is for the judge to see."""
         async with copy.lifecycle:
             if copy.process is None or copy.process.ended.is_set():
-                with contextlib.suppress(PlayError):
+                with contextlib.suppress(RunError):
                     await copy.start()
 
-    async def _term(self, copy: Sidecar, trouble: Fault) -> None:
+    async def _term(self, copy: ReplicaProcess, trouble: Fault) -> None:
         async with copy.lifecycle:  # one that is only just starting would die of it
             if copy.process is not None:
                 await copy.stop(copy.process, copy.life)
         await self._until(trouble)
         await self._start_again(copy)
 
-    async def _pause(self, copy: Sidecar, trouble: Fault) -> None:
+    async def _pause(self, copy: ReplicaProcess, trouble: Fault) -> None:
         copy.pause()
         await self._until(trouble)
         copy.resume()
 
-    async def _hup(self, copy: Sidecar, _trouble: Fault) -> None:
+    async def _hup(self, copy: ReplicaProcess, _trouble: Fault) -> None:
         async with copy.lifecycle:
             copy.hang_up()
 
-    async def _upgrade(self, copy: Sidecar, _trouble: Fault) -> None:
+    async def _upgrade(self, copy: ReplicaProcess, _trouble: Fault) -> None:
         async with copy.lifecycle:
-            with contextlib.suppress(PlayError):
+            with contextlib.suppress(RunError):
                 await copy.upgrade()
 
-    async def _shift_clock(self, copy: Sidecar, trouble: Fault) -> None:
+    async def _shift_clock(self, copy: ReplicaProcess, trouble: Fault) -> None:
         copy.set_clock(trouble.amount)
         async with copy.lifecycle:
             await copy.kill()
         await self._start_again(copy)
 
-    async def _fill_disk(self, copy: Sidecar, trouble: Fault) -> None:
+    async def _fill_disk(self, copy: ReplicaProcess, trouble: Fault) -> None:
         copy.limit_files(is_full=True)
         await self._until(trouble)
         copy.limit_files(is_full=False)
 
-    async def _lock_folder(self, copy: Sidecar, trouble: Fault) -> None:
+    async def _lock_folder(self, copy: ReplicaProcess, trouble: Fault) -> None:
         copy.lock_folder(is_locked=True)
         await self._until(trouble)
         copy.lock_folder(is_locked=False)
 
-    async def _damage(self, copy: Sidecar, trouble: Fault) -> None:
+    async def _damage(self, copy: ReplicaProcess, trouble: Fault) -> None:
         async with copy.lifecycle:
             await copy.kill()
         copy.damage_folder()
--- a/testbed/emulator/copies.py
+++ b/testbed/emulator/replica_process.py
@@ -19,7 +19,7 @@
 
 from testbed import events as log
 from testbed.clock import DayClock
-from testbed.emulator import program
+from testbed.emulator import run_command
 from testbed.scenario.scenario_run import Replica, ScenarioRun
 from testbed.scenario.settings import replica_settings, sigkill_delay_us
 
@@ -30,7 +30,7 @@
 _LIBC = ctypes.CDLL(None)
 
 
-class PlayError(Exception):
+class RunError(Exception):
     """The day can't be played; the text says why, for whoever asked for it."""
 
 
@@ -38,24 +38,24 @@
     try:
         command = tomllib.loads((root / "deploy" / "balancer.toml").read_text())[key]
     except (OSError, KeyError, tomllib.TOMLDecodeError) as fault:
-        raise PlayError(f"{root}: no deploy/balancer.toml that names `{key}`: {fault}") from None
+        raise RunError(f"{root}: no deploy/balancer.toml that names `{key}`: {fault}") from None
     return str(command)
 
 
-def deployed(root: Path) -> str:
-    """The command that starts one copy of the program in a tree; raise PlayError if there is none."""
+def deployed_command(root: Path) -> str:
+    """The command that starts one copy of the program in a tree; raise RunError if there is none."""
     return _named(root, "run")
 
 
-def built(root: Path) -> None:
-    """Do what a tree's deploy file says to build it; raise PlayError where that fails."""
+def build_tree(root: Path) -> None:
+    """Do what a tree's deploy file says to build it; raise RunError where that fails."""
     command = ["/bin/sh", "-c", _named(root, "build")]
     done = subprocess.run(command, cwd=root, capture_output=True, text=True, check=False)
     if done.returncode:
-        raise PlayError(f"{root}: the build failed: {done.stderr.strip()[-500:]}")
+        raise RunError(f"{root}: the build failed: {done.stderr.strip()[-500:]}")
 
 
-def end_with_parent() -> None:
+def kill_with_parent() -> None:
     """In a child before it becomes its program: it is killed when the parent is gone, however that ended."""
     _LIBC.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
@@ -76,7 +76,7 @@
         """`is_unprivileged`: even where this is root's, files that nobody may write are not written."""
 
         def prepare() -> None:
-            end_with_parent()
+            kill_with_parent()
             if is_unprivileged:
                 _LIBC.prctl(_PR_CAPBSET_DROP, _CAP_DAC_OVERRIDE)
 
@@ -102,7 +102,7 @@
         asyncio.get_running_loop().add_reader(self._said.fileno(), self._hear)
 
     @property
-    def number(self) -> int:
+    def pid(self) -> int:
         """The system's number of it."""
         return self._popen.pid
 
@@ -147,7 +147,7 @@
             resource.prlimit(self._popen.pid, resource.RLIMIT_FSIZE, (most, resource.RLIM_INFINITY))
 
 
-class Sidecar:
+class ReplicaProcess:
     """One copy of the program over the day, with a folder of its own."""
 
     def __init__(
@@ -165,13 +165,13 @@
         self.copy, self.folder = copy, folder
         self.process: Process | None = None
         self.life = 0
-        self.listing: Callable[[], object] = dict  # what it is told of servers at a start
+        self.endpoint_list: Callable[[], object] = dict  # what it is told of servers at a start
         self.config: dict[str, Any] = {}
         self._day, self._command, self._root = day, command, root
         self._clock, self._writer, self._rng = clock, writer, rng
         self._ready_within_s = ready_within_s
         self._held: socket.socket | None = None
-        self._door: tuple[str, int] | None = None  # of operators, at the latest process
+        self._admin_address: tuple[str, int] | None = None  # of operators, at the latest process
         self._ahead_s = 0.0  # its clock before the true one
         self._running: dict[Process, asyncio.Task[None]] = {}  # two at an upgrade; each with its watch
         self._paused = 0
@@ -219,7 +219,7 @@
         )
 
     async def start(self) -> Process:
-        """Start a process; raise PlayError where it does not get ready."""
+        """Start a process; raise RunError where it does not get ready."""
         process, life, door = self._launch()
         await self._until_ready(process, door)
         self.tell("ready", life)
@@ -232,7 +232,7 @@
             for leftover in (self.folder / "tmp").iterdir():
                 leftover.unlink()
         path = self.folder / "config.json"
-        config = {**self.config, "seed": f"{self._rng.getrandbits(64):016x}", "known": self.listing()}
+        config = {**self.config, "seed": f"{self._rng.getrandbits(64):016x}", "known": self.endpoint_list()}
         path.write_text(json.dumps(config))
         environment = {"BALANCER_CONFIG": str(path), "TMPDIR": str(self.folder / "tmp")}
         for key in ("name", "listen", "discovery"):
@@ -254,7 +254,7 @@
             descriptors,
             is_unprivileged=is_unprivileged,
         )
-        self.process, self._door = process, door
+        self.process, self._admin_address = process, door
         self.tell("started", life)
         self._running[process] = asyncio.create_task(self._watch(process, life))
         return process, life, door
@@ -263,9 +263,9 @@
         if not self._ahead_s:
             return self._command
         try:
-            return program.run_through(self._command, "testbed.emulator.shifted")
+            return run_command.run_with_wrapper(self._command, "testbed.emulator.shifted_clock")
         except ValueError as fault:
-            raise PlayError(f"a clock that differs needs it: {fault}") from None
+            raise RunError(f"a clock that differs needs it: {fault}") from None
 
     async def _until_ready(self, process: Process, door: tuple[str, int] | None) -> None:
         address, path = (self.listen, "/_health") if door is None else (door, "/api/ready")
@@ -273,12 +273,12 @@
             async with asyncio.timeout(self._ready_within_s):
                 while not await _says_yes(address, path):
                     if process.ended.is_set():
-                        raise PlayError(
+                        raise RunError(
                             f"copy {self.copy.number} ended with code {process.code}: {self.last()}"
                         )
                     await asyncio.sleep(_LOOK_S)
         except TimeoutError:
-            raise PlayError(
+            raise RunError(
                 f"copy {self.copy.number} was not ready within {self._ready_within_s:g} s: {self.last()}"
             ) from None
 
@@ -299,10 +299,10 @@
 
     async def figures(self) -> None:
         """Ask it for its figures, where it has a door for operators."""
-        process, life, door = self.process, self.life, self._door
+        process, life, door = self.process, self.life, self._admin_address
         if door is None or process is None or process.ended.is_set() or self._paused:
             return
-        told = await _asked(door, "/api/telemetry")
+        told = await fetch(door, "/api/telemetry")
         if told is not None:
             given = json.loads(told)
             self._writer.write(
@@ -426,7 +426,7 @@
         return int(own.getsockname()[1])
 
 
-async def _asked(address: tuple[str, int], path: str) -> bytes | None:
+async def fetch(address: tuple[str, int], path: str) -> bytes | None:
     """The body of a 200 answer; None where there is no such answer."""
     try:
         async with asyncio.timeout(1.0):
@@ -442,4 +442,4 @@
 
 
 async def _says_yes(address: tuple[str, int], path: str) -> bool:
-    return await _asked(address, path) is not None
+    return await fetch(address, path) is not None
--- a/testbed/emulator/program.py
+++ b/testbed/emulator/run_command.py
@@ -7,7 +7,7 @@
 _PROGRAM = re.compile(r"-m (sidecar|micadeck)\b")  # the second one in commits of the earlier layout
 
 
-def run_through(command: str, wrapper: str) -> str:
+def run_with_wrapper(command: str, wrapper: str) -> str:
     """Have a module of the test bed run the program; raise ValueError where the command names none."""
     if not _PROGRAM.search(command):
         raise ValueError(f"no `-m sidecar` in `run`: {command}")
--- a/testbed/emulator/shifted.py
+++ b/testbed/emulator/shifted_clock.py
@@ -1,4 +1,4 @@
-"""Runs a program whose clock differs: `python -m testbed.emulator.shifted MODULE`.
+"""Runs a program whose clock differs: `python -m testbed.emulator.shifted_clock MODULE`.
 
 What `time` tells of the time of day is moved by `$PLUMTRESTLE_CLOCK_AHEAD` seconds; monotonic clocks stay.
 """
--- a/testbed/experiment/cell.py
+++ b/testbed/experiment/cell.py
@@ -20,8 +20,7 @@
 from testbed import events as log
 from testbed.checker import check_invariants, compute_account, compute_time_series
 from testbed.checker.history import build_history
-from testbed.emulator.play import Ground
-from testbed.emulator.play import play as play_real
+from testbed.emulator.play import RunOptions, run_scenario
 from testbed.experiment.variants import PARTS
 from testbed.report import tables
 from testbed.scenario import ScenarioRun, draw_run
@@ -64,8 +63,8 @@
     day = drawn(cell)
     if cell.engine == "emulator":
         with tempfile.TemporaryDirectory(prefix="testbed-") as folder:
-            ground = Ground(Path(folder) / "day", Path(cell.root), variant=cell.variant)
-            return log.load(asyncio.run(play_real(day, ground)))
+            ground = RunOptions(Path(folder) / "day", Path(cell.root), variant=cell.variant)
+            return log.load(asyncio.run(run_scenario(day, ground)))
     events: list[log.Event] = []
     play_model(day, cell.policy, events.append, cell.variant)
     return events
--- a/testbed/experiment/grid.py
+++ b/testbed/experiment/grid.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from testbed.emulator.copies import PlayError, built
+from testbed.emulator.replica_process import RunError, build_tree
 from testbed.experiment.cell import Cell
 from testbed.experiment.store import Key, Store
 from testbed.experiment.variants import Variant, checked_out, digest, has_earlier_layout
@@ -39,7 +39,7 @@
     def __post_init__(self) -> None:
         for each in self.variants:
             if self.engine == "emulator" and not each.is_real:
-                raise PlayError(f"{each.name}: no real copies of it: use the model")
+                raise RunError(f"{each.name}: no real copies of it: use the model")
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
     """The tree of a variant, where its modules are found, and one name for its sources."""
     tree = grid.root if variant.commit is None else checked_out(grid.root, variant.commit)
     if grid.engine == "emulator":
-        built(tree)  # real copies are started there as its own deploy file says
+        build_tree(tree)  # real copies are started there as its own deploy file says
     if variant.commit is None:
         return tree, (str(HERE),), digest(HERE)
     # Its module with this ground: a folder that holds that package alone comes first.
--- a/testbed/experiment/variants.py
+++ b/testbed/experiment/variants.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from testbed.emulator.copies import PlayError
+from testbed.emulator.replica_process import RunError
 from testbed.simulation.earlier_module import PACKAGE
 from testbed.simulation.policies import POLICIES
 
@@ -66,7 +66,7 @@
 
 
 def variant(word: str) -> Variant:
-    """Read a variant; raise PlayError if there is none like it."""
+    """Read a variant; raise RunError if there is none like it."""
     kind, _, rest = word.partition(":")
     if word in POLICIES:
         return Variant(word, policy=word)
@@ -77,7 +77,7 @@
         return Variant(word, changed=(key, value))
     if kind == "commit" and rest:
         return Variant(word, commit=rest)
-    raise PlayError(f"{word}: no such variant: give {HELP}".replace("`", ""))
+    raise RunError(f"{word}: no such variant: give {HELP}".replace("`", ""))
 
 
 def _git(root: Path, *words: str) -> subprocess.CompletedProcess[str]:
@@ -85,17 +85,17 @@
 
 
 def checked_out(root: Path, commit: str) -> Path:
-    """A worktree of an earlier commit below build/worktrees; raise PlayError if git has none."""
+    """A worktree of an earlier commit below build/worktrees; raise RunError if git has none."""
     named = _git(root, "rev-parse", "--verify", f"{commit}^{{commit}}")
     if named.returncode:
-        raise PlayError(f"commit:{commit}: git knows no such commit")
+        raise RunError(f"commit:{commit}: git knows no such commit")
     name = named.stdout.strip()
     folder = root / "build" / "worktrees" / name[:12]
     if not folder.exists():
         folder.parent.mkdir(parents=True, exist_ok=True)
         made = _git(root, "worktree", "add", "--detach", str(folder), name)
         if made.returncode:
-            raise PlayError(f"commit:{commit}: {made.stderr.strip()}")
+            raise RunError(f"commit:{commit}: {made.stderr.strip()}")
     return folder
 
 
--- a/testbed/load/client.py
+++ b/testbed/load/client.py
@@ -12,7 +12,7 @@
 
 from testbed import events as log
 from testbed.clock import DayClock
-from testbed.load.habits import MOST_RETRIES, Habits
+from testbed.load.client_behavior import MAX_REQUESTS_PER_ARRIVAL, ClientBehavior
 from testbed.scenario import Arrival, ScenarioRun
 
 
@@ -31,7 +31,7 @@
     @property
     def number(self) -> int:
         """The request number: unique for each arrival and retry."""
-        return self.arrival.number * MOST_RETRIES + self.place
+        return self.arrival.number * MAX_REQUESTS_PER_ARRIVAL + self.place
 
 
 class Application:
@@ -50,7 +50,7 @@
         """An answer is waited for until `grace_us` after patience is up, and is then held to be lost."""
         self.day, self.copy, self.clock, self.writer = day, copy, clock, writer
         self._address, self._grace_us = address, grace_us
-        self._habits = Habits(day, rng)
+        self._behavior = ClientBehavior(day, rng)
         self._idle: list[Connection] = []
         self._all: set[Connection] = set()
         self._connecting = 0
@@ -64,7 +64,7 @@
         """A first try is due, or a retry of it."""
         self.owed += 1
         ask = Ask(arrival, place)
-        ask.due = self._habits.due(arrival, self.clock.now())
+        ask.due = self._behavior.timeout_at(arrival, self.clock.now())
         self._go(ask)
 
     def _go(self, ask: Ask) -> None:
@@ -168,7 +168,7 @@
             at_us=self.clock.now(), request=ask.number, status=status, attempt=attempt, timed_out=timed_out
         )
         self.writer.write(event)
-        self._over(ask, after_us, may_retry=self._habits.may_repeat(ask.arrival, status))
+        self._over(ask, after_us, may_retry=self._behavior.may_retry_after(ask.arrival, status))
 
     def broken(self, connection: Connection, ask: Ask | None, *, was_read: bool) -> None:
         """A connection ended, perhaps under a request."""
@@ -196,7 +196,7 @@
         self.owed -= 1
         if not may_retry:
             return
-        wait_us = self._habits.again_after(ask.arrival, ask.place, after_us, self.clock.now())
+        wait_us = self._behavior.retry_delay_us(ask.arrival, ask.place, after_us, self.clock.now())
         if wait_us is not None:
             self.owed += 1
             asyncio.get_running_loop().call_later(wait_us / 1e6, self._again, ask.arrival, ask.place + 1)
--- a/testbed/scale/crew.py
+++ b/testbed/scale/crew.py
@@ -13,7 +13,7 @@
 
 from testbed import events as log
 from testbed.clock import DayClock
-from testbed.emulator.copies import PlayError, end_with_parent
+from testbed.emulator.replica_process import RunError, kill_with_parent
 from testbed.scale.discovery import Discovery
 from testbed.scale.lag import Lag
 from testbed.scale.plan import Plan, configuration, day_of
@@ -44,7 +44,7 @@
                 limit=MOST_LINE,
                 env={**os.environ, "TMPDIR": str(log_file.parent)},
                 start_new_session=True,
-                preexec_fn=end_with_parent,
+                preexec_fn=kill_with_parent,
             )
         return cls(process, number)
 
@@ -60,9 +60,9 @@
                     self.tell(order)
                     line = await self.process.stdout.readline()
             except (TimeoutError, OSError):
-                raise PlayError(f"worker {self.number} does not answer") from None
+                raise RunError(f"worker {self.number} does not answer") from None
         if not line:
-            raise PlayError(f"worker {self.number} ended with code {await self.process.wait()}")
+            raise RunError(f"worker {self.number} ended with code {await self.process.wait()}")
         return msgspec.json.decode(line, type=Reply)
 
     async def close(self) -> None:
@@ -110,7 +110,7 @@
     async def prepare(self) -> None:
         """Bind everybody's address, and tell all of them; nobody lives yet."""
         if "-m sidecar" not in self._command:
-            raise PlayError(f"hollow members need `-m sidecar` in `run`: {self._command}")
+            raise RunError(f"hollow members need `-m sidecar` in `run`: {self._command}")
         worded = self._command.replace("-m sidecar", "-m testbed.scale.worker")
         self.discovery.start()
         self._lagging = asyncio.create_task(self._lag.watch())
--- a/testbed/scale/plan.py
+++ b/testbed/scale/plan.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from testbed.emulator.copies import PlayError
+from testbed.emulator.replica_process import RunError
 from testbed.scenario.draw import draw_run
 from testbed.scenario.read import parse_scenario
 from testbed.scenario.scenario_run import ScenarioRun
@@ -111,30 +111,30 @@
 
 
 def check(plan: Plan) -> None:
-    """Raise PlayError, saying why, where a plan makes no sense or would take too much of the machine."""
+    """Raise RunError, saying why, where a plan makes no sense or would take too much of the machine."""
     if plan.members < 2 or plan.real < 0 or plan.off < 0 or plan.workers < 1:
-        raise PlayError("a tier of two or more, with no negative number of processes, is needed")
+        raise RunError("a tier of two or more, with no negative number of processes, is needed")
     if plan.real > plan.members // 2:
-        raise PlayError(f"{plan.real} real members of {plan.members}: half of them at the most")
+        raise RunError(f"{plan.real} real members of {plan.members}: half of them at the most")
     if Event.RACK in plan.events and plan.members < RACK_FROM:
-        raise PlayError(f"a rack of {RACK} is killed in tiers of {RACK_FROM} or more")
+        raise RunError(f"a rack of {RACK} is killed in tiers of {RACK_FROM} or more")
     if not 0.0 <= plan.loss < 1.0 or min(plan.rest_s, plan.cut_s, plan.down_s, plan.restart_every_s) <= 0.0:
-        raise PlayError("times have to be above 0 s, and a loss from 0 to below 1")
+        raise RunError("times have to be above 0 s, and a loss from 0 to below 1")
     if plan.processes() > MOST_PROCESSES:
-        raise PlayError(f"it would need {plan.processes()} processes; {MOST_PROCESSES} are allowed")
+        raise RunError(f"it would need {plan.processes()} processes; {MOST_PROCESSES} are allowed")
     each = -(-len(plan.hollow) // plan.workers)
     if each > _MOST_A_WORKER:
-        raise PlayError(f"{each} hollow members a worker; {_MOST_A_WORKER} are allowed: give more workers")
+        raise RunError(f"{each} hollow members a worker; {_MOST_A_WORKER} are allowed: give more workers")
     machine_mb = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 2**20
     if plan.memory_mb() > MOST_MEMORY_PART * machine_mb:
-        raise PlayError(
+        raise RunError(
             f"it would need {plan.memory_mb():.0f} MB;"
             f" {MOST_MEMORY_PART:g} of this machine's {machine_mb:.0f} MB are allowed"
         )
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = max(_DESCRIPTORS * each, 2 * plan.members) + _SPARE_DESCRIPTORS
     if soft != resource.RLIM_INFINITY and soft < needed:
-        raise PlayError(f"a process would need {needed} descriptors, and may have {soft}")
+        raise RunError(f"a process would need {needed} descriptors, and may have {soft}")
 
 
 def fitted(members: int) -> tuple[Event, ...]:
--- a/testbed/scale/play.py
+++ b/testbed/scale/play.py
@@ -23,7 +23,7 @@
 async def play(
     plan: Plan, root: Path, command: str, tell: Callable[[str], None], folder: Path | None = None
 ) -> Figures:
-    """Play it; raise PlayError if it may not be played here.  `folder` keeps what processes write."""
+    """Play it; raise RunError if it may not be played here.  `folder` keeps what processes write."""
     check(plan)
     figures = Figures(plan)
     with contextlib.ExitStack() as stack:
--- a/testbed/scale/real.py
+++ b/testbed/scale/real.py
@@ -11,7 +11,7 @@
 
 from testbed import events as log
 from testbed.clock import DayClock
-from testbed.emulator.copies import Sidecar, _asked
+from testbed.emulator.replica_process import ReplicaProcess, fetch
 from testbed.scenario.scenario_run import ScenarioRun
 
 _GONE = "dl"  # letters of a view
@@ -25,7 +25,7 @@
     memory_mb: float
 
 
-class Real(Sidecar):
+class Real(ReplicaProcess):
     """One real member, or a process beside the tier."""
 
     def __init__(
@@ -41,7 +41,7 @@
         rng = random.Random(f"real {day.seed} {number}")
         super().__init__(day, day.replicas[number], command, root, folder, clock, writer, rng, 60.0)
         self.number = number
-        self.listing = lambda: None  # the list is discovery's to tell
+        self.endpoint_list = lambda: None  # the list is discovery's to tell
 
     @property
     def is_alive(self) -> bool:
@@ -55,9 +55,9 @@
 
     async def told(self) -> dict[str, Any]:
         """Its figures as operators see them; empty where it does not say."""
-        if self._door is None or not self.is_alive:
+        if self._admin_address is None or not self.is_alive:
             return {}
-        told = await _asked(self._door, "/api/telemetry")
+        told = await fetch(self._admin_address, "/api/telemetry")
         given: dict[str, Any] = {} if told is None else json.loads(told)
         return given
 
@@ -73,7 +73,7 @@
         """Processor time, by the scheduler's nanoseconds, and resident memory; None where it has ended."""
         if self.process is None or not self.is_alive:
             return None
-        own = Path("/proc") / str(self.process.number)
+        own = Path("/proc") / str(self.process.pid)
         try:
             spent = sum(int((task / "schedstat").read_text().split()[0]) for task in (own / "task").iterdir())
             pages = int((own / "statm").read_text().split()[1])
--- a/testbed/simulation/clients.py
+++ b/testbed/simulation/clients.py
@@ -9,7 +9,7 @@
 
 from balancer.events import RequestArrived
 from testbed import events as log
-from testbed.load.habits import MOST_RETRIES, Habits
+from testbed.load.client_behavior import MAX_REQUESTS_PER_ARRIVAL, ClientBehavior
 from testbed.scenario.arrivals import Arrival
 from testbed.scenario.scenario_run import ScenarioRun
 from testbed.simulation.queue import Queue
@@ -32,14 +32,14 @@
         grace_us: int,
     ) -> None:
         self._day, self._copy, self._queue, self._sink = day, copy, queue, sink
-        self._habits = Habits(day, rng)
+        self._behavior = ClientBehavior(day, rng)
         self._take, self._grace_us = take, grace_us
         self._out: dict[int, Arrival] = {}  # tries that wait for an answer
         self._waiting: deque[tuple[Arrival, int, int]] = deque()  # and for a connection: due, place
 
     def begin(self, arrival: Arrival, place: int = 0) -> None:
         """A first try is due, or a retry."""
-        due = self._habits.due(arrival, self._queue.now)
+        due = self._behavior.timeout_at(arrival, self._queue.now)
         if len(self._out) >= self._day.clients.max_connections:
             self._waiting.append((arrival, due, place))
         else:
@@ -47,7 +47,7 @@
 
     def _ask(self, arrival: Arrival, due: int, place: int) -> None:
         kind, now = self._day.classes[arrival.service_class], self._queue.now
-        number = arrival.number * MOST_RETRIES + place
+        number = arrival.number * MAX_REQUESTS_PER_ARRIVAL + place
         event = RequestArrived(
             request=number,
             service_class=kind.name,
@@ -102,8 +102,8 @@
                 at_us=self._queue.now, request=request, status=status, attempt=attempt, timed_out=timed_out
             )
         )
-        if self._habits.may_repeat(arrival, status):
-            self._retry(arrival, request % MOST_RETRIES, after_us)
+        if self._behavior.may_retry_after(arrival, status):
+            self._retry(arrival, request % MAX_REQUESTS_PER_ARRIVAL, after_us)
         self._next()
 
     def lost(self, request: int) -> None:
@@ -119,6 +119,6 @@
             self._ask(*self._waiting.popleft())
 
     def _retry(self, arrival: Arrival, place: int, after_us: int) -> None:
-        wait_us = self._habits.again_after(arrival, place, after_us, self._queue.now)
+        wait_us = self._behavior.retry_delay_us(arrival, place, after_us, self._queue.now)
         if wait_us is not None:
             self._queue.after(wait_us, self.begin, arrival, place + 1)
--- a/testbed/simulation/play.py
+++ b/testbed/simulation/play.py
@@ -12,7 +12,7 @@
 from testbed import events as log
 from testbed.catalog import server_state_changes
 from testbed.links import NEVER, Link, Links
-from testbed.load.habits import MOST_RETRIES
+from testbed.load.client_behavior import MAX_REQUESTS_PER_ARRIVAL
 from testbed.scenario.arrivals import Arrival, draw_arrivals
 from testbed.scenario.scenario_run import Fault, ScenarioRun
 from testbed.scenario.settings import replica_settings, sigkill_delay_us
@@ -120,7 +120,7 @@
     def _take(self, number: int, event: RequestArrived, work: int) -> bool:
         if not self._accepts or self._process is None:
             return False
-        self.client.taken(number, number // MOST_RETRIES, self.queue.now + event.remaining_us)
+        self.client.taken(number, number // MAX_REQUESTS_PER_ARRIVAL, self.queue.now + event.remaining_us)
         self._process.take(number, event, work)
         return True
 
--- a/tests/test_cluster_membership_processes.py
+++ b/tests/test_cluster_membership_processes.py
@@ -12,14 +12,14 @@
 from testbed.checker import check_invariants
 from testbed.checker.history import History, build_history
 from testbed.checker.membership import Agreement, agreement, membership_views
-from testbed.emulator.play import play as play_day
+from testbed.emulator.play import run_scenario
 from testbed.scenario import ScenarioRun, draw_run, read_scenario
 
 QUICK = "\n[sidecars.membership]\nleast_period_ms = 200\nsuspicion_periods = 1.0\n"
 
 
 def played(day: ScenarioRun, folder: Path) -> History:
-    events = log.load(asyncio.run(play_day(day, ground(folder))))
+    events = log.load(asyncio.run(run_scenario(day, ground(folder))))
     verdict = check_invariants(events, slack_us=GENEROUS_US)
     assert verdict.violations == () and verdict.is_complete
     return build_history(events)
--- a/tests/test_configuration_rollout.py
+++ b/tests/test_configuration_rollout.py
@@ -39,9 +39,8 @@
 from sidecar.sidecar import Sidecar
 from testbed import events as log
 from testbed.clock import DayClock
-from testbed.emulator.copies import Sidecar as ReplicaProcess
-from testbed.emulator.copies import _asked
 from testbed.emulator.datagrams import Relay
+from testbed.emulator.replica_process import ReplicaProcess, fetch
 from testbed.links import Links
 
 SHORT_ROUNDS = {
@@ -68,9 +67,9 @@
 
     async def metrics(self, number: int) -> dict[str, Any]:
         """Return the metrics of a replica's rollout; none if it does not answer or rollout is off."""
-        address = self.replicas[number]._door
+        address = self.replicas[number]._admin_address
         assert address is not None
-        response = await _asked(address, "/api/telemetry")
+        response = await fetch(address, "/api/telemetry")
         return {} if response is None else json.loads(response).get("configuration", {})
 
     async def until(self, **expected: object) -> None:
@@ -113,9 +112,9 @@
         ]
         await relay.start("127.15.0.1", [replica.peer_listen for replica in replicas])
         for replica in replicas:
-            replica.configure(f"{HOST}:9", relay.peers, relay.everyone)
+            replica.configure(f"{HOST}:9", relay.peers, relay.broadcast_address)
             replica.config |= {**SHORT_ROUNDS, "version": 1}
-            replica.listing = lambda: VALID_CONFIGURATION["known"]
+            replica.endpoint_list = lambda: VALID_CONFIGURATION["known"]
         clock.begin(0)
         try:
             await asyncio.gather(*(replica.start() for replica in replicas))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -20,9 +20,8 @@
 from testbed import events as log
 from testbed.checker import check_invariants
 from testbed.clock import DayClock
-from testbed.emulator.copies import PlayError, Sidecar
-from testbed.emulator.play import Ground
-from testbed.emulator.play import play as play_day
+from testbed.emulator.play import RunOptions, run_scenario
+from testbed.emulator.replica_process import ReplicaProcess, RunError
 from testbed.emulator.switch import Gate, Handler, Passage
 from testbed.links import Links
 from testbed.scenario import ScenarioRun, draw_arrivals, draw_run, read_scenario
@@ -33,8 +32,8 @@
 S = 1_000_000
 
 
-def ground(folder: Path, command: str = PROGRAM, **how: Any) -> Ground:
-    return Ground(folder=folder, root=ROOT, command=command, grace_us=GENEROUS_US, **how)
+def ground(folder: Path, command: str = PROGRAM, **how: Any) -> RunOptions:
+    return RunOptions(folder=folder, root=ROOT, command=command, grace_us=GENEROUS_US, **how)
 
 
 def running_below(folder: Path) -> list[int]:
@@ -51,7 +50,7 @@
 
 
 def played(day: ScenarioRun, folder: Path, **how: Any) -> list[log.Event]:
-    return log.load(asyncio.run(play_day(day, ground(folder, **how))))
+    return log.load(asyncio.run(run_scenario(day, ground(folder, **how))))
 
 
 def test_three_copies_one_cut_off_and_one_killed_in_the_middle(tmp_path: Path) -> None:
@@ -100,7 +99,7 @@
     (tmp_path / "liar.py").write_text(LIAR)
     day = make_run(base=read_small())
     events = log.load(
-        asyncio.run(play_day(day, ground(tmp_path / "day", f"exec {sys.executable} {tmp_path}/liar.py")))
+        asyncio.run(run_scenario(day, ground(tmp_path / "day", f"exec {sys.executable} {tmp_path}/liar.py")))
     )
     found = check_invariants(events, slack_us=GENEROUS_US).violations
     assert found and {each.invariant for each in found} == {"foreign"}
@@ -132,15 +131,15 @@
 def test_a_copy_that_does_not_get_ready_is_told_and_nothing_stays(
     command: str, told: str, tmp_path: Path
 ) -> None:
-    with pytest.raises(PlayError, match=told):
-        asyncio.run(play_day(make_run(base=read_small()), ground(tmp_path, command, ready_within_s=1.0)))
+    with pytest.raises(RunError, match=told):
+        asyncio.run(run_scenario(make_run(base=read_small()), ground(tmp_path, command, ready_within_s=1.0)))
     assert running_below(tmp_path) == []
 
 
 def test_too_large_a_day_is_refused_before_anything_starts(tmp_path: Path) -> None:
     day = make_run(base=read_small().replace("count = 2", "count = 200"))
-    with pytest.raises(PlayError, match="use the model"):
-        asyncio.run(play_day(day, ground(tmp_path / "day")))
+    with pytest.raises(RunError, match="use the model"):
+        asyncio.run(run_scenario(day, ground(tmp_path / "day")))
     assert not (tmp_path / "day").exists()
 
 
@@ -149,9 +148,9 @@
     script = (
         "import asyncio, sys; sys.path.insert(0, 'tests')\n"
         "from pathlib import Path\n"
-        "from test_emulator import make_run, ground, play_day, read_small\n"
+        "from test_emulator import make_run, ground, run_scenario, read_small\n"
         "day = make_run(base=read_small().replace('seconds = 1', 'seconds = 300'))\n"
-        f"asyncio.run(play_day(day, ground(Path({str(tmp_path)!r}))))\n"
+        f"asyncio.run(run_scenario(day, ground(Path({str(tmp_path)!r}))))\n"
     )
     player = subprocess.Popen([sys.executable, "-c", script], cwd=ROOT, stderr=subprocess.DEVNULL)
     part = tmp_path / "part-load-0.jsonl"
@@ -356,8 +355,8 @@
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda which: (128, 200))
-    with pytest.raises(PlayError, match="descriptors, and this user may have 200"):
-        asyncio.run(play_day(make_run(base=read_small()), ground(tmp_path / "day")))
+    with pytest.raises(RunError, match="descriptors, and this user may have 200"):
+        asyncio.run(run_scenario(make_run(base=read_small()), ground(tmp_path / "day")))
 
 
 def test_both_processes_of_an_upgrade_are_ended_at_the_close(tmp_path: Path) -> None:
@@ -365,10 +364,12 @@
         with log.EventLogWriter(tmp_path / "part.jsonl") as writer:
             day, clock = make_run(base=read_small()), DayClock()
             rng, folder = random.Random(1), tmp_path / "copy"
-            copy = Sidecar(day, day.replicas[0], "exec sleep 600", ROOT, folder, clock, writer, rng, 1.0)
+            copy = ReplicaProcess(
+                day, day.replicas[0], "exec sleep 600", ROOT, folder, clock, writer, rng, 1.0
+            )
             copy.configure("127.0.0.1:9", [], "")
             for life in (1, 2):
-                with pytest.raises(PlayError, match="not ready"):
+                with pytest.raises(RunError, match="not ready"):
                     await copy.start()
                 assert copy.life == life
             assert len(running_below(tmp_path)) == 2
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -13,8 +13,8 @@
 from test_cli import ran
 from test_emulator import read_small
 
-from testbed.emulator.copies import PlayError
-from testbed.emulator.program import run_through
+from testbed.emulator.replica_process import RunError
+from testbed.emulator.run_command import run_with_wrapper
 from testbed.experiment.cell import Cell, drawn
 from testbed.experiment.compare import compared, interval, knee
 from testbed.experiment.grid import Grid, play
@@ -113,9 +113,9 @@
     assert variant("off:window").off == "window" and variant("commit:HEAD").commit == "HEAD"
     assert variant("set:bounds.mayCancel=false").changed == ("bounds.mayCancel", "false")
     for wrong in ("luck", "off:luck", "set:bounds", "commit:"):
-        with pytest.raises(PlayError, match="no such variant: give module"):
+        with pytest.raises(RunError, match="no such variant: give module"):
             variant(wrong)
-    with pytest.raises(PlayError, match="use the model"):
+    with pytest.raises(RunError, match="use the model"):
         Grid((("small", ""),), (1,), (RANDOM,), engine="emulator")
 
 
@@ -184,7 +184,7 @@
     store.close()
     missing = Grid(grid.worlds, (1,), (variant("commit:nowhere"),), root=root)
     unused = Store(tmp_path / "s.sqlite")
-    with pytest.raises(PlayError, match="git knows no such commit"):
+    with pytest.raises(RunError, match="git knows no such commit"):
         asyncio.run(play(missing, unused, 1, lambda done, of: None))
 
 
@@ -276,9 +276,9 @@
 @pytest.mark.parametrize("package", ["sidecar", "micadeck"])
 def test_a_program_of_either_layout_is_run_through_a_wrapper(package: str) -> None:
     command = f"exec env PYTHONPATH=build/native:. .venv/bin/python -P -m {package}"
-    assert run_through(command, "wrap").endswith(f"-P -m wrap {package}")
+    assert run_with_wrapper(command, "wrap").endswith(f"-P -m wrap {package}")
 
 
 def test_a_command_that_names_no_program_is_refused() -> None:
     with pytest.raises(ValueError, match=r"no `-m sidecar` in `run`: \./other"):
-        run_through("./other", "wrap")
+        run_with_wrapper("./other", "wrap")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -20,7 +20,7 @@
 from sidecar.cluster.message import MemberState
 from testbed import cli
 from testbed.capacity.samples import load_all
-from testbed.emulator.copies import PlayError
+from testbed.emulator.replica_process import RunError
 from testbed.scale.crew import Snapshot
 from testbed.scale.figures import Figures
 from testbed.scale.hollow import Ground, Watch, drain
@@ -126,7 +126,7 @@
     ],
 )
 def test_a_plan_that_needs_too_much_or_makes_no_sense_is_refused(plan: Plan, why: str) -> None:
-    with pytest.raises(PlayError, match=why):
+    with pytest.raises(RunError, match=why):
         check(plan)
 
 
