--- a/testbed/load/__init__.py
+++ b/testbed/load/__init__.py
@@ -1,1 +1,1 @@
-"""The application beside each copy: open loop, arrivals drawn ahead, latency from the intended start."""
+"""The load generator of the emulator: open loop, arrivals drawn ahead, latency from the scheduled start."""
--- a/testbed/load/worker.py
+++ b/testbed/load/worker.py
@@ -1,7 +1,8 @@
-"""A process of the load: `python -m testbed.load.worker`, told what to do on its standard input.
+"""A worker process of the load generator: `python -m testbed.load.worker`.
 
-First line: a `Plan` as JSON; it answers `ready`.  Second line: when the day begins, by the monotonic clock in
-nanoseconds; it plays and answers `done`.  It ends when its input does.
+It reads commands from standard input.  The first line is a `Plan` as JSON; the answer is `ready`.  The second
+line is the start of the run in nanoseconds of the monotonic clock; the worker sends the requests of its
+replicas and answers `done`.  It exits when its input is closed.
 """
 
 from __future__ import annotations
@@ -15,73 +16,73 @@
 
 from testbed import events as log
 from testbed.clock import DayClock, watch_lateness
-from testbed.load.client import Application
+from testbed.load.client import LoadGenerator
 from testbed.scenario import ScenarioRun, draw_arrivals
 from testbed.streams import lines_of_input, seeded
 
 
-class Plan(msgspec.Struct, frozen=True):
-    """What one process of the load does."""
+class Plan(msgspec.Struct, frozen=True, rename={"run": "day", "part_path": "part"}):
+    """The task of one worker.  Field names in JSON are those given in `rename`."""
 
-    day: ScenarioRun
+    run: ScenarioRun
     worker: int
     workers: int
-    addresses: list[tuple[str, int]]  # of each copy
-    part: str  # the file for its part of the log
-    grace_us: int
+    addresses: list[tuple[str, int]]  # listener of each replica's sidecar
+    part_path: str  # event log file of this worker
+    grace_us: int  # how long after its client timeout a response is still awaited
 
 
-async def play(plan: Plan, began_ns: int) -> None:
-    """All requests of this worker's copies, from the day's beginning until each is answered or given up."""
-    clock = DayClock(began_ns)
-    own = [number for number in range(len(plan.addresses)) if number % plan.workers == plan.worker]
-    with log.EventLogWriter(Path(plan.part)) as writer:
-        applications = {
-            copy: Application(
-                plan.day,
-                copy,
-                plan.addresses[copy],
+async def generate_load(plan: Plan, start_ns: int) -> None:
+    """Send all requests of this worker's replicas; return once each has an outcome."""
+    clock = DayClock(start_ns)
+    replicas = [number for number in range(len(plan.addresses)) if number % plan.workers == plan.worker]
+    with log.EventLogWriter(Path(plan.part_path)) as writer:
+        generators = {
+            replica: LoadGenerator(
+                plan.run,
+                replica,
+                plan.addresses[replica],
                 clock,
                 writer,
                 plan.grace_us,
-                seeded(plan.day.seed, f"load.{copy}"),
+                seeded(plan.run.seed, f"load.{replica}"),
             )
-            for copy in own
+            for replica in replicas
         }
-        watch = asyncio.create_task(watch_lateness(clock, f"load {plan.worker}", writer))
+        lateness_watch = asyncio.create_task(watch_lateness(clock, f"load {plan.worker}", writer))
         try:
-            for arrival in draw_arrivals(plan.day):
-                application = applications.get(arrival.replica)
-                if application is None:
+            for arrival in draw_arrivals(plan.run):
+                generator = generators.get(arrival.replica)
+                if generator is None:
                     continue
                 if arrival.at_us > clock.now():
                     await asyncio.sleep(clock.wait_s(arrival.at_us))
-                application.begin(arrival)
-            while any(each.owed for each in applications.values()):
+                generator.start_request(arrival)
+            while any(generator.unfinished for generator in generators.values()):
                 await asyncio.sleep(0.01)
         finally:
-            watch.cancel()
-            for application in applications.values():
-                application.close()
+            lateness_watch.cancel()
+            for generator in generators.values():
+                generator.close()
 
 
 async def main() -> None:
     """Generate the load that standard input describes, until standard input is closed."""
-    told = await lines_of_input()
-    plan = msgspec.json.decode(await told.readline(), type=Plan)
+    commands = await lines_of_input()
+    plan = msgspec.json.decode(await commands.readline(), type=Plan)
     print("ready", flush=True)
-    began = await told.readline()
-    if not began:
+    start_line = await commands.readline()
+    if not start_line:
         return
-    playing = asyncio.create_task(play(plan, int(began)))
-    gone = asyncio.create_task(told.read())
-    await asyncio.wait([playing, gone], return_when=asyncio.FIRST_COMPLETED)
-    if playing.done():
-        await playing
+    load = asyncio.create_task(generate_load(plan, int(start_line)))
+    input_closed = asyncio.create_task(commands.read())
+    await asyncio.wait([load, input_closed], return_when=asyncio.FIRST_COMPLETED)
+    if load.done():
+        await load
         print("done", flush=True)
-        await gone
+        await input_closed
     else:
-        playing.cancel()
+        load.cancel()
 
 
 if __name__ == "__main__":
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,28 +1,31 @@
-"""The load's connections: what a close under a request means."""
+"""Connections of the load generator: how a close while a request is in flight is handled."""
 
 from __future__ import annotations
 
 import asyncio
+import json
 import random
 import socket
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
+import msgspec
 import pytest
 from loopback import run_async, wait_until, within_timeout
 from test_testbed_models import make_run
 
 from testbed import events as log
 from testbed.clock import DayClock
-from testbed.load.client import Application, Ask, Connection
+from testbed.load.client import ClientRequest, Connection, LoadGenerator
+from testbed.load.worker import Plan
 from testbed.scenario import Arrival
 
 ARRIVAL = Arrival(0, 0, 0, 0, -1, 7, 1_000)
-Act = Callable[[Application, Connection, socket.socket], Awaitable[None]]
+Act = Callable[[LoadGenerator, Connection, socket.socket], Awaitable[None]]
 
 
-def with_a_connection(folder: Path, act: Act) -> list[log.Event]:
-    """Give a connection of the load, and the socket at its other end; then what was written to the log."""
+def run_with_connection(folder: Path, act: Act) -> list[log.Event]:
+    """Run a test on a connection of the load generator and the server's socket; return the logged events."""
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
@@ -34,70 +37,81 @@
             clock = DayClock()
             clock.begin(0)
             address = listener.getsockname()
-            application = Application(make_run(), 0, address, clock, writer, 1_000_000, random.Random(1))
-            own = socket.socket()
-            own.setblocking(False)
-            await loop.sock_connect(own, address)
-            other, _ = await within_timeout(loop.sock_accept(listener))
-            connection = Connection(application, own)
-            await loop.create_connection(lambda: connection, sock=own)
+            generator = LoadGenerator(make_run(), 0, address, clock, writer, 1_000_000, random.Random(1))
+            client_socket = socket.socket()
+            client_socket.setblocking(False)
+            await loop.sock_connect(client_socket, address)
+            server_socket, _ = await within_timeout(loop.sock_accept(listener))
+            connection = Connection(generator, client_socket)
+            await loop.create_connection(lambda: connection, sock=client_socket)
             try:
-                await act(application, connection, other)
+                await act(generator, connection, server_socket)
             finally:
-                other.close()
-                application.close()
+                server_socket.close()
+                generator.close()
                 connection.close()
 
     run_async(work)
     return log.load(folder / "part.jsonl")
 
 
-def an_ask(application: Application) -> Ask:
-    ask = Ask(ARRIVAL, 0)
-    ask.due = application.clock.now() + 60_000_000
-    application.owed += 1
-    return ask
+def make_request(generator: LoadGenerator) -> ClientRequest:
+    request = ClientRequest(ARRIVAL, 0)
+    request.timeout_at_us = generator.clock.now() + 60_000_000
+    generator.unfinished += 1
+    return request
 
 
-def test_a_close_that_crosses_a_request_has_it_sent_once_more(tmp_path: Path) -> None:
-    async def act(application: Application, connection: Connection, other: socket.socket) -> None:
-        ask = an_ask(application)
-        other.close()
-        connection.ask(ask)  # the end is here already, and not seen yet
-        await wait_until(lambda: ask.sent_again)
+def test_request_that_crosses_a_close_is_resent_once(tmp_path: Path) -> None:
+    async def act(generator: LoadGenerator, connection: Connection, server_socket: socket.socket) -> None:
+        request = make_request(generator)
+        server_socket.close()
+        connection.send(request)  # the kernel has the end of stream, but the event loop has not seen it yet
+        await wait_until(lambda: request.was_resent)
 
-    written = with_a_connection(tmp_path, act)
-    assert not any(isinstance(each, log.ResponseReceived) for each in written)
+    events = run_with_connection(tmp_path, act)
+    assert not any(isinstance(event, log.ResponseReceived) for event in events)
 
 
 @pytest.mark.parametrize(
-    "begun", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"], ids=["silent", "half"]
+    "response", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"], ids=["silent", "half"]
 )
-def test_an_end_after_the_request_was_read_is_no_answer(begun: bytes, tmp_path: Path) -> None:
-    async def act(application: Application, connection: Connection, other: socket.socket) -> None:
-        ask = an_ask(application)
-        connection.ask(ask)
-        other.setblocking(False)
+def test_close_after_the_request_was_read_fails_the_request(response: bytes, tmp_path: Path) -> None:
+    async def act(generator: LoadGenerator, connection: Connection, server_socket: socket.socket) -> None:
+        request = make_request(generator)
+        connection.send(request)
+        server_socket.setblocking(False)
         loop = asyncio.get_running_loop()
-        got = b""
-        while b"\r\n\r\n" not in got:
-            got += await within_timeout(loop.sock_recv(other, 4_096))
-        await loop.sock_sendall(other, begun)
-        other.close()
-        await wait_until(lambda: ask.is_over)
-        assert not ask.sent_again
-
-    answers = [each for each in with_a_connection(tmp_path, act) if isinstance(each, log.ResponseReceived)]
-    assert [(each.status, each.timed_out) for each in answers] == [(0, False)]
-
-
-def test_an_answer_of_another_request_names_no_attempt(tmp_path: Path) -> None:
-    async def act(application: Application, connection: Connection, other: socket.socket) -> None:
-        ask = an_ask(application)
-        connection.ask(ask)
-        body = b"%x %x" % (ask.number + 16, 5)
-        other.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        await wait_until(lambda: ask.is_over)
-
-    answers = [each for each in with_a_connection(tmp_path, act) if isinstance(each, log.ResponseReceived)]
-    assert [(each.status, each.attempt) for each in answers] == [(200, -1)]
+        received = b""
+        while b"\r\n\r\n" not in received:
+            received += await within_timeout(loop.sock_recv(server_socket, 4_096))
+        await loop.sock_sendall(server_socket, response)
+        server_socket.close()
+        await wait_until(lambda: request.is_finished)
+        assert not request.was_resent
+
+    responses = [
+        event for event in run_with_connection(tmp_path, act) if isinstance(event, log.ResponseReceived)
+    ]
+    assert [(event.status, event.timed_out) for event in responses] == [(0, False)]
+
+
+def test_response_of_another_request_has_no_attempt_number(tmp_path: Path) -> None:
+    async def act(generator: LoadGenerator, connection: Connection, server_socket: socket.socket) -> None:
+        request = make_request(generator)
+        connection.send(request)
+        body = b"%x %x" % (request.number + 16, 5)
+        server_socket.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+        await wait_until(lambda: request.is_finished)
+
+    responses = [
+        event for event in run_with_connection(tmp_path, act) if isinstance(event, log.ResponseReceived)
+    ]
+    assert [(event.status, event.attempt) for event in responses] == [(200, -1)]
+
+
+def test_worker_plan_keeps_its_field_names_in_json() -> None:
+    plan = Plan(make_run(), 0, 1, [("127.0.0.1", 80)], "part-load-0.jsonl", 600_000)
+    encoded = msgspec.json.encode(plan)
+    assert list(json.loads(encoded)) == ["day", "worker", "workers", "addresses", "part", "grace_us"]
+    assert msgspec.json.decode(encoded, type=Plan) == plan
