--- a/testbed/simulation/clients.py
+++ b/testbed/simulation/clients.py
@@ -9,7 +9,7 @@
 
 from balancer.events import RequestArrived
 from testbed import events as log
-from testbed.load.habits import MOST_RETRIES, Habits
+from testbed.load.client_behavior import MAX_REQUESTS_PER_ARRIVAL, ClientBehavior
 from testbed.scenario.arrivals import Arrival
 from testbed.scenario.scenario_run import ScenarioRun
 from testbed.simulation.queue import EventQueue
@@ -22,7 +22,7 @@
 class Clients:
     """The clients of one replica.
 
-    A request is a first attempt of a client or a client retry.  Its number is `MOST_RETRIES` times the number
+    A request is a first attempt of a client or a client retry.  Its number is `MAX_REQUESTS_PER_ARRIVAL` times the number
     of the client request, plus the retry index, which is 0 for the first attempt.
     """
 
@@ -38,7 +38,7 @@
     ) -> None:
         """Clients wait `timeout_slack_us` longer than their timeout for the end of a response."""
         self._run, self._replica, self._queue, self._sink = run, replica, queue, sink
-        self._habits = Habits(run, rng)
+        self._behavior = ClientBehavior(run, rng)
         self._offer_request, self._timeout_slack_us = offer_request, timeout_slack_us
         self._pending: dict[int, Arrival] = {}  # by request: sent and not yet answered
         # Waiting for a free connection: the arrival, the timeout and the retry index.
@@ -46,7 +46,7 @@
 
     def begin(self, arrival: Arrival, retry_index: int = 0) -> None:
         """Send a request, or queue it while all connections are in use."""
-        timeout_at = self._habits.due(arrival, self._queue.now)
+        timeout_at = self._behavior.timeout_at(arrival, self._queue.now)
         if len(self._pending) >= self._run.clients.max_connections:
             self._waiting.append((arrival, timeout_at, retry_index))
         else:
@@ -54,7 +54,7 @@
 
     def _send(self, arrival: Arrival, timeout_at: int, retry_index: int) -> None:
         service_class, now = self._run.classes[arrival.service_class], self._queue.now
-        request = arrival.number * MOST_RETRIES + retry_index
+        request = arrival.number * MAX_REQUESTS_PER_ARRIVAL + retry_index
         event = RequestArrived(
             request=request,
             service_class=service_class.name,
@@ -109,8 +109,8 @@
                 at_us=self._queue.now, request=request, status=status, attempt=attempt, timed_out=timed_out
             )
         )
-        if self._habits.may_repeat(arrival, status):
-            self._retry(arrival, request % MOST_RETRIES, retry_after_us)
+        if self._behavior.may_retry_after(arrival, status):
+            self._retry(arrival, request % MAX_REQUESTS_PER_ARRIVAL, retry_after_us)
         self._send_waiting()
 
     def connection_lost(self, request: int) -> None:
@@ -126,6 +126,6 @@
             self._send(*self._waiting.popleft())
 
     def _retry(self, arrival: Arrival, retry_index: int, retry_after_us: int) -> None:
-        wait_us = self._habits.again_after(arrival, retry_index, retry_after_us, self._queue.now)
+        wait_us = self._behavior.retry_delay_us(arrival, retry_index, retry_after_us, self._queue.now)
         if wait_us is not None:
             self._queue.after(wait_us, self.begin, arrival, retry_index + 1)
--- a/testbed/simulation/play.py
+++ b/testbed/simulation/play.py
@@ -12,7 +12,7 @@
 from testbed import events as log
 from testbed.catalog import server_state_changes
 from testbed.links import NEVER, Link, Links
-from testbed.load.habits import MOST_RETRIES
+from testbed.load.client_behavior import MAX_REQUESTS_PER_ARRIVAL
 from testbed.scenario.arrivals import Arrival, draw_arrivals
 from testbed.scenario.scenario_run import Fault, ScenarioRun
 from testbed.scenario.settings import replica_settings, sigkill_delay_us
@@ -92,7 +92,9 @@
     def _offer_request(self, request: int, event: RequestArrived, work_us: int) -> bool:
         if not self._is_listening or self._process is None:
             return False
-        self.clients.log_sent(request, request // MOST_RETRIES, self.queue.now + event.remaining_us)
+        self.clients.log_sent(
+            request, request // MAX_REQUESTS_PER_ARRIVAL, self.queue.now + event.remaining_us
+        )
         self._process.accept(request, event, work_us)
         return True
 
