--- a/testbed/simulation/clients.py
+++ b/testbed/simulation/clients.py
@@ -22,8 +22,8 @@
 class Clients:
     """The clients of one replica.
 
-    A request is a first attempt of a client or a client retry.  Its number is `MAX_REQUESTS_PER_ARRIVAL` times the number
-    of the client request, plus the retry index, which is 0 for the first attempt.
+    A request is a first attempt of a client or a client retry.  Its number is `MAX_REQUESTS_PER_ARRIVAL`
+    times the number of the client request, plus the retry index, which is 0 for the first attempt.
     """
 
     def __init__(
