--- a/testbed/simulation/__init__.py
+++ b/testbed/simulation/__init__.py
@@ -1,5 +1,4 @@
-"""The simulation: plays a scenario run in virtual time, with real decisions and modelled surroundings.
+"""The simulation: plays a scenario run in virtual time.
 
-The balancer, or another policy, decides as in a real sidecar; servers, network, discovery and clients are
-modelled.
+Replicas run the real balancer, or another policy; servers, network, discovery and clients are modelled.
 """
--- a/testbed/simulation/discovery.py
+++ b/testbed/simulation/discovery.py
@@ -42,12 +42,12 @@
         links: Links,
         sink: Sink,
         rng: random.Random,
-        epoch_us: int,
+        run_start_us: int,
     ) -> None:
-        """`epoch_us` is the balancer's clock at the start of the run."""
+        """`run_start_us` is the balancer's clock at the start of the run."""
         self.catalog = EndpointCatalog(run)
         self._run, self._queue, self._sink, self._rng = run, queue, sink, rng
-        self._epoch_us = epoch_us
+        self._run_start_us = run_start_us
         self._links_to = [links.between(replica.party, DISCOVERY) for replica in run.replicas]
         self._links_from = [links.between(DISCOVERY, replica.party) for replica in run.replicas]
         self._outages = [fault for fault in run.faults if fault.kind == "discovery_down"]
@@ -162,7 +162,7 @@
 
     def _endpoint_entry(self, change: EntryChange) -> EndpointEntry:
         server = self._run.servers[change.server]
-        started_at = None if change.started_at_us is None else self._epoch_us + change.started_at_us
+        started_at = None if change.started_at_us is None else self._run_start_us + change.started_at_us
         return EndpointEntry(
             server=f"s-{server.number}",
             zone=server.zone,
--- a/testbed/simulation/play.py
+++ b/testbed/simulation/play.py
@@ -18,10 +18,10 @@
 from testbed.scenario.settings import replica_settings, sigkill_delay_us
 from testbed.simulation.clients import Clients
 from testbed.simulation.discovery import SimulatedDiscovery
-from testbed.simulation.policies import Policy, TrueStateBestOfFour, policy_named
+from testbed.simulation.policies import Policy, TrueStateBestOfFour, policy_factory
 from testbed.simulation.queue import EventQueue
 from testbed.simulation.servers import SimulatedServer, Sink
-from testbed.simulation.sidecar import EPOCH_US, SidecarProcess
+from testbed.simulation.sidecar import RUN_START_US, SidecarProcess
 from testbed.streams import seeded
 
 START_US = 150_000  # from the start of a process until it is ready, as for a real one on an idle machine
@@ -29,7 +29,7 @@
 _DRAIN_CHECK_US = 10_000
 _TIMEOUT_SLACK_US = 600_000
 _METRICS_INTERVAL_US = 500_000
-_MAX_METRICS_REPLICAS = 32  # as each report goes through the replica's whole endpoint list
+_MAX_METRICS_REPLICAS = 32  # only the first replicas report, as each report reads a whole endpoint list
 
 
 class SimulatedReplica:
@@ -175,7 +175,10 @@
             self._is_listening = False
 
     def _end_when_drained(self, process: SidecarProcess, incarnation: int, sigkill_at: int) -> None:
-        """End a process once it has no pending requests, or by SIGKILL; start the next if it is current."""
+        """End a process once it has no pending requests, or at `sigkill_at`.
+
+        If it is still the replica's current process, start the next.
+        """
         if process.has_ended:
             return
         if process.pending_requests and self.queue.now < sigkill_at:
@@ -229,7 +232,7 @@
             for server in run.servers
         ]
         self.discovery = SimulatedDiscovery(
-            run, self.queue, self.links, sink, seeded(run.seed, "discovery"), EPOCH_US
+            run, self.queue, self.links, sink, seeded(run.seed, "discovery"), RUN_START_US
         )
         self._datagram_draws = seeded(run.seed, "datagrams")
         self._replicas = [SimulatedReplica(self, replica.number) for replica in run.replicas]
@@ -334,10 +337,10 @@
 def play(run: ScenarioRun, policy: str, sink: Sink, variant: str | None = None) -> None:
     """Play a run with a policy, given by name, and pass every event of its log to `sink`."""
     sink(log.RunStarted(at_us=log.BEFORE_RUN_US, run=run, engine="model", variant=variant or policy))
-    Simulation(run, policy_named(policy), sink).play()
+    Simulation(run, policy_factory(policy), sink).play()
 
 
-def play_into(run: ScenarioRun, policy: str, path: Path) -> None:
+def play_to_file(run: ScenarioRun, policy: str, path: Path) -> None:
     """Play a run with a policy and write its event log to a file."""
     with log.EventLogWriter(path) as writer:
         play(run, policy, writer.write)
--- a/testbed/simulation/policies.py
+++ b/testbed/simulation/policies.py
@@ -224,7 +224,7 @@
 EARLIER_MODULE = "earlier-module"  # the balancer of an earlier commit, whose package is on the import path
 
 
-def policy_named(name: str) -> Callable[[Settings, int], Policy]:
+def policy_factory(name: str) -> Callable[[Settings, int], Policy]:
     """Return the factory of a policy, called with settings and a seed.
 
     Raises:
--- a/testbed/simulation/servers.py
+++ b/testbed/simulation/servers.py
@@ -1,4 +1,4 @@
-"""Simulated servers: queueing servers with connections, and the way of their responses to the replicas."""
+"""Simulated servers: queueing servers with connections, whose responses go to replicas over links."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from testbed.scenario.scenario_run import ScenarioRun, Server
 from testbed.simulation.queue import EventQueue
 
-Sink = Callable[[log.Event], None]
+Sink = Callable[[log.Event], None]  # receives each event of the log, in order
 # Called at the replica with the outcome of an attempt: "served", "error", "full", "lost" or "cut off".
 OnOutcome = Callable[[str], None]
 _DOWN_JOB_COUNT = 1 << 30  # more than any running server holds
@@ -31,7 +31,7 @@
     ) -> None:
         self.server = server
         self.is_up = True
-        self.epoch = 0  # counts the ends of the process; connections of an earlier epoch are closed
+        self.incarnation = 0  # of the process; connections to an earlier one are closed
         self.open_connections = 0
         self._queueing_server = QueueingServer(server, run.faults)
         self._queue, self._sink, self._rng = queue, sink, rng
@@ -49,7 +49,7 @@
         now = self._queue.now
         if state in ("down", "gone"):
             self.is_up = False
-            self.epoch += 1
+            self.incarnation += 1
             self.open_connections = 0
             for job in self._queueing_server.restart(now):
                 self._end_attempt(job.attempt, "lost")
@@ -65,15 +65,15 @@
         attempt: int,
         sent_at: int,
         work_us: int,
-        epoch: int,
+        incarnation: int,
         on_outcome: OnOutcome,
     ) -> None:
-        """Handle an attempt, received in full on a connection of the given epoch.
+        """Handle an attempt, received in full on a connection to the given incarnation of the process.
 
-        If the server is down or has restarted since, the attempt is lost and not logged as received.
+        If that process has ended, the attempt is lost and is not logged as received.
         """
         now = self._queue.now
-        if not self.is_up or epoch != self.epoch:
+        if not self.is_up or incarnation != self.incarnation:
             self._respond(replica, on_outcome, "lost")
             return
         self._sink(
--- a/testbed/simulation/sidecar.py
+++ b/testbed/simulation/sidecar.py
@@ -39,7 +39,7 @@
 from testbed.simulation.queue import EventQueue
 from testbed.simulation.servers import SimulatedServer
 
-EPOCH_US = 1_700_000_000_000_000  # the balancer's clock at the start of the run
+RUN_START_US = 1_700_000_000_000_000  # the balancer's clock at the start of the run
 _IDLE_REUSE_FRACTION = 0.9  # of the idle timeout; a connection that is idle for longer is not reused
 _OUTCOMES = {
     "served": Outcome.DELIVERED,
@@ -58,7 +58,7 @@
     server: int
     sent_at: int
     deadline: int
-    epoch: int = -1  # of the server, when the attempt's connection was opened
+    incarnation: int = -1  # of the server, when the attempt's connection was opened
     has_ended: bool = False
     holds_connection: bool = False  # from the writing of the attempt to the end of its response
 
@@ -110,7 +110,7 @@
         """Start with the endpoint list of the given version, as if it was cached."""
         self._context, self._policy, self._queue = context, policy, context.queue
         self._requests: dict[int, _Request] = {}
-        # Idle connections by server: (epoch, idle since), the most recently used one last.
+        # Idle connections by server: (incarnation, idle since), the most recently used one last.
         self._idle: dict[int, list[tuple[int, int]]] = {}
         self._listed: dict[int, EntryChange] = {}
         self._events: deque[Event] = deque()
@@ -144,8 +144,8 @@
         """End the process and close its idle connections; return the requests that it has not answered."""
         self.has_ended = True
         for server, connections in self._idle.items():
-            for epoch, _ in connections:
-                self._close_connection(server, epoch)
+            for incarnation, _ in connections:
+                self._close_connection(server, incarnation)
         return [number for number, request in self._requests.items() if not request.is_answered]
 
     def endpoint_counts(self) -> tuple[int, int] | None:
@@ -192,7 +192,7 @@
                 if isinstance(event, AttemptEnded):
                     request = self._requests.get(event.request)
                     event.is_request_answered = request is None or request.is_answered
-                for action in self._policy.handle(EPOCH_US + self._queue.now, event):
+                for action in self._policy.handle(RUN_START_US + self._queue.now, event):
                     self._execute(action)
                 if isinstance(event, (AttemptEnded, ResponseStarted)):
                     self._forget_if_over(event.request)
@@ -291,7 +291,7 @@
         request = self._requests[action.request]
         server = int(action.server[2:])
         now = self._queue.now
-        deadline = action.deadline - EPOCH_US
+        deadline = action.deadline - RUN_START_US
         number = self._context.next_attempt()
         attempt = _Attempt(action.request, len(request.attempts), number, server, now, deadline)
         request.attempts.append(attempt)
@@ -301,25 +301,28 @@
             self._queue.at(now, self._attempt_failed, attempt, Outcome.NOT_SENT)
             return
         self._queue.at(deadline, self._attempt_timed_out, attempt)
-        epoch = self._take_idle_connection(server)
-        if epoch is not None:
-            self._write(attempt, epoch)
+        incarnation = self._take_idle_connection(server)
+        if incarnation is not None:
+            self._write(attempt, incarnation)
         else:
             self._connect(attempt)
 
     def _take_idle_connection(self, server: int) -> int | None:
-        """Remove the most recently used open connection to a server from the idle ones; return its epoch."""
+        """Take the most recently used idle connection to a server that seems open and is not too old.
+
+        Returns:
+            The server's incarnation when the connection was opened; None if there is no such connection.
+        """
         connections = self._idle.get(server)
         max_idle_us = self._context.settings.limits.idle_timeout_us * _IDLE_REUSE_FRACTION
         while connections:
-            epoch, idle_since = connections.pop()
+            incarnation, idle_since = connections.pop()
             # During a cut, the replica can't notice that the server has restarted.
-            seems_open = epoch == self._context.servers[server].epoch or self._context.link(server).is_cut(
-                self._queue.now
-            )
+            is_current = incarnation == self._context.servers[server].incarnation
+            seems_open = is_current or self._context.link(server).is_cut(self._queue.now)
             if seems_open and self._queue.now - idle_since < max_idle_us:
-                return epoch
-            self._close_connection(server, epoch)
+                return incarnation
+            self._close_connection(server, incarnation)
         return None
 
     def _connect(self, attempt: _Attempt) -> None:
@@ -339,20 +342,20 @@
             return
         server.open_connections += 1
         self._context.log_connection(attempt.server, opened=True)
-        epoch = server.epoch
+        incarnation = server.incarnation
 
         def use_connection() -> None:
             if attempt.has_ended:
-                self._release_connection(attempt.server, epoch)
+                self._release_connection(attempt.server, incarnation)
             else:
-                self._write(attempt, epoch)
+                self._write(attempt, incarnation)
 
         if self.has_ended:
-            self._close_connection(attempt.server, epoch)
+            self._close_connection(attempt.server, incarnation)
         self._when_running(use_connection)
 
-    def _write(self, attempt: _Attempt, epoch: int) -> None:
-        attempt.epoch, attempt.holds_connection = epoch, True
+    def _write(self, attempt: _Attempt, incarnation: int) -> None:
+        attempt.incarnation, attempt.holds_connection = incarnation, True
         at = self._context.link(attempt.server).arrival(self._queue.now)
         if at >= NEVER:
             return
@@ -365,7 +368,7 @@
             attempt.number,
             self._queue.now,
             work_us,
-            epoch,
+            incarnation,
             lambda outcome: self._when_running(lambda: self._response_received(attempt, outcome)),
         )
 
@@ -374,9 +377,9 @@
             return
         outcome = _OUTCOMES[server_outcome]
         if outcome is Outcome.CONNECTION_LOST:
-            self._close_connection(attempt.server, attempt.epoch)
+            self._close_connection(attempt.server, attempt.incarnation)
         else:
-            self._release_connection(attempt.server, attempt.epoch)
+            self._release_connection(attempt.server, attempt.incarnation)
         attempt.holds_connection = False  # so that the end of the attempt doesn't close it
         if outcome is Outcome.DELIVERED:
             self._answer(attempt.request, 200, attempt.number)
@@ -395,7 +398,7 @@
             return
         attempt.has_ended = True
         if attempt.holds_connection:
-            self._close_connection(attempt.server, attempt.epoch)
+            self._close_connection(attempt.server, attempt.incarnation)
         self._requests[attempt.request].pending_attempts -= 1
         elapsed_us = self._queue.now - attempt.sent_at
         server = f"s-{attempt.server}"
@@ -407,21 +410,22 @@
 
     # Connections
 
-    def _release_connection(self, server: int, epoch: int) -> None:
+    def _release_connection(self, server: int, incarnation: int) -> None:
         """Keep a connection as idle, or close it if its server is not listed as active."""
         listed = self._listed.get(server)
         if listed is None or listed.state != "active":
-            self._close_connection(server, epoch)
+            self._close_connection(server, incarnation)
         else:
-            self._idle.setdefault(server, []).append((epoch, self._queue.now))
+            self._idle.setdefault(server, []).append((incarnation, self._queue.now))
 
     def _close_idle_connections(self, server: int) -> None:
-        for epoch, _ in self._idle.pop(server, ()):
-            self._close_connection(server, epoch)
+        for incarnation, _ in self._idle.pop(server, ()):
+            self._close_connection(server, incarnation)
 
-    def _close_connection(self, server: int, epoch: int) -> None:
+    def _close_connection(self, server: int, incarnation: int) -> None:
         simulated_server = self._context.servers[server]
-        if simulated_server.epoch == epoch:  # a restart has already closed connections of earlier epochs
+        # The end of an incarnation has already reset the count of its connections.
+        if simulated_server.incarnation == incarnation:
             simulated_server.open_connections -= 1
         self._context.log_connection(server, opened=False)
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -26,7 +26,7 @@
 from testbed.scenario import ScenarioRun, draw_run, read_scenario, shipped_scenarios
 from testbed.scenario.read import parse_scenario
 from testbed.scenario.settings import replica_settings
-from testbed.simulation.play import play, play_into
+from testbed.simulation.play import play, play_to_file
 from testbed.simulation.policies import POLICIES, TrueStateBestOfFour
 
 
@@ -39,7 +39,7 @@
 def test_same_run_gives_the_same_event_log(tmp_path: Path) -> None:
     run = draw_run(read_scenario("zone-lost"), 3)
     for name in ("one", "other"):
-        play_into(run, "module", tmp_path / name)
+        play_to_file(run, "module", tmp_path / name)
     assert (tmp_path / "one").read_bytes() == (tmp_path / "other").read_bytes()
 
 
@@ -110,11 +110,11 @@
 
 
 @pytest.mark.parametrize(("sample_size", "busy"), [(k, busy) for k in (1, 2, 3) for busy in (5, 25, 40, 47)])
-def test_number_of_redraws_until_an_idle_server_has_its_closed_form(sample_size: int, busy: int) -> None:
+def test_draws_until_an_idle_server_match_their_closed_form(sample_size: int, busy: int) -> None:
     """With nU of n servers busy, a request needs 1 / (1 - C(nU, k) / C(n, k)) draws of k servers on average.
 
-    The formula of the paper on best-of-k selection holds for servers with one slot (c = 1): a draw fails if
-    all of its servers are busy.
+    This is the paper's formula for servers with one slot (c = 1): a draw fails if all of its servers are
+    busy.
     """
     count, requests = 50, 12_000
     settings = settings_from_wire({**replica_settings(checked_run(), 0), "bounds": {"sendCap": 10_000}})
