--- a/testbed/simulation/discovery.py
+++ b/testbed/simulation/discovery.py
@@ -156,7 +156,9 @@
             )
         )
 
-    def event(self, version: int, entries: list[EntryChange], kind: EndpointListKind) -> EndpointListReceived:
+    def list_event(
+        self, version: int, entries: list[EntryChange], kind: EndpointListKind
+    ) -> EndpointListReceived:
         """Return the balancer's event for entries of the endpoint list."""
         return EndpointListReceived(kind, [self._endpoint_entry(entry) for entry in entries], version)
 
--- a/testbed/simulation/sidecar.py
+++ b/testbed/simulation/sidecar.py
@@ -125,7 +125,7 @@
         cached = ListResponse(version, entries, is_complete=True)
         context.discovery.log_delivery(context.number, cached)
         self._apply_list(cached)
-        self._post(context.discovery.event(version, entries, EndpointListKind.CACHED))
+        self._post(context.discovery.list_event(version, entries, EndpointListKind.CACHED))
 
     # Pause, resume and end
 
@@ -272,7 +272,7 @@
         self._context.discovery.log_delivery(self._context.number, response)
         self._apply_list(response)
         kind = EndpointListKind.COMPLETE if response.is_complete else EndpointListKind.CHANGES
-        self._post(self._context.discovery.event(response.version, response.entries, kind))
+        self._post(self._context.discovery.list_event(response.version, response.entries, kind))
 
     def _apply_list(self, response: ListResponse) -> None:
         """Update the listed endpoints; close idle connections to those that left or were restarted."""
