--- a/testbed/emulator/__init__.py
+++ b/testbed/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""A day in real time on loopback: real copies of the program, stand-ins for the rest, faults between."""
+"""The emulator: runs a scenario in real time on loopback, with real sidecars, stand-ins and faults."""
--- a/testbed/emulator/discovery.py
+++ b/testbed/emulator/discovery.py
@@ -1,4 +1,7 @@
-"""The stand-in for discovery, by PROTOCOL's page: whole lists, watches, one call after another."""
+"""The stand-in for discovery, as the page PROTOCOL specifies it.
+
+It serves full lists, changes and watches of the endpoint list, one call at a time.
+"""
 
 from __future__ import annotations
 
@@ -11,139 +14,147 @@
 from testbed import events as log
 from testbed.catalog import EndpointCatalog, EntryChange
 from testbed.clock import DayClock
-from testbed.emulator.message import MalformedRequestError, Requests, answer
-from testbed.emulator.switch import Handler, Passage
+from testbed.emulator.message import MalformedRequestError, RequestParser, encode_response
+from testbed.emulator.switch import Handler, SwitchConnection
 from testbed.scenario.scenario_run import ScenarioRun
 
-_WATCH = re.compile(rb"[?&]after=([0-9]+)&wait_ms=([0-9]+)")
-_LONGEST_MS = 60_000
-DOWN = answer(b"503 Down")
+_WATCH_QUERY = re.compile(rb"[?&]after=([0-9]+)&wait_ms=([0-9]+)")
+_MAX_WAIT_MS = 60_000
+UNAVAILABLE_RESPONSE = encode_response(b"503 Down")
 
 
 class StandInDiscovery:
-    """One service for all copies; it tells each the addresses that are the copy's own."""
+    """One discovery service for all replicas; each replica gets its own addresses of the servers."""
 
     def __init__(
         self,
-        day: ScenarioRun,
+        run: ScenarioRun,
         clock: DayClock,
         writer: log.EventLogWriter,
         addresses: list[list[str]],
         rng: random.Random,
     ) -> None:
-        """`addresses[copy][server]` is where a copy finds a server."""
-        self.catalog = EndpointCatalog(day)
-        self.told = [1] * len(day.replicas)  # the newest version that reached each copy
-        self._day, self._clock, self._writer, self._rng = day, clock, writer, rng
+        """`addresses[replica][server]` is the address of a server as that replica sees it."""
+        self.catalog = EndpointCatalog(run)
+        self.delivered_versions = [1] * len(run.replicas)  # newest version delivered to each replica
+        self._run, self._clock, self._writer, self._rng = run, clock, writer, rng
         self._addresses = addresses
-        self._free_at = 0
+        self._idle_from_us = 0
         self._watches: set[_Call] = set()
-        self._down = [fault for fault in day.faults if fault.kind == "discovery_down"]
+        self._outages = [fault for fault in run.faults if fault.kind == "discovery_down"]
 
     def start(self) -> None:
-        """Plan every change and every trouble of the day."""
+        """Schedule the changes of the list and the outages; called when the run starts."""
         for change in self.catalog.changes:
-            self._at(change.at_us, self._tell_watches)
-        for outage in self._down:
-            self._at(outage.start_us, self._end_watches)
+            self._schedule(change.at_us, self._complete_watches)
+        for outage in self._outages:
+            self._schedule(outage.start_us, self._reset_watches)
 
-    def _at(self, at: int, act: Callable[[], None]) -> None:
-        asyncio.get_running_loop().call_later(self._clock.wait_s(at) + 0.0005, act)
+    def _schedule(self, at_us: int, callback: Callable[[], None]) -> None:
+        asyncio.get_running_loop().call_later(self._clock.wait_s(at_us) + 0.0005, callback)
 
-    def connected(self, copy: int, passage: Passage) -> Handler:
+    def connected(self, replica: int, connection: SwitchConnection) -> Handler:
         """Create the handler of a new connection from a replica."""
-        return _Call(self, copy, passage)
+        return _Call(self, replica, connection)
 
     # Calls
 
-    def called(self, call: _Call, after: int | None, wait_ms: int) -> None:
-        """A call came whole: it waits for its turn, or fails at once where that would be too long."""
+    def receive_call(self, call: _Call, after: int | None, wait_ms: int) -> None:
+        """Queue a call, or reject it at once: in an outage, if the queue is too long, or by a random draw."""
         now = self._clock.now()
-        turn = max(self._free_at, now)
-        fails = self._is_down(now) or turn - now > self._day.discovery.max_queueing_us
-        if fails or self._rng.random() < self._day.discovery.failure_rate:
-            self._answered(call, DOWN, well=False)
+        service_start_us = max(self._idle_from_us, now)
+        is_rejected = self._is_down(now) or service_start_us - now > self._run.discovery.max_queueing_us
+        if is_rejected or self._rng.random() < self._run.discovery.failure_rate:
+            self._respond(call, UNAVAILABLE_RESPONSE, succeeded=False)
             return
-        self._free_at = turn + self._day.discovery.service_time_us
-        self._at(self._free_at, lambda: self._handle(call, after, wait_ms))
+        self._idle_from_us = service_start_us + self._run.discovery.service_time_us
+        self._schedule(self._idle_from_us, lambda: self._handle(call, after, wait_ms))
 
     def _handle(self, call: _Call, after: int | None, wait_ms: int) -> None:
         newest = self.catalog.version_at(self._clock.now())
         if after is not None and after >= newest and wait_ms > 0:
-            call.watches_from = after
+            call.watched_version = after
             self._watches.add(call)
-            self._at(self._clock.now() + wait_ms * 1_000, lambda: self._give_up(call))
+            self._schedule(self._clock.now() + wait_ms * 1_000, lambda: self._expire_watch(call))
         else:
-            self._tell(call, after)
+            self._send_list(call, after)
 
-    def forget(self, call: _Call) -> None:
-        """Drop a watch that is over."""
+    def remove_watch(self, call: _Call) -> None:
+        """Remove a watch whose connection has closed."""
         self._watches.discard(call)
 
-    def _give_up(self, call: _Call) -> None:
+    def _expire_watch(self, call: _Call) -> None:
         if call in self._watches:
             self._watches.discard(call)
-            self._tell(call, call.watches_from)
+            self._send_list(call, call.watched_version)
 
-    def _tell_watches(self) -> None:
+    def _complete_watches(self) -> None:
         for call in list(self._watches):
             self._watches.discard(call)
-            self._tell(call, call.watches_from)
+            self._send_list(call, call.watched_version)
 
-    def _end_watches(self) -> None:
+    def _reset_watches(self) -> None:
         for call in list(self._watches):
             self._watches.discard(call)
-            call.passage.reset()
+            call.connection.reset()
 
     def _is_down(self, now: int) -> bool:
-        return any(outage.start_us <= now < outage.end_us for outage in self._down)
+        return any(outage.start_us <= now < outage.end_us for outage in self._outages)
 
-    def _tell(self, call: _Call, after: int | None) -> None:
+    def _send_list(self, call: _Call, after: int | None) -> None:
         version = self.catalog.version_at(self._clock.now())
-        full = not after or after > version  # at 0 nothing is held yet
+        full = not after or after > version  # version 0: the replica has no list yet
         changes = (
             self.catalog.full_list(version) if full else self.catalog.changes_between(after or 1, version)
         )
-        body = json.dumps(self.listing(call.copy, version, changes, full=full)).encode()
+        body = json.dumps(self.encode_list(call.replica, version, changes, full=full)).encode()
 
         def delivered() -> None:
-            self.told[call.copy] = max(version, self.told[call.copy])
-            self._told(call.copy, version, changes, full=full)
+            self.delivered_versions[call.replica] = max(version, self.delivered_versions[call.replica])
+            self._log_delivery(call.replica, version, changes, full=full)
 
-        self._answered(call, answer(b"200 OK", body), delivered, well=True)
+        self._respond(call, encode_response(b"200 OK", body), delivered, succeeded=True)
 
-    def _answered(
-        self, call: _Call, message: bytes, delivered: Callable[[], None] | None = None, *, well: bool
+    def _respond(
+        self, call: _Call, message: bytes, delivered: Callable[[], None] | None = None, *, succeeded: bool
     ) -> None:
-        self._writer.write(log.DiscoveryPolled(at_us=self._clock.now(), replica=call.copy, succeeded=well))
-        call.passage.send(message, delivered)
+        self._writer.write(
+            log.DiscoveryPolled(at_us=self._clock.now(), replica=call.replica, succeeded=succeeded)
+        )
+        call.connection.send(message, delivered)
 
-    def _told(self, copy: int, version: int, changes: list[EntryChange], *, full: bool) -> None:
-        """Word reached a copy."""
-        lines = [(change.server, change.state, change.started_at_us) for change in changes]
-        at = self._clock.now()
+    def _log_delivery(self, replica: int, version: int, changes: list[EntryChange], *, full: bool) -> None:
+        """Log that a list was delivered to a replica."""
+        entries = [(change.server, change.state, change.started_at_us) for change in changes]
+        at_us = self._clock.now()
         self._writer.write(
-            log.EndpointListDelivered(at_us=at, replica=copy, version=version, is_full=full, entries=lines)
+            log.EndpointListDelivered(
+                at_us=at_us, replica=replica, version=version, is_full=full, entries=entries
+            )
         )
 
-    def known(self, copy: int) -> dict[str, object]:
-        """The list as a copy last had it, told to its next process at the start."""
-        version = self.told[copy]
+    def initial_list(self, replica: int) -> dict[str, object]:
+        """The list that a replica last received, which its next process gets at its start."""
+        version = self.delivered_versions[replica]
         changes = self.catalog.full_list(version)
-        self._told(copy, version, changes, full=True)
-        return self.listing(copy, version, changes, full=True)
+        self._log_delivery(replica, version, changes, full=True)
+        return self.encode_list(replica, version, changes, full=True)
 
-    def listing(
-        self, copy: int, version: int, changes: list[EntryChange], *, full: bool
+    def encode_list(
+        self, replica: int, version: int, changes: list[EntryChange], *, full: bool
     ) -> dict[str, object]:
-        """Entries in discovery's form."""
-        return {"version": version, "full": full, "servers": [self._line(copy, change) for change in changes]}
+        """Encode entries as in discovery's responses."""
+        return {
+            "version": version,
+            "full": full,
+            "servers": [self._encode_entry(replica, change) for change in changes],
+        }
 
-    def _line(self, copy: int, change: EntryChange) -> dict[str, object]:
-        server = self._day.servers[change.server]
+    def _encode_entry(self, replica: int, change: EntryChange) -> dict[str, object]:
+        server = self._run.servers[change.server]
         return {
             "id": f"s-{change.server}",
-            "addr": self._addresses[copy][change.server],
+            "addr": self._addresses[replica][change.server],
             "zone": server.zone,
             "kind": "m",
             "cell": server.cell,
@@ -154,30 +165,30 @@
 
 
 class _Call:
-    """Discovery's end of one connection, which has one call at a time."""
+    """Discovery's side of one connection, which has one call at a time."""
 
-    def __init__(self, owner: StandInDiscovery, copy: int, passage: Passage) -> None:
-        self.copy, self.passage = copy, passage
-        self.watches_from: int | None = None
+    def __init__(self, owner: StandInDiscovery, replica: int, connection: SwitchConnection) -> None:
+        self.replica, self.connection = replica, connection
+        self.watched_version: int | None = None
         self._owner = owner
-        self._reading = Requests()
+        self._parser = RequestParser()
 
     def received(self, data: bytes) -> None:
         try:
-            for head, _ in self._reading.feed(data):
-                self._asked(head.partition(b"\r\n")[0])
+            for head, _ in self._parser.feed(data):
+                self._on_request(head.partition(b"\r\n")[0])
         except MalformedRequestError:
-            self.passage.reset()
+            self.connection.reset()
 
-    def _asked(self, line: bytes) -> None:
+    def _on_request(self, line: bytes) -> None:
         if not line.startswith(b"GET /catalog/members"):
-            self.passage.send(answer(b"404 Unknown"))
+            self.connection.send(encode_response(b"404 Unknown"))
             return
-        watch = _WATCH.search(line)
+        watch = _WATCH_QUERY.search(line)
         if watch is None:
-            self._owner.called(self, None, 0)
+            self._owner.receive_call(self, None, 0)
         else:
-            self._owner.called(self, int(watch[1]), min(int(watch[2]), _LONGEST_MS))
+            self._owner.receive_call(self, int(watch[1]), min(int(watch[2]), _MAX_WAIT_MS))
 
-    def ended(self) -> None:
-        self._owner.forget(self)
+    def closed(self) -> None:
+        self._owner.remove_watch(self)
--- a/testbed/emulator/replica_process.py
+++ b/testbed/emulator/replica_process.py
@@ -1,4 +1,4 @@
-"""Copies of the program as processes: started as the deploy file says, stopped, paused, killed, upgraded."""
+"""Sidecar replicas as processes: started by the deploy file's command; stopped, paused, killed, upgraded."""
 
 from __future__ import annotations
 
@@ -23,45 +23,45 @@
 from testbed.scenario.scenario_run import Replica, ScenarioRun
 from testbed.scenario.settings import replica_settings, sigkill_delay_us
 
-_LOOK_S = 0.02
-_MOST_LOG = 4 << 20  # bytes kept of what one copy writes
-_LAST_LINES = 5
+_POLL_INTERVAL_S = 0.02
+_MAX_STDERR_BYTES = 4 << 20  # kept of the standard error of one replica
+_REPORTED_LINES = 5
 _PR_SET_PDEATHSIG, _PR_CAPBSET_DROP, _CAP_DAC_OVERRIDE = 1, 24, 1
 _LIBC = ctypes.CDLL(None)
 
 
 class RunError(Exception):
-    """The day can't be played; the text says why, for whoever asked for it."""
+    """A scenario run, build or experiment cannot be carried out; the text is shown to the user."""
 
 
-def _named(root: Path, key: str) -> str:
+def _deploy_command(root: Path, key: str) -> str:
     try:
         command = tomllib.loads((root / "deploy" / "balancer.toml").read_text())[key]
-    except (OSError, KeyError, tomllib.TOMLDecodeError) as fault:
-        raise RunError(f"{root}: no deploy/balancer.toml that names `{key}`: {fault}") from None
+    except (OSError, KeyError, tomllib.TOMLDecodeError) as error:
+        raise RunError(f"{root}: no deploy/balancer.toml with the key `{key}`: {error}") from None
     return str(command)
 
 
 def deployed_command(root: Path) -> str:
-    """The command that starts one copy of the program in a tree; raise RunError if there is none."""
-    return _named(root, "run")
+    """The command of a source tree's deploy file that starts one replica; raise RunError if it has none."""
+    return _deploy_command(root, "run")
 
 
 def build_tree(root: Path) -> None:
-    """Do what a tree's deploy file says to build it; raise RunError where that fails."""
-    command = ["/bin/sh", "-c", _named(root, "build")]
-    done = subprocess.run(command, cwd=root, capture_output=True, text=True, check=False)
-    if done.returncode:
-        raise RunError(f"{root}: the build failed: {done.stderr.strip()[-500:]}")
+    """Run the build command of a source tree's deploy file; raise RunError if it fails."""
+    command = ["/bin/sh", "-c", _deploy_command(root, "build")]
+    build = subprocess.run(command, cwd=root, capture_output=True, text=True, check=False)
+    if build.returncode:
+        raise RunError(f"{root}: the build failed: {build.stderr.strip()[-500:]}")
 
 
 def kill_with_parent() -> None:
-    """In a child before it becomes its program: it is killed when the parent is gone, however that ended."""
+    """In a child process before exec: have the kernel kill it when its parent exits for any reason."""
     _LIBC.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Process:
-    """One process of the program."""
+    """One operating system process of a sidecar."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         *,
         is_unprivileged: bool,
     ) -> None:
-        """`is_unprivileged`: even where this is root's, files that nobody may write are not written."""
+        """`is_unprivileged`: read-only files are not writable even if the process runs as root."""
 
         def prepare() -> None:
             kill_with_parent()
@@ -91,19 +91,19 @@
             start_new_session=True,
             preexec_fn=prepare,
         )
-        self.ended = asyncio.Event()
+        self.exited = asyncio.Event()
         self.killed = False
         self._log_file = log_file
-        self._handle = os.pidfd_open(self._popen.pid)
-        asyncio.get_running_loop().add_reader(self._handle, self._over)
+        self._pidfd = os.pidfd_open(self._popen.pid)
+        asyncio.get_running_loop().add_reader(self._pidfd, self._on_exit)
         assert self._popen.stderr is not None
-        self._said = self._popen.stderr
-        os.set_blocking(self._said.fileno(), False)
-        asyncio.get_running_loop().add_reader(self._said.fileno(), self._hear)
+        self._stderr = self._popen.stderr
+        os.set_blocking(self._stderr.fileno(), False)
+        asyncio.get_running_loop().add_reader(self._stderr.fileno(), self._read_stderr)
 
     @property
     def pid(self) -> int:
-        """The system's number of it."""
+        """The process ID."""
         return self._popen.pid
 
     @property
@@ -111,49 +111,49 @@
         """The exit code; None while the process runs."""
         return self._popen.returncode
 
-    def _over(self) -> None:
-        asyncio.get_running_loop().remove_reader(self._handle)
-        os.close(self._handle)
+    def _on_exit(self) -> None:
+        asyncio.get_running_loop().remove_reader(self._pidfd)
+        os.close(self._pidfd)
         self._popen.wait()
-        self._hear()
-        self._deafen()
-        self.ended.set()
+        self._read_stderr()
+        self._close_stderr()
+        self.exited.set()
 
-    def _hear(self) -> None:
-        """Keep what it writes, up to a bound."""
+    def _read_stderr(self) -> None:
+        """Append its standard error to the log file, up to a maximum size."""
         try:
-            data = os.read(self._said.fileno(), 1 << 16)
+            data = os.read(self._stderr.fileno(), 1 << 16)
         except (BlockingIOError, ValueError):
             return
         if not data:
-            self._deafen()
-        elif not self._log_file.exists() or self._log_file.stat().st_size < _MOST_LOG:
+            self._close_stderr()
+        elif not self._log_file.exists() or self._log_file.stat().st_size < _MAX_STDERR_BYTES:
             with self._log_file.open("ab") as file:
                 file.write(data)
 
-    def _deafen(self) -> None:
-        if not self._said.closed:
-            asyncio.get_running_loop().remove_reader(self._said.fileno())
-            self._said.close()
+    def _close_stderr(self) -> None:
+        if not self._stderr.closed:
+            asyncio.get_running_loop().remove_reader(self._stderr.fileno())
+            self._stderr.close()
 
     def signal(self, number: int) -> None:
-        """Send a signal, unless the process has ended."""
-        if not self.ended.is_set():
+        """Send a signal, unless the process has exited."""
+        if not self.exited.is_set():
             self._popen.send_signal(number)
 
-    def limit_files(self, most: int) -> None:
-        """Let it write no file beyond so many bytes: a disk that is full."""
+    def limit_files(self, max_bytes: int) -> None:
+        """Limit the size of files that it writes, which simulates a full disk."""
         with contextlib.suppress(ProcessLookupError):
-            resource.prlimit(self._popen.pid, resource.RLIMIT_FSIZE, (most, resource.RLIM_INFINITY))
+            resource.prlimit(self._popen.pid, resource.RLIMIT_FSIZE, (max_bytes, resource.RLIM_INFINITY))
 
 
 class ReplicaProcess:
-    """One copy of the program over the day, with a folder of its own."""
+    """One replica over a whole run: its folder and its successive processes."""
 
     def __init__(
         self,
-        day: ScenarioRun,
-        copy: Replica,
+        run: ScenarioRun,
+        replica: Replica,
         command: str,
         root: Path,
         folder: Path,
@@ -162,73 +162,73 @@
         rng: random.Random,
         ready_within_s: float,
     ) -> None:
-        self.copy, self.folder = copy, folder
+        self.replica, self.folder = replica, folder
         self.process: Process | None = None
-        self.life = 0
-        self.endpoint_list: Callable[[], object] = dict  # what it is told of servers at a start
+        self.incarnation = 0
+        self.endpoint_list: Callable[[], object] = dict  # called at each start, for the configuration
         self.config: dict[str, Any] = {}
-        self._day, self._command, self._root = day, command, root
+        self._run, self._command, self._root = run, command, root
         self._clock, self._writer, self._rng = clock, writer, rng
         self._ready_within_s = ready_within_s
-        self._held: socket.socket | None = None
-        self._admin_address: tuple[str, int] | None = None  # of operators, at the latest process
-        self._ahead_s = 0.0  # its clock before the true one
-        self._running: dict[Process, asyncio.Task[None]] = {}  # two at an upgrade; each with its watch
-        self._paused = 0
+        self._listener: socket.socket | None = None
+        self._admin_address: tuple[str, int] | None = None  # of the latest process
+        self._clock_offset_s = 0.0  # how far its wall clock is ahead
+        self._exit_watches: dict[Process, asyncio.Task[None]] = {}  # two processes during an upgrade
+        self._pause_count = 0
         self.lifecycle = asyncio.Lock()
         (folder / "tmp").mkdir(parents=True)
-        host = f"127.0.{copy.number // 250 + 1}.{copy.number % 250 + 1}"
+        host = f"127.0.{replica.number // 250 + 1}.{replica.number % 250 + 1}"
         self.listen = (host, _free_port(host, socket.SOCK_STREAM))
         self.peer_listen = (host, _free_port(host, socket.SOCK_DGRAM))
 
-    def configure(self, discovery: str, peers: list[str], everyone: str) -> None:
-        """What its configuration says of others; each start adds a seed and the list."""
+    def configure(self, discovery: str, peers: list[str], broadcast_address: str) -> None:
+        """Set the configuration; each start adds a seed and the endpoint list."""
         self.config = {
-            "name": f"n{self.copy.number}",
-            "listen": _text(self.listen),
+            "name": f"n{self.replica.number}",
+            "listen": _host_port(self.listen),
             "discovery": discovery,
             "limits": {
                 "cores": 1.0,
-                "memory_mb": self._day.sidecars.memory_limit_mb,
-                "sockets": self._day.sidecars.socket_limit,
+                "memory_mb": self._run.sidecars.memory_limit_mb,
+                "sockets": self._run.sidecars.socket_limit,
             },
-            "settings": replica_settings(self._day, self.copy.number),
+            "settings": replica_settings(self._run, self.replica.number),
         }
-        if self._day.sidecars.may_message_peers:
+        if self._run.sidecars.may_message_peers:
             self.config |= {
-                "membership": self._day.sidecars.membership,
-                "peer_listen": _text(self.peer_listen),
+                "membership": self._run.sidecars.membership,
+                "peer_listen": _host_port(self.peer_listen),
                 "peers": peers,
-                "peers_all": everyone,
+                "peers_all": broadcast_address,
             }
-        if self._day.sidecars.has_inherited_listener:
-            self._held = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            self._held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self._held.bind(self.listen)
-            self._held.listen(512)
+        if self._run.sidecars.has_inherited_listener:
+            self._listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            self._listener.bind(self.listen)
+            self._listener.listen(512)
 
-    # Its processes
+    # Processes
 
-    def tell(self, what: str, life: int, code: int | None = None) -> None:
-        """Log a change of the replica's life cycle."""
-        at = self._clock.now()
+    def log_state(self, state: str, incarnation: int, code: int | None = None) -> None:
+        """Log a state of one of the replica's processes."""
+        at_us = self._clock.now()
         self._writer.write(
             log.ReplicaStateChanged(
-                at_us=at, replica=self.copy.number, incarnation=life, state=what, exit_code=code
+                at_us=at_us, replica=self.replica.number, incarnation=incarnation, state=state, exit_code=code
             )
         )
 
     async def start(self) -> Process:
-        """Start a process; raise RunError where it does not get ready."""
-        process, life, door = self._launch()
-        await self._until_ready(process, door)
-        self.tell("ready", life)
+        """Start a process and wait until it is ready; raise RunError if it does not get ready."""
+        process, incarnation, admin_address = self._launch()
+        await self._wait_until_ready(process, admin_address)
+        self.log_state("ready", incarnation)
         return process
 
     def _launch(self) -> tuple[Process, int, tuple[str, int] | None]:
-        self.life += 1
-        life = self.life
-        if not self._day.sidecars.keeps_temp_folder:
+        self.incarnation += 1
+        incarnation = self.incarnation
+        if not self._run.sidecars.keeps_temp_folder:
             for leftover in (self.folder / "tmp").iterdir():
                 leftover.unlink()
         path = self.folder / "config.json"
@@ -238,196 +238,198 @@
         for key in ("name", "listen", "discovery"):
             environment[f"BALANCER_{key.upper()}"] = config[key]
         descriptors: tuple[int, ...] = ()
-        door: tuple[str, int] | None = None
-        if self._day.sidecars.has_admin_interface:
-            door = (self.listen[0], _free_port(self.listen[0], socket.SOCK_STREAM))
-            environment["BALANCER_CONSOLE"] = _text(door)
-        if self._held is not None:
-            descriptors = (self._held.fileno(),)
+        admin_address: tuple[str, int] | None = None
+        if self._run.sidecars.has_admin_interface:
+            admin_address = (self.listen[0], _free_port(self.listen[0], socket.SOCK_STREAM))
+            environment["BALANCER_CONSOLE"] = _host_port(admin_address)
+        if self._listener is not None:
+            descriptors = (self._listener.fileno(),)
             environment["BALANCER_SOCKET_FD"] = str(descriptors[0])
-        is_unprivileged = any(fault.kind == "read_only" for fault in self._day.faults)
+        is_unprivileged = any(fault.kind == "read_only" for fault in self._run.faults)
         process = Process(
-            self._worded(),
+            self._start_command(),
             self._root,
-            environment | {"PLUMTRESTLE_CLOCK_AHEAD": f"{self._ahead_s:g}"},
+            environment | {"PLUMTRESTLE_CLOCK_AHEAD": f"{self._clock_offset_s:g}"},
             self.folder / "stderr.log",
             descriptors,
             is_unprivileged=is_unprivileged,
         )
-        self.process, self._admin_address = process, door
-        self.tell("started", life)
-        self._running[process] = asyncio.create_task(self._watch(process, life))
-        return process, life, door
+        self.process, self._admin_address = process, admin_address
+        self.log_state("started", incarnation)
+        self._exit_watches[process] = asyncio.create_task(self._watch_exit(process, incarnation))
+        return process, incarnation, admin_address
 
-    def _worded(self) -> str:
-        if not self._ahead_s:
+    def _start_command(self) -> str:
+        if not self._clock_offset_s:
             return self._command
         try:
             return run_command.run_with_wrapper(self._command, "testbed.emulator.shifted_clock")
-        except ValueError as fault:
-            raise RunError(f"a clock that differs needs it: {fault}") from None
+        except ValueError as error:
+            raise RunError(f"a shifted clock needs a Python module to wrap: {error}") from None
 
-    async def _until_ready(self, process: Process, door: tuple[str, int] | None) -> None:
-        address, path = (self.listen, "/_health") if door is None else (door, "/api/ready")
+    async def _wait_until_ready(self, process: Process, admin_address: tuple[str, int] | None) -> None:
+        address, path = (self.listen, "/_health") if admin_address is None else (admin_address, "/api/ready")
         try:
             async with asyncio.timeout(self._ready_within_s):
-                while not await _says_yes(address, path):
-                    if process.ended.is_set():
+                while not await _responds_ok(address, path):
+                    if process.exited.is_set():
                         raise RunError(
-                            f"copy {self.copy.number} ended with code {process.code}: {self.last()}"
+                            f"replica {self.replica.number} exited with code {process.code}:"
+                            f" {self.stderr_tail()}"
                         )
-                    await asyncio.sleep(_LOOK_S)
+                    await asyncio.sleep(_POLL_INTERVAL_S)
         except TimeoutError:
             raise RunError(
-                f"copy {self.copy.number} was not ready within {self._ready_within_s:g} s: {self.last()}"
+                f"replica {self.replica.number} was not ready within {self._ready_within_s:g} s:"
+                f" {self.stderr_tail()}"
             ) from None
 
-    async def _watch(self, process: Process, life: int) -> None:
-        """Tell of its end, unless it was killed from here."""
-        await process.ended.wait()
-        del self._running[process]
+    async def _watch_exit(self, process: Process, incarnation: int) -> None:
+        """Log the exit of a process, unless the test bed killed it."""
+        await process.exited.wait()
+        del self._exit_watches[process]
         if not process.killed:
-            self.tell("ended", life, process.code)
+            self.log_state("ended", incarnation, process.code)
 
-    def last(self) -> str:
-        """The last lines that it wrote."""
+    def stderr_tail(self) -> str:
+        """The last lines of its standard error, for error messages."""
         try:
             lines = (self.folder / "stderr.log").read_text(errors="replace").splitlines()
         except OSError:
             lines = []
-        return " | ".join(lines[-_LAST_LINES:]) or "it wrote nothing"
+        return " | ".join(lines[-_REPORTED_LINES:]) or "nothing on standard error"
 
-    async def figures(self) -> None:
-        """Ask it for its figures, where it has a door for operators."""
-        process, life, door = self.process, self.life, self._admin_address
-        if door is None or process is None or process.ended.is_set() or self._paused:
+    async def report_metrics(self) -> None:
+        """Log the metrics of its admin interface, if it has one and the process runs."""
+        process, incarnation, admin_address = self.process, self.incarnation, self._admin_address
+        if admin_address is None or process is None or process.exited.is_set() or self._pause_count:
             return
-        told = await fetch(door, "/api/telemetry")
-        if told is not None:
-            given = json.loads(told)
+        body = await fetch(admin_address, "/api/telemetry")
+        if body is not None:
+            metrics = json.loads(body)
             self._writer.write(
                 log.MetricsReported(
                     at_us=self._clock.now(),
-                    replica=self.copy.number,
-                    incarnation=life,
-                    pending_requests=int(given["pending"]),
-                    listed_endpoints=int(given["members"]),
-                    unavailable_endpoints=int(given["members_unavailable"]),
-                    membership=_plain(given.get("membership")),
+                    replica=self.replica.number,
+                    incarnation=incarnation,
+                    pending_requests=int(metrics["pending"]),
+                    listed_endpoints=int(metrics["members"]),
+                    unavailable_endpoints=int(metrics["members_unavailable"]),
+                    membership=_membership_fields(metrics.get("membership")),
                 )
             )
 
-    # What troubles do
+    # Faults
 
     async def kill(self) -> bool:
-        """SIGKILL; no if there is no process."""
-        process, life = self.process, self.life
-        if process is None or process.ended.is_set():
+        """Kill the process with SIGKILL; return False if none runs."""
+        process, incarnation = self.process, self.incarnation
+        if process is None or process.exited.is_set():
             return False
         process.killed = True
-        self.tell("killed", life)
+        self.log_state("killed", incarnation)
         process.signal(signal.SIGKILL)
-        await process.ended.wait()
+        await process.exited.wait()
         return True
 
-    async def stop(self, process: Process, life: int) -> None:
-        """SIGTERM, and SIGKILL when it has had its time."""
-        if process.ended.is_set():
+    async def stop(self, process: Process, incarnation: int) -> None:
+        """Send SIGTERM, and SIGKILL if the process has not exited after the scenario's grace period."""
+        if process.exited.is_set():
             return
-        self.tell("stopping", life)
+        self.log_state("stopping", incarnation)
         process.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(sigkill_delay_us(self._day) / 1e6):
-                await process.ended.wait()
+            async with asyncio.timeout(sigkill_delay_us(self._run) / 1e6):
+                await process.exited.wait()
         except TimeoutError:
             process.killed = True
-            self.tell("killed", life)
+            self.log_state("killed", incarnation)
             process.signal(signal.SIGKILL)
-            await process.ended.wait()
+            await process.exited.wait()
 
     async def upgrade(self) -> None:
-        """A second process beside the first, which stops once the second is ready."""
-        old, life = self.process, self.life
+        """Start a second process, and stop the first once the second is ready."""
+        old, incarnation = self.process, self.incarnation
         await self.start()
         if old is not None:
-            await self.stop(old, life)
+            await self.stop(old, incarnation)
 
     def pause(self) -> None:
         """Stop the process with SIGSTOP; pauses nest."""
-        if self.process is not None and not self.process.ended.is_set():
-            self._paused += 1
-            if self._paused == 1:
-                self.tell("paused", self.life)
+        if self.process is not None and not self.process.exited.is_set():
+            self._pause_count += 1
+            if self._pause_count == 1:
+                self.log_state("paused", self.incarnation)
             self.process.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Go on, unless another pause still holds."""
-        if self._paused:
-            self._paused -= 1
-        if not self._paused and self.process is not None:
+        """Continue the process with SIGCONT, unless another pause is still active."""
+        if self._pause_count:
+            self._pause_count -= 1
+        if not self._pause_count and self.process is not None:
             self.process.signal(signal.SIGCONT)
-            self.tell("resumed", self.life)
+            self.log_state("resumed", self.incarnation)
 
     def hang_up(self) -> None:
         """Send SIGHUP, which reloads the configuration."""
         if self.process is not None:
             self.process.signal(signal.SIGHUP)
 
-    def set_clock(self, ahead_s: float) -> None:
-        """From the next start on."""
-        self._ahead_s = ahead_s
+    def set_clock(self, clock_offset_s: float) -> None:
+        """Set how far the wall clock is ahead, from the next start on."""
+        self._clock_offset_s = clock_offset_s
 
     def limit_files(self, *, is_full: bool) -> None:
         """Set the process's file size limit to zero, as on a full disk, or lift it."""
-        if self.process is not None and not self.process.ended.is_set():
+        if self.process is not None and not self.process.exited.is_set():
             self.process.limit_files(0 if is_full else resource.RLIM_INFINITY)
 
     def lock_folder(self, *, is_locked: bool) -> None:
         """Make the replica's folder for temporary files read-only, or writable again."""
-        own = self.folder / "tmp"
-        for path in own.iterdir():
+        temp_folder = self.folder / "tmp"
+        for path in temp_folder.iterdir():
             path.chmod(0o400 if is_locked else 0o600)
-        own.chmod(0o500 if is_locked else 0o700)
+        temp_folder.chmod(0o500 if is_locked else 0o700)
 
     def damage_folder(self) -> None:
-        """Every file is cut short, or holds garbage from some place on."""
+        """Damage every file of the temporary folder: truncate it, or overwrite its end with random bytes."""
         for path in sorted((self.folder / "tmp").iterdir()):
-            kept = path.read_bytes()
-            place = self._rng.randrange(len(kept) + 1)
-            garbage = self._rng.randbytes(len(kept) - place) if self._rng.random() < 0.5 else b""
-            path.write_bytes(kept[:place] + garbage)
+            content = path.read_bytes()
+            cut_at = self._rng.randrange(len(content) + 1)
+            garbage = self._rng.randbytes(len(content) - cut_at) if self._rng.random() < 0.5 else b""
+            path.write_bytes(content[:cut_at] + garbage)
 
     async def close(self) -> None:
-        """End whatever still runs: at an upgrade that is not over, two processes."""
-        watches = list(self._running.values())
-        for process in self._running:
+        """Kill all processes that still run: two if an upgrade is in progress."""
+        watches = list(self._exit_watches.values())
+        for process in self._exit_watches:
             process.killed = True
             process.signal(signal.SIGKILL)
         await asyncio.gather(*watches)
-        if self._held is not None:
-            self._held.close()
+        if self._listener is not None:
+            self._listener.close()
 
 
-def _plain(membership: Any) -> dict[str, str]:
-    """What is believed of the tier, as the log holds it."""
+def _membership_fields(membership: Any) -> dict[str, str]:
+    """The membership fields of the metrics that the event log holds."""
     if not isinstance(membership, dict):
         return {}
     return {key: str(membership[key]) for key in ("view", "life", "doubled", "in_minority")}
 
 
-def _text(address: tuple[str, int]) -> str:
+def _host_port(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
 
 
 def _free_port(host: str, kind: int) -> int:
-    """A port that the system chooses.  The host is one copy's alone, so nobody else takes it meanwhile."""
-    with socket.socket(socket.AF_INET, kind) as own:
-        own.bind((host, 0))
-        return int(own.getsockname()[1])
+    """A free port chosen by the kernel; as each replica has its own host address, no one else takes it."""
+    with socket.socket(socket.AF_INET, kind) as probe:
+        probe.bind((host, 0))
+        return int(probe.getsockname()[1])
 
 
 async def fetch(address: tuple[str, int], path: str) -> bytes | None:
-    """The body of a 200 answer; None where there is no such answer."""
+    """The body of a 200 response to a GET request; None on any other result."""
     try:
         async with asyncio.timeout(1.0):
             reader, writer = await asyncio.open_connection(*address)
@@ -441,5 +443,5 @@
         return None
 
 
-async def _says_yes(address: tuple[str, int], path: str) -> bool:
+async def _responds_ok(address: tuple[str, int], path: str) -> bool:
     return await fetch(address, path) is not None
--- a/testbed/emulator/servers.py
+++ b/testbed/emulator/servers.py
@@ -1,4 +1,4 @@
-"""The stand-in for a server: what a station makes of a request, said as the platform's servers say it."""
+"""The stand-in for a server: serves requests by the queueing model of `Station`, over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 from testbed import events as log
 from testbed.clock import DayClock
-from testbed.emulator.message import MalformedRequestError, Requests, answer, header
-from testbed.emulator.switch import Gate, Handler, Passage
+from testbed.emulator.message import MalformedRequestError, RequestParser, encode_response, header
+from testbed.emulator.switch import Gate, Handler, SwitchConnection
 from testbed.scenario.scenario_run import Fault, Server
 from testbed.station import Job, Place, Station
 
 _WORK = re.compile(rb"[?&]work=([0-9]{1,12})")
 _ID = re.compile(rb"[0-9a-f]{16}")
-FULL = answer(b"503 Full", more=b"Not-Started: 1\r\n")
-BROKEN = answer(b"500 Broken")
+FULL_RESPONSE = encode_response(b"503 Full", extra_headers=b"Not-Started: 1\r\n")
+ERROR_RESPONSE = encode_response(b"500 Broken")
 
 
-class StandIn:
-    """One server with a gate for each copy."""
+class StandInServer:
+    """One server, with a gate for each replica."""
 
     def __init__(
         self,
         server: Server,
-        troubles: tuple[Fault, ...],
+        faults: tuple[Fault, ...],
         clock: DayClock,
         writer: log.EventLogWriter,
         number_attempt: Callable[[], int],
@@ -34,84 +34,84 @@
     ) -> None:
         self.server = server
         self.gates: list[Gate] = []
-        self.open = 0  # connections
-        self._station = Station(server, troubles)
+        self.open_connections = 0
+        self._station = Station(server, faults)
         self._clock, self._writer, self._rng = clock, writer, rng
         self._number_attempt = number_attempt
-        self._asked: dict[int, _Connection] = {}  # by attempt
+        self._connections: dict[int, _Connection] = {}  # by attempt number
 
-    def connected(self, copy: int, passage: Passage) -> Handler:
+    def connected(self, replica: int, transport: SwitchConnection) -> Handler:
         """Create the handler of a new connection; reset it above the server's connection limit."""
-        self.open += 1
-        if self.open > self.server.max_connections:
-            passage.reset()
-        return _Connection(self, copy, passage)
+        self.open_connections += 1
+        if self.open_connections > self.server.max_connections:
+            transport.reset()
+        return _Connection(self, replica, transport)
 
-    def live(self, what: str) -> None:
-        """Its process ends, begins, drains or goes, as the day has it."""
+    def change_state(self, state: str) -> None:
+        """Apply a scheduled change of the server's state; a process that exits loses its requests."""
         now = self._clock.now()
-        if what in ("down", "gone"):
+        if state in ("down", "gone"):
             for gate in self.gates:
                 gate.down()
             for job in self._station.restart(now):
-                self._ended(job.attempt, "lost")
-        elif what == "up":
+                self._end_attempt(job.attempt, "lost")
+        elif state == "up":
             self._station.restart(now)
             for gate in self.gates:
                 gate.up()
-        self._writer.write(log.ServerStateChanged(at_us=now, server=self.server.number, state=what))
+        self._writer.write(log.ServerStateChanged(at_us=now, server=self.server.number, state=state))
 
-    def asked(self, connection: _Connection, request: int, work: int, sent: int) -> None:
-        """A request came whole."""
+    def receive_request(self, connection: _Connection, request: int, work_us: int, sent_at_us: int) -> None:
+        """Log an attempt and start or queue it, or reject it if the server is full."""
         now = self._clock.now()
         attempt = self._number_attempt()
         self._writer.write(
             log.AttemptReceived(
                 at_us=now,
                 request=request,
-                replica=connection.copy,
+                replica=connection.replica,
                 server=self.server.number,
                 attempt=attempt,
-                sent_at_us=sent,
-                work_us=work,
+                sent_at_us=sent_at_us,
+                work_us=work_us,
             )
         )
         connection.requests[attempt] = request
-        self._asked[attempt] = connection
-        job = Job(attempt, work, self._rng.random())
-        place = self._station.offer(now, job)
-        if place is Place.FULL:
-            self._ended(attempt, "full")
-        elif place is Place.WORKING:
-            self._work(job)
-
-    def _work(self, job: Job) -> None:
-        asyncio.get_running_loop().call_later(self._clock.wait_s(job.ends), self._done, job)
-
-    def _done(self, job: Job) -> None:
+        self._connections[attempt] = connection
+        job = Job(attempt, work_us, self._rng.random())
+        admission = self._station.offer(now, job)
+        if admission is Place.FULL:
+            self._end_attempt(attempt, "full")
+        elif admission is Place.WORKING:
+            self._schedule_end(job)
+
+    def _schedule_end(self, job: Job) -> None:
+        asyncio.get_running_loop().call_later(self._clock.wait_s(job.ends), self._finish_job, job)
+
+    def _finish_job(self, job: Job) -> None:
         if not self._station.holds(job):
-            return  # its process ended meanwhile
-        well, after = self._station.end(self._clock.now(), job)
-        if after is not None:
-            self._work(after)
-        self._ended(job.attempt, "served" if well else "error")
-
-    def _ended(self, attempt: int, how: str) -> None:
-        connection = self._asked.pop(attempt)
+            return  # the server process was restarted in the meantime
+        succeeded, next_job = self._station.end(self._clock.now(), job)
+        if next_job is not None:
+            self._schedule_end(next_job)
+        self._end_attempt(job.attempt, "served" if succeeded else "error")
+
+    def _end_attempt(self, attempt: int, outcome: str) -> None:
+        connection = self._connections.pop(attempt)
         request = connection.requests.pop(attempt)
         self._writer.write(
-            log.AttemptEnded(at_us=self._clock.now(), attempt=attempt, request=request, outcome=how)
+            log.AttemptEnded(at_us=self._clock.now(), attempt=attempt, request=request, outcome=outcome)
         )
-        if how == "served":
-            connection.answer(answer(b"200 OK", b"%x %x" % (request, attempt)))
-        elif how != "lost":
-            connection.answer(FULL if how == "full" else BROKEN)
+        if outcome == "served":
+            connection.send(encode_response(b"200 OK", b"%x %x" % (request, attempt)))
+        elif outcome != "lost":
+            connection.send(FULL_RESPONSE if outcome == "full" else ERROR_RESPONSE)
 
-    def connection(self, copy: int, *, opened: bool) -> None:
+    def log_connection(self, replica: int, *, opened: bool) -> None:
         """Log that a connection from a replica was opened or closed."""
         at = self._clock.now()
         self._writer.write(
-            log.ConnectionChanged(at_us=at, replica=copy, server=self.server.number, opened=opened)
+            log.ConnectionChanged(at_us=at, replica=replica, server=self.server.number, opened=opened)
         )
 
     def now(self) -> int:
@@ -120,36 +120,36 @@
 
 
 class _Connection:
-    """The server's end of one connection."""
+    """The server side of one connection."""
 
-    def __init__(self, owner: StandIn, copy: int, passage: Passage) -> None:
-        self.copy = copy
-        self.requests: dict[int, int] = {}  # by attempt
-        self._owner, self._passage = owner, passage
-        self._reading = Requests()
-        self._began = 0
-        owner.connection(copy, opened=True)
+    def __init__(self, owner: StandInServer, replica: int, transport: SwitchConnection) -> None:
+        self.replica = replica
+        self.requests: dict[int, int] = {}  # by attempt number
+        self._owner, self._transport = owner, transport
+        self._parser = RequestParser()
+        self._request_start_us = 0
+        owner.log_connection(replica, opened=True)
 
     def received(self, data: bytes) -> None:
-        if self._reading.is_between:
-            self._began = self._owner.now()
+        if self._parser.is_between_requests:
+            self._request_start_us = self._owner.now()
         try:
-            for head, _ in self._reading.feed(data):
-                self._asked(head)
+            for head, _ in self._parser.feed(data):
+                self._on_request(head)
         except MalformedRequestError:
-            self._passage.reset()
+            self._transport.reset()
 
-    def _asked(self, head: bytes) -> None:
+    def _on_request(self, head: bytes) -> None:
         line = head.partition(b"\r\n")[0]
-        work, name = _WORK.search(line), header(head, b"request-id")
-        if work is None or not _ID.fullmatch(name):
-            self.answer(answer(b"404 Unknown" if not name else b"400 Bad"))
+        work_match, request_id = _WORK.search(line), header(head, b"request-id")
+        if work_match is None or not _ID.fullmatch(request_id):
+            self.send(encode_response(b"404 Unknown" if not request_id else b"400 Bad"))
             return
-        self._owner.asked(self, int(name, 16), int(work[1]), self._began)
+        self._owner.receive_request(self, int(request_id, 16), int(work_match[1]), self._request_start_us)
 
-    def answer(self, message: bytes) -> None:
-        self._passage.send(message)
+    def send(self, message: bytes) -> None:
+        self._transport.send(message)
 
-    def ended(self) -> None:
-        self._owner.open -= 1
-        self._owner.connection(self.copy, opened=False)
+    def closed(self) -> None:
+        self._owner.open_connections -= 1
+        self._owner.log_connection(self.replica, opened=False)
--- a/testbed/emulator/shard.py
+++ b/testbed/emulator/shard.py
@@ -1,7 +1,8 @@
-"""A process of stand-in servers: `python -m testbed.emulator.shard`, told what to do on its input.
+"""A shard, a process of stand-in servers: `python -m testbed.emulator.shard`.
 
-First line: a `Plan` as JSON; it answers with `{server: [address for each copy]}`.  Second line: when the day
-begins, by the monotonic clock in nanoseconds.  It plays until its input ends.
+It reads commands from standard input.  The first line is a `Plan` as JSON; the answer is
+`{server: [address for each replica]}`.  The second line is the start of the run in nanoseconds of the
+monotonic clock.  The shard serves until its input is closed.
 """
 
 from __future__ import annotations
@@ -17,66 +18,68 @@
 from testbed import events as log
 from testbed.catalog import server_state_changes
 from testbed.clock import DayClock, watch_lateness
-from testbed.emulator.servers import StandIn
+from testbed.emulator.servers import StandInServer
 from testbed.emulator.switch import Gate
 from testbed.links import Links
 from testbed.scenario import ScenarioRun
 from testbed.streams import lines_of_input, seeded
 
 
-class Plan(msgspec.Struct, frozen=True):
-    """What one process of stand-ins does."""
+class Plan(msgspec.Struct, frozen=True, rename={"run": "day", "part_path": "part"}):
+    """The task of one shard.  Field names in JSON are those given in `rename`."""
 
-    day: ScenarioRun
+    run: ScenarioRun
     shard: int
     shards: int
-    part: str  # the file for its part of the log
+    part_path: str  # event log file of this shard
 
 
-def host_for(copy: int) -> str:
-    """The address, of the loopback net, at which everything that one copy reaches stands."""
-    return f"127.16.{copy // 250}.{copy % 250 + 1}"
+def host_for(replica: int) -> str:
+    """The loopback address of all gates of one replica."""
+    return f"127.16.{replica // 250}.{replica % 250 + 1}"
 
 
 class Shard:
-    """The servers of one process."""
+    """The stand-in servers of one process."""
 
     def __init__(self, plan: Plan, clock: DayClock, writer: log.EventLogWriter) -> None:
-        self._day, self._clock = plan.day, clock
-        links = Links(plan.day)
-        numbers = itertools.count(plan.shard, plan.shards)
-        self.servers: dict[int, StandIn] = {}
-        for server in plan.day.servers[plan.shard :: plan.shards]:
-            rng = seeded(plan.day.seed, server.party)
-            made = StandIn(server, plan.day.faults, clock, writer, lambda: next(numbers), rng)
-            for copy in plan.day.replicas:
-                inwards = links.between(copy.party, server.party)
-                outwards = links.between(server.party, copy.party)
-                made.gates.append(Gate(clock, copy.number, made, inwards, outwards, rng))
-            self.servers[server.number] = made
+        self._run, self._clock = plan.run, clock
+        links = Links(plan.run)
+        attempt_numbers = itertools.count(plan.shard, plan.shards)
+        self.servers: dict[int, StandInServer] = {}
+        for server in plan.run.servers[plan.shard :: plan.shards]:
+            rng = seeded(plan.run.seed, server.party)
+            stand_in = StandInServer(
+                server, plan.run.faults, clock, writer, lambda: next(attempt_numbers), rng
+            )
+            for replica in plan.run.replicas:
+                inwards = links.between(replica.party, server.party)
+                outwards = links.between(server.party, replica.party)
+                stand_in.gates.append(Gate(clock, replica.number, stand_in, inwards, outwards, rng))
+            self.servers[server.number] = stand_in
 
     def bind(self) -> dict[str, list[str]]:
-        """Take addresses; give those of each server, one for each copy."""
+        """Bind all gates; return the addresses of each server, one per replica."""
         return {
-            str(number): [gate.bind(host_for(gate.copy)) for gate in server.gates]
+            str(number): [gate.bind(host_for(gate.replica)) for gate in server.gates]
             for number, server in self.servers.items()
         }
 
     def accept(self) -> None:
-        """Let copies in; the day has not begun."""
+        """Start accepting connections, before the run starts."""
         for server in self.servers.values():
             for gate in server.gates:
                 gate.start()
 
-    def begin(self) -> None:
-        """Plan the day."""
+    def start_run(self) -> None:
+        """Schedule the state changes of servers and links; called when the run starts."""
         loop = asyncio.get_running_loop()
         for server in self.servers.values():
             for gate in server.gates:
-                gate.plan()
-        for at, number, what in server_state_changes(self._day):
+                gate.schedule_link_changes()
+        for at, number, state in server_state_changes(self._run):
             if number in self.servers:
-                loop.call_later(self._clock.wait_s(at), self.servers[number].live, what)
+                loop.call_later(self._clock.wait_s(at), self.servers[number].change_state, state)
 
     def close(self) -> None:
         """Close the listeners of all servers."""
@@ -87,20 +90,20 @@
 
 async def main() -> None:
     """Run the shard that standard input describes, until standard input is closed."""
-    told = await lines_of_input()
-    plan = msgspec.json.decode(await told.readline(), type=Plan)
+    commands = await lines_of_input()
+    plan = msgspec.json.decode(await commands.readline(), type=Plan)
     clock = DayClock()
-    with log.EventLogWriter(Path(plan.part)) as writer:
+    with log.EventLogWriter(Path(plan.part_path)) as writer:
         shard = Shard(plan, clock, writer)
         print(msgspec.json.encode(shard.bind()).decode(), flush=True)
         shard.accept()
-        began = await told.readline()
-        if began:
-            clock.begin(int(began))
-            shard.begin()
-            watch = asyncio.create_task(watch_lateness(clock, f"servers {plan.shard}", writer))
-            await told.read()
-            watch.cancel()
+        start_line = await commands.readline()
+        if start_line:
+            clock.begin(int(start_line))
+            shard.start_run()
+            lateness_watch = asyncio.create_task(watch_lateness(clock, f"servers {plan.shard}", writer))
+            await commands.read()
+            lateness_watch.cancel()
         shard.close()
 
 
--- a/testbed/emulator/shifted_clock.py
+++ b/testbed/emulator/shifted_clock.py
@@ -1,6 +1,6 @@
-"""Runs a program whose clock differs: `python -m testbed.emulator.shifted_clock MODULE`.
+"""Runs a program with a shifted wall clock: `python -m testbed.emulator.shifted_clock MODULE`.
 
-What `time` tells of the time of day is moved by `$PLUMTRESTLE_CLOCK_AHEAD` seconds; monotonic clocks stay.
+`time.time` and `time.time_ns` are ahead by `$PLUMTRESTLE_CLOCK_AHEAD` seconds; monotonic clocks are not.
 """
 
 from __future__ import annotations
--- a/testbed/emulator/switch.py
+++ b/testbed/emulator/switch.py
@@ -1,9 +1,10 @@
-"""The switch: every byte between copies and other parties passes through it, by source and destination.
+"""The switch: all TCP traffic between replicas and other parties passes through it, over one link per pair.
 
-A `Gate` is the address of one party as one copy sees it.  Behind it stands the party itself, in this process:
-what comes on a connection is handed to it, and what it answers is handed back, when the link lets it through.
-While a link is cut a connection never comes up: the gate stops accepting and fills its own queue, so that the
-system drops what knocks, as a cable that is out would.
+A `Gate` is the address of one party as one replica sees it.  The party itself runs in the same process:
+received bytes are handed to it, and its responses are sent back, at the times that the link determines.
+
+While a link is cut no connection can be established: the gate stops accepting and fills the backlog of its
+own listener, so that the kernel drops SYN packets, as with an unplugged cable.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 from testbed.links import NEVER, Link
 
 _BACKLOG = 512
-_MOST_WAITING = 1 << 20  # bytes on their way in one direction; more are not read
-_RESET = struct.pack("ii", 1, 0)  # linger for no time: close by a reset
+_MAX_BUFFERED_BYTES = 1 << 20  # per direction; above it, reading is paused
+_LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER with time 0: closing the socket sends a reset
 
 
 class Handler(Protocol):
@@ -31,54 +32,54 @@
         """Handle bytes from the other side."""
         ...
 
-    def ended(self) -> None:
-        """The copy closed it, and the word of that came through."""
+    def closed(self) -> None:
+        """Handle the end of the connection, once the link has delivered it."""
 
 
 class Party(Protocol):
-    """Who stands behind gates."""
+    """A party that replicas connect to through gates."""
 
-    def connected(self, copy: int, passage: Passage) -> Handler:
+    def connected(self, replica: int, connection: SwitchConnection) -> Handler:
         """Create the handler of a new connection from a replica."""
         ...
 
 
 class _Pipe:
-    """One direction of a connection: bytes in order, each when the link lets it through."""
+    """One direction of a connection: delivers bytes in order at the times that the link determines."""
 
     def __init__(self, clock: DayClock, link: Link, deliver: Callable[[bytes | None], None]) -> None:
         self._clock, self._link, self._deliver = clock, link, deliver
-        self._waiting: deque[tuple[int, bytes | None, Callable[[], None] | None]] = deque()
+        self._queue: deque[tuple[int, bytes | None, Callable[[], None] | None]] = deque()
         self._timer: asyncio.TimerHandle | None = None
-        self._last = 0
-        self.size = 0
+        self._last_arrival_us = 0
+        self.buffered_bytes = 0
 
     def push(self, data: bytes | None, delivered: Callable[[], None] | None = None) -> None:
-        """Send bytes, or (None) the end."""
-        now = self._clock.now()
-        at = self._last = max(self._link.arrival(now), self._last)
-        if at <= now and not self._waiting:
-            self._pass(data, delivered)
+        """Queue bytes, or None for the end of the connection; `delivered` is called on delivery."""
+        now_us = self._clock.now()
+        at_us = self._last_arrival_us = max(self._link.arrival(now_us), self._last_arrival_us)
+        if at_us <= now_us and not self._queue:
+            self._deliver_now(data, delivered)
             return
-        self._waiting.append((at, data, delivered))
-        self.size += len(data or b"")
-        if self._timer is None and at < NEVER:
-            self._arm(at)
+        self._queue.append((at_us, data, delivered))
+        self.buffered_bytes += len(data or b"")
+        if self._timer is None and at_us < NEVER:
+            self._start_timer(at_us)
 
-    def _arm(self, at: int) -> None:
-        self._timer = asyncio.get_running_loop().call_later(self._clock.wait_s(at), self._due)
+    def _start_timer(self, at_us: int) -> None:
+        self._timer = asyncio.get_running_loop().call_later(self._clock.wait_s(at_us), self._deliver_due)
 
-    def _due(self) -> None:
+    def _deliver_due(self) -> None:
         self._timer = None
-        now = self._clock.now()
-        while self._waiting and self._waiting[0][0] <= now:
-            _, data, delivered = self._waiting.popleft()
-            self.size -= len(data or b"")
-            self._pass(data, delivered)
-        if self._waiting and self._waiting[0][0] < NEVER:
-            self._arm(self._waiting[0][0])
-
-    def _pass(self, data: bytes | None, delivered: Callable[[], None] | None) -> None:
+        now_us = self._clock.now()
+        while self._queue and self._queue[0][0] <= now_us:
+            _, data, delivered = self._queue.popleft()
+            self.buffered_bytes -= len(data or b"")
+            self._deliver_now(data, delivered)
+        if self._queue and self._queue[0][0] < NEVER:
+            self._start_timer(self._queue[0][0])
+
+    def _deliver_now(self, data: bytes | None, delivered: Callable[[], None] | None) -> None:
         self._deliver(data)
         if delivered is not None:
             delivered()
@@ -86,63 +87,63 @@
     def close(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._waiting.clear()
+        self._queue.clear()
 
 
-class Passage(asyncio.Protocol):
+class SwitchConnection(asyncio.Protocol):
     """One connection through the switch."""
 
     def __init__(self, gate: Gate) -> None:
         self._gate = gate
         self._transport: asyncio.Transport | None = None
-        self._in = _Pipe(gate.clock, gate.inwards, self._comes_in)
-        self._out = _Pipe(gate.clock, gate.outwards, self._goes_out)
+        self._inbound = _Pipe(gate.clock, gate.inwards, self._deliver_to_party)
+        self._outbound = _Pipe(gate.clock, gate.outwards, self._deliver_to_replica)
         self._handler: Handler | None = None
-        self._is_over = False
+        self._is_reset = False
 
-    # From the copy
+    # From the replica: called by asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the gate and create the handler, as asyncio calls it."""
-        # The event loop's own class is none of asyncio's, so there is nothing to check.
+        """Register with the gate and create the handler."""
+        # uvloop's transports are not subclasses of asyncio.Transport, so no isinstance check is possible.
         self._transport = cast(asyncio.Transport, transport)
-        self._gate.passages.add(self)
-        self._handler = self._gate.party.connected(self._gate.copy, self)
+        self._gate.connections.add(self)
+        self._handler = self._gate.party.connected(self._gate.replica, self)
 
     def data_received(self, data: bytes) -> None:
         """Queue the bytes; pause reading while too many wait."""
-        self._in.push(data)
-        if self._in.size > _MOST_WAITING and self._transport is not None:
+        self._inbound.push(data)
+        if self._inbound.buffered_bytes > _MAX_BUFFERED_BYTES and self._transport is not None:
             self._transport.pause_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
         """Unregister from the gate and end both directions."""
-        self._gate.passages.discard(self)
-        self._out.close()
-        self._in.push(None)
+        self._gate.connections.discard(self)
+        self._outbound.close()
+        self._inbound.push(None)
 
-    def _comes_in(self, data: bytes | None) -> None:
+    def _deliver_to_party(self, data: bytes | None) -> None:
         if self._handler is None:
             return
         if data is None:
             handler, self._handler = self._handler, None
-            handler.ended()
+            handler.closed()
             return
         self._handler.received(data)
-        if self._transport is not None and self._in.size <= _MOST_WAITING:
+        if self._transport is not None and self._inbound.buffered_bytes <= _MAX_BUFFERED_BYTES:
             self._transport.resume_reading()
 
     # From the party
 
     def send(self, data: bytes, delivered: Callable[[], None] | None = None) -> None:
-        """Send to the copy; `delivered` is called when it was passed on."""
-        if self._gate.outwards.cuts_off(self._gate.clock.now(), self._gate.chance()):
-            self._out.push(data[: len(data) // 2])
-            self._out.push(None)
+        """Send to the replica; `delivered` is called once the link has delivered the bytes."""
+        if self._gate.outwards.cuts_off(self._gate.clock.now(), self._gate.random_fraction()):
+            self._outbound.push(data[: len(data) // 2])
+            self._outbound.push(None)
             return
-        self._out.push(data, delivered)
+        self._outbound.push(data, delivered)
 
-    def _goes_out(self, data: bytes | None) -> None:
+    def _deliver_to_replica(self, data: bytes | None) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         if data is None:
@@ -151,100 +152,104 @@
             self._transport.write(data)
 
     def reset(self) -> None:
-        """End it at once, as a process that dies does."""
-        if self._transport is not None and not self._is_over:
-            self._is_over = True
-            own = self._transport.get_extra_info("socket")
-            if own is not None and not self._transport.is_closing():
-                own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        """Close the connection at once with a reset, as the exit of a process does."""
+        if self._transport is not None and not self._is_reset:
+            self._is_reset = True
+            sock = self._transport.get_extra_info("socket")
+            if sock is not None and not self._transport.is_closing():
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
             self._transport.abort()
 
-    def die(self) -> None:
-        """The party's process is gone; the copy learns it when the link lets that through."""
+    def close_after_process_exit(self) -> None:
+        """End the connection because the party's process exited; the reset travels over the link."""
         if self._handler is not None:
             handler, self._handler = self._handler, None
-            handler.ended()
-        self._out.push(None)
+            handler.closed()
+        self._outbound.push(None)
 
-    def drop(self) -> None:
-        """Let go of everything, whatever waits."""
+    def discard(self) -> None:
+        """Reset the connection and discard everything that is queued."""
         self._handler = None
         self.reset()
-        self._in.close()
-        self._out.close()
+        self._inbound.close()
+        self._outbound.close()
 
 
 class Gate:
-    """The address of one party as one copy sees it."""
+    """The address of one party as one replica sees it."""
 
     def __init__(
-        self, clock: DayClock, copy: int, party: Party, inwards: Link, outwards: Link, rng: random.Random
+        self, clock: DayClock, replica: int, party: Party, inwards: Link, outwards: Link, rng: random.Random
     ) -> None:
-        self.clock, self.copy, self.party = clock, copy, party
+        self.clock, self.replica, self.party = clock, replica, party
         self.inwards, self.outwards = inwards, outwards
-        self.chance = rng.random
-        self.passages: set[Passage] = set()
+        self.random_fraction = rng.random
+        self.connections: set[SwitchConnection] = set()
         self._socket: socket.socket | None = None
         self._address: tuple[str, int] = ("", 0)
         self._fillers: list[socket.socket] = []
-        self._filled: set[tuple[str, int]] = set()  # where our own connections come from
+        self._filler_addresses: set[tuple[str, int]] = set()  # source addresses of the fillers
         self._is_up = True
         self._is_accepting = False
         self._tasks: set[asyncio.Task[None]] = set()
 
     def bind(self, host: str) -> str:
-        """Take an address of this host with a port that the system chooses; give it as text."""
+        """Listen at this host on a port that the kernel chooses; return `host:port`."""
         self._listen((host, 0))
         return f"{self._address[0]}:{self._address[1]}"
 
     def _listen(self, address: tuple[str, int]) -> None:
-        own = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        own.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        own.setblocking(False)  # noqa: FBT003 - its only form
-        own.bind(address)
-        own.listen(_BACKLOG)
-        self._socket, self._address = own, own.getsockname()
+        listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.setblocking(False)  # noqa: FBT003 - its only form
+        listener.bind(address)
+        listener.listen(_BACKLOG)
+        self._socket, self._address = listener, listener.getsockname()
 
     def start(self) -> None:
-        """Accept from now on."""
-        self.follow()
+        """Start accepting connections."""
+        self.update_listener()
 
-    def plan(self) -> None:
-        """The day begins: plan every opening and closing of its links."""
+    def schedule_link_changes(self) -> None:
+        """Schedule a listener update at each start and end of a link cut; called when the run starts."""
         loop = asyncio.get_running_loop()
         for link in (self.inwards, self.outwards):
-            for since, until in link.closings():
-                for at in (since, until):
-                    if at < NEVER:
-                        loop.call_later(self.clock.wait_s(at) + 0.0005, self.follow)
+            for cut_start_us, cut_end_us in link.closings():
+                for at_us in (cut_start_us, cut_end_us):
+                    if at_us < NEVER:
+                        loop.call_later(self.clock.wait_s(at_us) + 0.0005, self.update_listener)
 
     def down(self) -> None:
-        """The party's process ends: connections are reset and new ones refused."""
+        """Simulate the exit of the party's process: reset connections and refuse new ones."""
         self._is_up = False
-        self.follow()
-        for passage in list(self.passages):
-            passage.die()
+        self.update_listener()
+        for connection in list(self.connections):
+            connection.close_after_process_exit()
 
     def up(self) -> None:
-        """The party's process is there again."""
+        """Simulate the restart of the party's process: accept connections again."""
         self._is_up = True
-        self.follow()
+        self.update_listener()
+
+    def update_listener(self) -> None:
+        """Bring the listener in line with the state of the links and of the party's process.
 
-    def follow(self) -> None:
-        """Be what the party's process and the links are now."""
-        now = self.clock.now()
-        is_cut = self.inwards.is_cut(now) or self.outwards.is_cut(now)
+        Connections are accepted if both are up and refused if the process is down.  While a link is cut,
+        connection attempts get no response.
+        """
+        now_us = self.clock.now()
+        is_cut = self.inwards.is_cut(now_us) or self.outwards.is_cut(now_us)
         if self._socket is None and (is_cut or self._is_up):
             self._listen(self._address)
         if is_cut:
             self._stop_accepting()
-            self._fill()
+            self._block_backlog()
         elif self._is_up:
-            self._empty()
+            self._unblock_backlog()
             self._start_accepting()
         else:
             self._stop_accepting()
-            self._empty()
+            self._unblock_backlog()
             if self._socket is not None:
                 self._socket.close()
                 self._socket = None
@@ -261,8 +266,8 @@
             self._is_accepting = False
             asyncio.get_running_loop().remove_reader(self._socket.fileno())
 
-    def _fill(self) -> None:
-        """Leave no place in the queue, so that the system drops what knocks."""
+    def _block_backlog(self) -> None:
+        """Fill the listener's backlog, so that the kernel drops SYN packets."""
         assert self._socket is not None
         if self._fillers:
             return
@@ -271,9 +276,9 @@
         filler.setblocking(False)  # noqa: FBT003 - its only form
         filler.connect_ex(self._address)
         self._fillers.append(filler)
-        self._filled.add(filler.getsockname())
+        self._filler_addresses.add(filler.getsockname())
 
-    def _empty(self) -> None:
+    def _unblock_backlog(self) -> None:
         for filler in self._fillers:
             filler.close()
         self._fillers.clear()
@@ -285,28 +290,28 @@
                 accepted, source = self._socket.accept()
             except (BlockingIOError, ConnectionAbortedError):
                 return
-            if source in self._filled:
-                self._filled.discard(source)
+            if source in self._filler_addresses:
+                self._filler_addresses.discard(source)
                 accepted.close()
                 continue
             accepted.setblocking(False)  # noqa: FBT003 - its only form
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            task = asyncio.get_running_loop().create_task(self._take(accepted))
+            task = asyncio.get_running_loop().create_task(self._connect_accepted(accepted))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _take(self, accepted: socket.socket) -> None:
+    async def _connect_accepted(self, accepted: socket.socket) -> None:
         try:
-            await asyncio.get_running_loop().connect_accepted_socket(lambda: Passage(self), accepted)
+            await asyncio.get_running_loop().connect_accepted_socket(lambda: SwitchConnection(self), accepted)
         except OSError:
             accepted.close()
 
     def close(self) -> None:
-        """Stop listening, drop all connections and cancel the tasks."""
+        """Stop listening, discard all connections and cancel the tasks."""
         self._stop_accepting()
-        self._empty()
-        for passage in list(self.passages):
-            passage.drop()
+        self._unblock_backlog()
+        for connection in list(self.connections):
+            connection.discard()
         for task in self._tasks:
             task.cancel()
         if self._socket is not None:
--- a/testbed/scale/crew.py
+++ b/testbed/scale/crew.py
@@ -161,7 +161,7 @@
             own = self.real[member]
             await self._all(Order("leave", [member]))
             if own.process is not None:
-                await own.stop(own.process, own.life)
+                await own.stop(own.process, own.incarnation)
         else:
             await self._all(Order("leave", [member]))
         await self.start([member])
--- a/testbed/scale/real.py
+++ b/testbed/scale/real.py
@@ -46,7 +46,7 @@
     @property
     def is_alive(self) -> bool:
         """Whether the process was started and has not ended."""
-        return self.process is not None and not self.process.ended.is_set()
+        return self.process is not None and not self.process.exited.is_set()
 
     async def view(self) -> str | None:
         """What it believes of all members, a letter each; None where it does not say."""
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,7 +10,7 @@
 
 import pytest
 from loopback import run_async, wait_until
-from test_emulator import read_small, running_below
+from test_emulator import processes_with_folder, small_scenario
 from test_scenario import SMALL
 
 from testbed import events as log
@@ -79,16 +79,16 @@
 
 def test_an_interrupted_run_leaves_a_log_and_nothing_else(tmp_path: Path) -> None:
     world, out = tmp_path / "long.toml", tmp_path / "day"
-    world.write_text(read_small().replace("seconds = 1", "seconds = 300"))
+    world.write_text(small_scenario().replace("seconds = 1", "seconds = 300"))
     command = [*COMMAND, "run", str(world), "--no-build", "--out", str(out), "--root", str(ROOT)]
     player = subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True)
 
     async def work() -> None:
         part = out / "part-load-0.jsonl"
-        await wait_until(lambda: part.exists() and len(running_below(out)) == 2)
+        await wait_until(lambda: part.exists() and len(processes_with_folder(out)) == 2)
         player.send_signal(signal.SIGINT)
         await wait_until(lambda: player.poll() is not None)
-        await wait_until(lambda: running_below(out) == [])
+        await wait_until(lambda: processes_with_folder(out) == [])
 
     run_async(work)
     assert player.returncode == 130
--- a/tests/test_cluster_membership_processes.py
+++ b/tests/test_cluster_membership_processes.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from test_emulator import GENEROUS_US, ground, read_small
+from test_emulator import GRACE_US, run_options, small_scenario
 from test_testbed_models import fault_table, make_run
 
 from testbed import events as log
@@ -19,15 +19,15 @@
 
 
 def played(day: ScenarioRun, folder: Path) -> History:
-    events = log.load(asyncio.run(run_scenario(day, ground(folder))))
-    verdict = check_invariants(events, slack_us=GENEROUS_US)
+    events = log.load(asyncio.run(run_scenario(day, run_options(folder))))
+    verdict = check_invariants(events, slack_us=GRACE_US)
     assert verdict.violations == () and verdict.is_complete
     return build_history(events)
 
 
 def small(count: int, seconds: int, more: str = "console = true") -> str:
     base = (
-        read_small()
+        small_scenario()
         .replace("seconds = 1", f"seconds = {seconds}")
         .replace("rate_per_s = 20", "rate_per_s = 300")
     )
--- a/tests/test_configuration_rollout.py
+++ b/tests/test_configuration_rollout.py
@@ -17,7 +17,7 @@
 
 import pytest
 from loopback import HOST, free_udp_addresses, run_async, wait_until
-from test_emulator import PROGRAM, ROOT, read_small
+from test_emulator import PROGRAM, ROOT, small_scenario
 from test_program import VALID_CONFIGURATION
 from test_testbed_models import fault_table, make_run
 
@@ -91,7 +91,7 @@
     faults = "".join(
         fault_table(kind, 0.001, 300, amount=0.2, **everywhere) for kind in ("loss", "double", "reorder")
     )
-    base = read_small().replace("count = 2", f"count = {count}\nconsole = true")
+    base = small_scenario().replace("count = 2", f"count = {count}\nconsole = true")
     day = make_run(faults, base)
     clock = DayClock()
     with log.EventLogWriter(folder / "log.jsonl") as writer:
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -11,7 +11,7 @@
 
 import pytest
 from test_cli import ran
-from test_emulator import read_small
+from test_emulator import small_scenario
 
 from testbed.emulator.replica_process import RunError
 from testbed.emulator.run_command import run_with_wrapper
@@ -85,7 +85,7 @@
 
 
 def test_an_experiment_goes_on_where_it_stopped(tmp_path: Path) -> None:
-    grid = Grid((("small", read_small()),), (1, 2), (MODULE, RANDOM))
+    grid = Grid((("small", small_scenario()),), (1, 2), (MODULE, RANDOM))
     told: list[tuple[int, int]] = []
     store = Store(tmp_path / "r.sqlite")
     first = Grid(grid.worlds, (1,), grid.variants)
@@ -102,7 +102,7 @@
 
 
 def test_a_cell_that_fails_is_told_and_not_kept(tmp_path: Path) -> None:
-    broken = read_small().replace("count = 1", "count = 0")
+    broken = small_scenario().replace("count = 1", "count = 0")
     store = Store(tmp_path / "r.sqlite")
     failed = asyncio.run(play(Grid((("small", broken),), (1,), (MODULE,)), store, 1, lambda done, of: None))
     assert len(failed) == 1 and "servers[0].count" in failed[0][1] and store.results() == []
@@ -130,7 +130,7 @@
 
 
 def test_a_changed_setting_is_told_to_every_copy_and_a_rate_to_the_load() -> None:
-    cell = Cell("w", read_small(), 1, "v", "model", "", changed=("bounds.mayCancel", "false"), rate=2.0)
+    cell = Cell("w", small_scenario(), 1, "v", "model", "", changed=("bounds.mayCancel", "false"), rate=2.0)
     day = drawn(cell)
     assert day.clients.rate_per_s == 40 and replica_settings(day, 1)["bounds"]["mayCancel"] is False
     assert replica_settings(draw_run(read_scenario("calm"), 1), 0)["bounds"]["mayCancel"] is True
@@ -146,7 +146,7 @@
 
 def test_compare_and_report_from_the_command_line(tmp_path: Path) -> None:
     world, db, out = tmp_path / "small.toml", tmp_path / "r.sqlite", tmp_path / "page.html"
-    world.write_text(read_small())
+    world.write_text(small_scenario())
     done = ran("compare", world, "-v", "module", "-v", "off:reach", "--seeds", "2", "--db", db, "--json")
     assert done.returncode == 0, done.stderr
     rows = json.loads(done.stdout)
@@ -177,7 +177,7 @@
 def test_an_earlier_commit_brings_its_own_module(package: str, tmp_path: Path) -> None:
     source = "raise SystemExit('the earlier module')\n"
     root = repository(tmp_path / "repo", {f"{package}/__init__.py": source})
-    grid = Grid((("small", read_small()),), (1,), (variant("commit:HEAD"),), root=root)
+    grid = Grid((("small", small_scenario()),), (1,), (variant("commit:HEAD"),), root=root)
     store = Store(tmp_path / "r.sqlite")
     failed = asyncio.run(play(grid, store, 1, lambda done, of: None))
     assert [why for _, why in failed] == ["the earlier module"]
@@ -265,7 +265,7 @@
 def test_a_commit_of_the_earlier_layout_plays_a_day(tmp_path: Path) -> None:
     files = {"__init__": "", "interface": EARLIER_INTERFACE, "balancer": EARLIER_BALANCER}
     root = repository(tmp_path / "repo", {f"magpiemux/{name}.py": text for name, text in files.items()})
-    grid = Grid((("small", read_small()),), (1,), (variant("commit:HEAD"),), root=root)
+    grid = Grid((("small", small_scenario()),), (1,), (variant("commit:HEAD"),), root=root)
     store = Store(tmp_path / "r.sqlite")
     assert asyncio.run(play(grid, store, 1, lambda done, of: None)) == []
     ((_, result),) = store.results()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 
 import pytest
 from msgspec.structs import replace
-from test_emulator import PROGRAM, ROOT, running_below
+from test_emulator import PROGRAM, ROOT, processes_with_folder
 
 from sidecar.cluster.actions import MemberStateChanged
 from sidecar.cluster.message import MemberState
@@ -63,7 +63,7 @@
     assert found["discovery.calls", "start-at-once", "hollow"] > 0.0
     assert found["discovery.lines", "start-at-once", "hollow"] > 0.0
     assert found["member.cpu", "kill-back-off", "real"] >= 0.0
-    assert running_below(tmp_path) == []
+    assert processes_with_folder(tmp_path) == []
 
 
 def test_a_new_configuration_that_one_member_is_told_of_is_in_force_everywhere(tmp_path: Path) -> None:
@@ -99,11 +99,13 @@
         stderr=subprocess.DEVNULL,
     )
     try:
-        _wait_for(lambda: len(running_below(tmp_path)) >= 5)  # two workers, two members, one with it off
+        _wait_for(
+            lambda: len(processes_with_folder(tmp_path)) >= 5
+        )  # two workers, two members, one with it off
     finally:
         run.send_signal(number)
     run.wait(GENEROUS_S)
-    _wait_for(lambda: running_below(tmp_path) == [])
+    _wait_for(lambda: processes_with_folder(tmp_path) == [])
 
 
 def _wait_for(is_so: Any) -> None:
