--- a/testbed/emulator/play.py
+++ b/testbed/emulator/play.py
@@ -158,7 +158,7 @@
         self._discovery: StandInDiscovery | None = None
         self._relay = Relay(self._clock, self._links, writer, seeded(run.seed, "datagrams"))
         self._tasks: list[asyncio.Task[Any]] = []
-        self._failed: asyncio.Future[None] | None = None  # set when a background task fails
+        self._failure: asyncio.Future[None] | None = None  # set when a background task fails
 
     # Before the run
 
@@ -225,12 +225,12 @@
         )
         gate.start()
 
-        process.endpoint_list = lambda: discovery.initial_list(replica.number)
+        process.get_endpoint_list = lambda: discovery.initial_list(replica.number)
 
     # The run
 
     async def run(self) -> None:
-        """Inject faults until all load workers are replies and the run's duration has passed."""
+        """Inject faults until all load workers are done and the run's duration has passed."""
         assert self._discovery is not None
         start_ns = time.monotonic_ns() + round(_START_DELAY_S * 1e9)
         self._clock.begin(start_ns)
@@ -239,7 +239,7 @@
         self._discovery.start()
         for gate in self._gates:
             gate.schedule_link_changes()
-        self._failed = asyncio.get_running_loop().create_future()
+        self._failure = asyncio.get_running_loop().create_future()
         lateness_watch = asyncio.create_task(watch_lateness(self._clock, "discovery", self._writer))
         self._tasks = [lateness_watch, asyncio.create_task(self._report_metrics())]
         self._tasks += [*(asyncio.create_task(self._inject_fault(fault)) for fault in self._run.faults)]
@@ -250,9 +250,9 @@
         replies = [asyncio.create_task(child.receive(timeout_s)) for child in self._load_workers]
         self._tasks += replies
         all_replies = asyncio.gather(*replies)
-        await asyncio.wait((all_replies, self._failed), return_when=asyncio.FIRST_COMPLETED)
-        if self._failed.done():
-            self._failed.result()
+        await asyncio.wait((all_replies, self._failure), return_when=asyncio.FIRST_COMPLETED)
+        if self._failure.done():
+            self._failure.result()
         await all_replies
         await asyncio.sleep(self._clock.wait_s(self._run.duration_us))
         self._writer.write(log.RunFinished(at_us=max(self._clock.now(), self._run.duration_us)))
@@ -264,8 +264,8 @@
 
     def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         error = None if task.cancelled() else task.exception()
-        if error is not None and self._failed is not None and not self._failed.done():
-            self._failed.set_exception(error)
+        if error is not None and self._failure is not None and not self._failure.done():
+            self._failure.set_exception(error)
 
     async def _inject_fault(self, fault: Fault) -> None:
         await asyncio.sleep(self._clock.wait_s(fault.start_us))
--- a/testbed/emulator/replica_process.py
+++ b/testbed/emulator/replica_process.py
@@ -165,7 +165,7 @@
         self.replica, self.folder = replica, folder
         self.process: Process | None = None
         self.incarnation = 0
-        self.endpoint_list: Callable[[], object] = dict  # called at each start, for the configuration
+        self.get_endpoint_list: Callable[[], object] = dict  # called at each start, for the configuration
         self.config: dict[str, Any] = {}
         self._run, self._command, self._root = run, command, root
         self._clock, self._writer, self._rng = clock, writer, rng
@@ -232,7 +232,11 @@
             for leftover in (self.folder / "tmp").iterdir():
                 leftover.unlink()
         path = self.folder / "config.json"
-        config = {**self.config, "seed": f"{self._rng.getrandbits(64):016x}", "known": self.endpoint_list()}
+        config = {
+            **self.config,
+            "seed": f"{self._rng.getrandbits(64):016x}",
+            "known": self.get_endpoint_list(),
+        }
         path.write_text(json.dumps(config))
         environment = {"BALANCER_CONFIG": str(path), "TMPDIR": str(self.folder / "tmp")}
         for key in ("name", "listen", "discovery"):
--- a/testbed/scale/real.py
+++ b/testbed/scale/real.py
@@ -41,7 +41,7 @@
         rng = random.Random(f"real {day.seed} {number}")
         super().__init__(day, day.replicas[number], command, root, folder, clock, writer, rng, 60.0)
         self.number = number
-        self.endpoint_list = lambda: None  # the list is discovery's to tell
+        self.get_endpoint_list = lambda: None  # the list is discovery's to tell
 
     @property
     def is_alive(self) -> bool:
--- a/tests/test_configuration_rollout.py
+++ b/tests/test_configuration_rollout.py
@@ -114,7 +114,7 @@
         for replica in replicas:
             replica.configure(f"{HOST}:9", relay.peers, relay.broadcast_address)
             replica.config |= {**SHORT_ROUNDS, "version": 1}
-            replica.endpoint_list = lambda: VALID_CONFIGURATION["known"]
+            replica.get_endpoint_list = lambda: VALID_CONFIGURATION["known"]
         clock.begin(0)
         try:
             await asyncio.gather(*(replica.start() for replica in replicas))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -373,16 +373,16 @@
         with log.EventLogWriter(tmp_path / "part.jsonl") as writer:
             run, clock = make_run(base=small_scenario()), DayClock()
             rng, folder = random.Random(1), tmp_path / "copy"
-            copy = ReplicaProcess(
+            replica = ReplicaProcess(
                 run, run.replicas[0], "exec sleep 600", ROOT, folder, clock, writer, rng, 1.0
             )
-            copy.configure("127.0.0.1:9", [], "")
+            replica.configure("127.0.0.1:9", [], "")
             for incarnation in (1, 2):
                 with pytest.raises(RunError, match="not ready"):
-                    await copy.start()
-                assert copy.incarnation == incarnation
+                    await replica.start()
+                assert replica.incarnation == incarnation
             assert len(processes_with_folder(tmp_path)) == 2
-            await copy.close()
+            await replica.close()
 
     run_async(work)
     assert processes_with_folder(tmp_path) == []
