--- a/testbed/scale/real.py
+++ b/testbed/scale/real.py
@@ -41,12 +41,12 @@
         rng = random.Random(f"real {day.seed} {number}")
         super().__init__(day, day.replicas[number], command, root, folder, clock, writer, rng, 60.0)
         self.number = number
-        self.endpoint_list = lambda: None  # the list is discovery's to tell
+        self.get_endpoint_list = lambda: None  # the list is discovery's to tell
 
     @property
     def is_alive(self) -> bool:
         """Whether the process was started and has not ended."""
-        return self.process is not None and not self.process.ended.is_set()
+        return self.process is not None and not self.process.exited.is_set()
 
     async def view(self) -> str | None:
         """What it believes of all members, a letter each; None where it does not say."""
