--- a/Makefile
+++ b/Makefile
@@ -34,11 +34,11 @@
 	test -n "$$(find build/native -name 'balancer*.so')"
 	PYTHONPATH=build/native:. $(BIN)/python -P -m pytest -n $(TEST_WORKERS)
 
-# This tree beside the commit before the C parser, or another, on pinned cores: `make bench AGAINST=COMMIT`.
+# This tree compared with the commit before the C parser, or with another, on pinned cores: `make bench AGAINST=COMMIT`.
 bench: setup
 	$(BIN)/python -m bench $(if $(AGAINST),--against $(AGAINST))
 
-# What the proving ground itself bears: the emulator's rate, the model's pace and growth.
+# Limits of the test bed itself: the emulator's rate, the simulation's speed and growth.
 bench-ground: setup
 	$(BIN)/python -m bench.ground
 
@@ -57,7 +57,7 @@
 	$(BIN)/python -m bench.stages
 
 
-# The codec against h11, then datagrams between sidecars, guided by coverage, FUZZ_S seconds each; finds go to build/
+# The codec against h11, then datagrams between sidecars, guided by coverage, FUZZ_S seconds each; findings go to build/
 fuzz: setup
 	$(BIN)/pip install -q --disable-pip-version-check atheris==3.0.0
 	mkdir -p build/fuzz
@@ -67,25 +67,25 @@
 	mkdir -p build/fuzz-rollout
 	$(BIN)/python fuzz/fuzz_rollout.py -max_total_time=$(FUZZ_S) -artifact_prefix=build/ build/fuzz-rollout fuzz/corpus-rollout
 
-# Every order of a few events among three members of the tier, deeper than the tests go.
+# Every order of a few events among three members of the cluster, to a greater depth than in the tests.
 explore: setup
 	$(BIN)/python -c 'from testbed.cluster_simulation.explore import explore; print(explore(4, 2, heal_every=3))'
 
-# Many members on this machine, real and hollow ones, each size for itself; figures go to docs/capacity.
+# Many members on this machine, real and simulated ones, one run for each size; samples go to docs/capacity.
 SIZES ?= 50 100 200 400 750
 
 scale: setup
 	for size in $(SIZES); do $(BIN)/sidecar-testbed scale --members $$size --save $(SCALE) || test $$? = 3 || exit 1; done
 
-# What membership costs and how quickly it finds out: tables, and the plot of docs/membership.md.
+# Cost of membership and its detection time: tables, and the plot of docs/membership.md.
 membership: setup
 	$(BIN)/python -m testbed.cluster_simulation.measure
 
-# What membership costs a member by the tier's size, in peace and in each event: data of docs/capacity.md.
+# Cost of membership for each member by cluster size, at rest and in each event: data of docs/capacity.md.
 slopes: setup
 	$(BIN)/python -m testbed.cluster_simulation.slopes $(CASES)
 
-# How soon all sidecars have an answer again after discovery was down, by their number: data of docs/capacity.md.
+# Time until all sidecars have a response again after a discovery outage, by their number: data of docs/capacity.md.
 line: setup
 	$(BIN)/python -m testbed.cluster_simulation.discovery_queue
 
@@ -93,6 +93,6 @@
 capacity: setup
 	$(BIN)/python -m testbed.capacity
 
-# Until a configuration is in force everywhere, and what comparing versions costs: docs/capacity/rollout-*.json.
+# Time until a configuration is in force everywhere, and the cost of comparing versions: docs/capacity/rollout-*.json.
 rollout: setup
 	$(BIN)/python -m testbed.cluster_simulation.rollouts --save
