--- a/testbed/load/client.py
+++ b/testbed/load/client.py
@@ -178,9 +178,7 @@
             timed_out=timed_out,
         )
         self.writer.write(event)
-        self._finish(
-            request, retry_after_us, may_retry=self._behavior.may_retry_after(request.arrival, status)
-        )
+        self._finish(request, retry_after_us, may_retry=self._behavior.is_retryable(request.arrival, status))
 
     def connection_closed(
         self, connection: Connection, request: ClientRequest | None, *, may_have_been_read: bool
--- a/testbed/load/client_behavior.py
+++ b/testbed/load/client_behavior.py
@@ -26,7 +26,7 @@
         remaining_us = max(arrival.at_us + deadline_us - now_us, _MIN_TIMEOUT_US)
         return now_us + min(round(deadline_us * self._run.clients.timeout_fraction), remaining_us)
 
-    def may_retry_after(self, arrival: Arrival, status: int) -> bool:
+    def is_retryable(self, arrival: Arrival, status: int) -> bool:
         """Whether a request that ended with this status (0: no response) may be retried.
 
         Rejected requests may always be retried; others only if they are safe to repeat: reads, and requests
--- a/testbed/simulation/clients.py
+++ b/testbed/simulation/clients.py
@@ -102,7 +102,7 @@
                 at_us=self._queue.now, request=request, status=status, attempt=attempt, timed_out=timed_out
             )
         )
-        if self._behavior.may_retry_after(arrival, status):
+        if self._behavior.is_retryable(arrival, status):
             self._retry(arrival, request % MAX_REQUESTS_PER_ARRIVAL, after_us)
         self._next()
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -61,12 +61,12 @@
     events = run_and_load(run, tmp_path)
     verdict = check_invariants(events, slack_us=GRACE_US)
     assert verdict.violations == () and verdict.is_complete
-    asked = {
+    logged_arrivals = {
         event.client_request for event in events if isinstance(event, log.RequestSent | log.RequestNotSent)
     }
-    assert asked == {arrival.number for arrival in draw_arrivals(run)}
+    assert logged_arrivals == {arrival.number for arrival in draw_arrivals(run)}
     served = [event for event in events if isinstance(event, log.ResponseReceived) and event.status == 200]
-    assert len(served) > len(asked) / 2
+    assert len(served) > len(logged_arrivals) / 2
     states = [
         (event.replica, event.incarnation, event.state)
         for event in events
@@ -75,13 +75,15 @@
     assert states == [(1, 1, "killed"), (1, 2, "started"), (1, 2, "ready")]
     faults = [(event.fault_number, event.begins) for event in events if isinstance(event, log.FaultChanged)]
     assert sorted(faults) == [(number, begins) for number in range(3) for begins in (False, True)]
-    cut = [event.at_us for event in events if isinstance(event, log.FaultChanged) and event.fault_number == 0]
-    heard = [
+    cut_times = [
+        event.at_us for event in events if isinstance(event, log.FaultChanged) and event.fault_number == 0
+    ]
+    delivery_times = [
         event.at_us
         for event in events
         if isinstance(event, log.EndpointListDelivered) and event.replica == 0 and event.at_us > 0
     ]
-    assert heard and not any(cut[0] < at < cut[1] for at in heard)
+    assert delivery_times and not any(cut_times[0] < at < cut_times[1] for at in delivery_times)
     assert processes_with_folder(tmp_path) == []
 
 
@@ -181,7 +183,7 @@
     """A party that sends back the bytes that it receives."""
 
     def __init__(self) -> None:
-        self.heard: list[bytes] = []
+        self.received: list[bytes] = []
         self.connections: list[SwitchConnection] = []
 
     def connected(self, replica: int, connection: SwitchConnection) -> Handler:
@@ -194,11 +196,11 @@
         self._echo, self._connection = echo, connection
 
     def received(self, data: bytes) -> None:
-        self._echo.heard.append(data)
+        self._echo.received.append(data)
         self._connection.send(data)
 
     def closed(self) -> None:
-        self._echo.heard.append(b"end")
+        self._echo.received.append(b"end")
 
 
 class FakeClock(DayClock):
@@ -218,7 +220,7 @@
 def run_on_switch(
     faults: str, work: Callable[[FakeClock, Gate, Echo, tuple[str, int]], Awaitable[None]]
 ) -> None:
-    async def whole() -> None:
+    async def run_work() -> None:
         links, clock, echo = Links(make_run(faults, BASE)), FakeClock(), Echo()
         inwards, outwards = links.between("copy:0", "server:0"), links.between("server:0", "copy:0")
         gate = Gate(clock, 0, echo, inwards, outwards, random.Random(1))
@@ -229,7 +231,7 @@
         finally:
             gate.close()
 
-    run_async(whole)
+    run_async(run_work)
 
 
 BASE = small_scenario()
@@ -242,7 +244,7 @@
         writer.write(b"hello")
         assert await within_timeout(reader.readexactly(5)) == b"hello"
         writer.close()
-        await wait_until(lambda: echo.heard == [b"hello", b"end"])
+        await wait_until(lambda: echo.received == [b"hello", b"end"])
         assert not gate.connections
 
     run_on_switch("", work)
@@ -272,7 +274,7 @@
         gate.update_listener()
         writer.write(b"late")
         await asyncio.sleep(0.05)
-        assert echo.heard == []
+        assert echo.received == []
         clock.at = 800_000
         gate.update_listener()
         assert await within_timeout(reader.readexactly(4)) == b"late"
