--- a/testbed/emulator/replica_process.py
+++ b/testbed/emulator/replica_process.py
@@ -267,7 +267,8 @@
         if not self._clock_offset_s:
             return self._command
         try:
-            return run_command.run_with_wrapper(self._command, "testbed.emulator.shifted_clock")
+            # The command runs in the tree of the variant, where earlier commits have the module by this name.
+            return run_command.run_with_wrapper(self._command, "testbed.emulator.shifted")
         except ValueError as error:
             raise RunError(f"a shifted clock needs a Python module to wrap: {error}") from None
 
--- a/testbed/emulator/shifted_clock.py
+++ b/testbed/emulator/shifted.py
@@ -1,4 +1,4 @@
-"""Runs a program with a shifted wall clock: `python -m testbed.emulator.shifted_clock MODULE`.
+"""Runs a program with a shifted wall clock: `python -m testbed.emulator.shifted MODULE`.
 
 `time.time` and `time.time_ns` are ahead by `$PLUMTRESTLE_CLOCK_AHEAD` seconds; monotonic clocks are not.
 """
