--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -35,9 +35,9 @@
 from testbed.experiment.variants import HELP, Variant, variant
 from testbed.report import tables
 from testbed.report.page import of_one_day, page
-from testbed.scale.keep import kept
-from testbed.scale.plan import Event, Plan, check, fitted
-from testbed.scale.play import play as play_scale
+from testbed.scale.plan import Event, Plan, check, feasible_events
+from testbed.scale.run import run_plan
+from testbed.scale.save import save_results
 from testbed.scenario import (
     ScenarioError,
     draw_run,
@@ -296,7 +296,7 @@
     """Play many members of one tier, real processes beside hollow ones, and measure what they cost."""
     plan = Plan(
         members=members,
-        events=tuple(event) or fitted(members),
+        events=tuple(event) or feasible_events(members),
         real=real,
         off=off,
         workers=workers,
@@ -316,9 +316,9 @@
     if build:
         built(root)
     command = "sidecar-testbed " + " ".join(sys.argv[1:])
-    figures = asyncio.run(play_scale(plan, root, deployed(root), lambda text: print(text, file=sys.stderr)))
+    figures = asyncio.run(run_plan(plan, root, deployed(root), lambda text: print(text, file=sys.stderr)))
     if save:
-        for path in kept(figures, command):
+        for path in save_results(figures, command):
             print(f"kept: {path}", file=sys.stderr)
     told = tables.plain_samples(figures.usable)
     if as_json:
--- a/testbed/cluster_simulation/explore.py
+++ b/testbed/cluster_simulation/explore.py
@@ -18,7 +18,7 @@
 from sidecar.cluster.membership import Membership
 from sidecar.cluster.message import MemberState
 from sidecar.cluster.settings import MembershipSettings
-from testbed.cluster_simulation.virtual import agreed
+from testbed.cluster_simulation.virtual import have_converged
 
 MEMBERS = 3
 _UNIX_S = 1_780_000_000.0
@@ -202,7 +202,7 @@
 
     def _agreed(self) -> bool:
         found = {number: each.membership for number, each in enumerate(self.members)}
-        return agreed({number: each.table for number, each in found.items() if each is not None})
+        return have_converged({number: each.table for number, each in found.items() if each is not None})
 
     def key(self) -> tuple[object, ...]:
         """Two worlds with the same key go on alike, as far as it matters."""
--- a/testbed/cluster_simulation/measure.py
+++ b/testbed/cluster_simulation/measure.py
@@ -57,7 +57,7 @@
 
 def found(size: int, seed: int) -> Found:
     """Kill one member of a cluster at rest whose members know each other."""
-    cluster = VirtualCluster(size, seed, is_known=True)
+    cluster = VirtualCluster(size, seed, is_converged=True)
     cluster.run(_WARM_S)
     cluster.reports.clear()
     killed = seed % size
@@ -77,9 +77,9 @@
 
 def quiet(size: int, seed: int, loss: float, slow: float, seconds: float) -> Quiet:
     """Leave a cluster alone; a part of it is slow: every datagram and tick of these comes 0.4 s late."""
-    cluster = VirtualCluster(size, seed, loss=loss, is_known=True)
+    cluster = VirtualCluster(size, seed, loss=loss, is_converged=True)
     for number in range(round(size * slow)):
-        cluster.processes[number][0].late_us = 400_000
+        cluster.processes[number][0].processing_delay_us = 400_000
     cluster.run(5.0)
     cluster.reports.clear()
     sent, sent_bytes = _sent(cluster)
--- a/testbed/cluster_simulation/rollouts.py
+++ b/testbed/cluster_simulation/rollouts.py
@@ -144,7 +144,7 @@
 
 def _sent(cluster: VersionedCluster) -> Sent:
     """Datagrams and bytes that each member's process has sent so far."""
-    return {each.number: (each.exchanges, each.exchange_bytes) for each in cluster.everyone}
+    return {each.number: (each.exchanges, each.exchange_bytes) for each in cluster.versioned_processes}
 
 
 def _most(before: Sent, after: Sent) -> tuple[int, int]:
--- a/testbed/cluster_simulation/slopes.py
+++ b/testbed/cluster_simulation/slopes.py
@@ -38,7 +38,7 @@
     seeds: Sequence[int] = THREE
     seeds_at_most: Sequence[int] | None = None  # at the largest sizes, if fewer
     loss: float = 0.0
-    is_known: bool = True
+    is_converged: bool = True
 
     def cells(self) -> list[tuple[int, int]]:
         """Sizes and seeds, the longest first."""
@@ -142,7 +142,7 @@
     "region-cut-600s": Case(_cut(600.0), _HEAL, seeds_at_most=(1, 2)),
     "region-cut-3600s": Case(_cut(3_600.0), _HEAL, sizes=(100, 200, 400, 750), seeds=(1,)),
     "start-at-once": Case(
-        _started, "everybody at the same moment, knowing nobody; costs until all agree", is_known=False
+        _started, "everybody at the same moment, knowing nobody; costs until all agree", is_converged=False
     ),
     "loss-5": Case(_rest, f"{_REST_S:g} s, 5% of all datagrams lost", loss=0.05),
     "load": Case(_loaded, f"{_REST_S:g} s, {REQUESTS_PER_S} requests a second told to each member"),
@@ -163,7 +163,7 @@
 def played(name: str, size: int, seed: int) -> list[Sample]:
     """One cell; raise OverdueError where what is waited for does not come."""
     case = CASES[name]
-    trial = Trial(size, seed, loss=case.loss, is_known=case.is_known)
+    trial = Trial(size, seed, loss=case.loss, is_converged=case.is_converged)
     case.play(trial, name)
     return trial.samples
 
--- a/testbed/cluster_simulation/trial.py
+++ b/testbed/cluster_simulation/trial.py
@@ -26,12 +26,12 @@
 class Trial:
     """A cluster, who was killed in it, and who was wrongly called dead."""
 
-    def __init__(self, size: int, seed: int, *, loss: float = 0.0, is_known: bool = True) -> None:
+    def __init__(self, size: int, seed: int, *, loss: float = 0.0, is_converged: bool = True) -> None:
         self.size, self.seed = size, seed
         self.samples: list[Sample] = []
-        self.cluster = VirtualCluster(size, seed, loss=loss, is_known=is_known)
+        self.cluster = VirtualCluster(size, seed, loss=loss, is_converged=is_converged)
         self.cluster.on_report = self._told
-        self._born = {number: self.cluster.of(number).incarnation for number in range(size)}
+        self._born = {number: self.cluster.membership_of(number).incarnation for number in range(size)}
         self._killed: dict[int, int] = {}  # when
         self._known: dict[int, dict[int, int]] = {}  # of a killed one: who knew when
         self._wrong: set[tuple[int, int]] = set()  # member and incarnation
@@ -53,9 +53,9 @@
     def cut(self, seconds: float) -> None:
         """Halves that do not hear each other for so long."""
         self._has_been_cut = True
-        self.cluster.is_cut = self._were_cut
+        self.cluster.is_partitioned = self._were_cut
         self.cluster.run(seconds)
-        self.cluster.is_cut = lambda _source, _target: False
+        self.cluster.is_partitioned = lambda _source, _target: False
 
     def restart(self, number: int) -> None:
         """A member leaves by its own word, and a process of it begins anew a little later."""
@@ -68,7 +68,7 @@
         """A process with the next version goes on beside the present one, which ends a little later."""
         ended = list(self.cluster.processes[number])
         self.cluster.upgrade(number, OVERLAP_US)
-        self._born[number] = self.cluster.of(number).incarnation
+        self._born[number] = self.cluster.membership_of(number).incarnation
         self.cluster.queue.after(OVERLAP_US, self._keep, number, ended)
 
     def _keep(self, number: int, ended: Sequence[Process]) -> None:
--- a/testbed/cluster_simulation/versions.py
+++ b/testbed/cluster_simulation/versions.py
@@ -20,27 +20,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class File:
+class ConfigurationFile:
     """What a member's configuration file says: its version, and a digest of the rest."""
 
     version: int
     digest: int = 0
 
     @staticmethod
-    def of(version: int) -> File:
+    def of(version: int) -> ConfigurationFile:
         """A file whose contents go with its version."""
-        return File(version, version * 7_919 & 0xFFFF_FFFF)
+        return ConfigurationFile(version, version * 7_919 & 0xFFFF_FFFF)
 
 
 class VersionedProcess(Process):
     """A process that compares versions besides keeping track of the others."""
 
-    def __init__(self, cluster: VersionedCluster, number: int, size: int, ahead_s: float) -> None:
+    def __init__(self, cluster: VersionedCluster, number: int, size: int, clock_offset_s: float) -> None:
         self._versioned_cluster = cluster
         self._next_rollout_tick = _NEVER
         self.exchanges = self.exchange_bytes = 0  # sent
         self.file_reads = 0
-        super().__init__(cluster, number, size, ahead_s)
+        super().__init__(cluster, number, size, clock_offset_s)
         now, file = cluster.queue.now, cluster.files[number]
         own = random.Random(cluster.random.getrandbits(64))
         table = self.membership.table
@@ -48,23 +48,23 @@
             number, cluster.name, table, cluster.rollout, own, now, file.version, file.digest
         )
         if cluster.is_rollout_on:
-            self.carry_out_rollout(self.rollout.start(now))
+            self.execute_rollout(self.rollout.start(now))
 
-    def hear(self, sender: int, payload: bytes) -> None:
+    def receive(self, sender: int, payload: bytes) -> None:
         """Pass a datagram to the rollout or to the membership, as its type says."""
         if self.is_paused or not self.is_alive or not is_rollout_message(payload):
-            super().hear(sender, payload)
+            super().receive(sender, payload)
         elif self._versioned_cluster.is_rollout_on:
-            self.carry_out_rollout(
+            self.execute_rollout(
                 self.rollout.datagram_received(self._versioned_cluster.queue.now, sender, payload)
             )
 
-    def carry_out(self, actions: list[MembershipAction]) -> None:
+    def execute(self, actions: list[MembershipAction]) -> None:
         """Execute membership actions, unless membership is off in this cluster."""
         if self._versioned_cluster.is_membership_on:
-            super().carry_out(actions)
+            super().execute(actions)
 
-    def carry_out_rollout(self, actions: list[RolloutAction]) -> None:
+    def execute_rollout(self, actions: list[RolloutAction]) -> None:
         """Execute rollout actions: send datagrams, schedule ticks and record versions."""
         cluster = self._versioned_cluster
         for action in actions:
@@ -72,10 +72,10 @@
                 case SendDatagram():
                     self.exchanges += 1
                     self.exchange_bytes += len(action.payload)
-                    cluster.carry(self, action)
+                    cluster.transmit(self, action)
                 case ScheduleTick():
                     self._next_rollout_tick = action.at
-                    cluster.queue.at(action.at + self.late_us, self._tick_rollout, action.at)
+                    cluster.queue.at(action.at + self.processing_delay_us, self._tick_rollout, action.at)
                 case ReadConfiguration():
                     self.file_reads += 1
                     self.read()
@@ -90,18 +90,18 @@
         if (file.version, file.digest) != (self.rollout.version, self.rollout.digest):
             cluster.applied.setdefault(file.version, {}).setdefault(self.number, cluster.queue.now)
             actions = self.rollout.configuration_applied(cluster.queue.now, file.version, file.digest)
-            self.carry_out_rollout(actions if cluster.is_rollout_on else [])
+            self.execute_rollout(actions if cluster.is_rollout_on else [])
         return True
 
     def resume(self) -> None:
         """Continue after a pause, with a tick of the rollout at once."""
         super().resume()
         if self.is_alive and self._versioned_cluster.is_rollout_on:
-            self.carry_out_rollout(self.rollout.tick(self._versioned_cluster.queue.now))
+            self.execute_rollout(self.rollout.tick(self._versioned_cluster.queue.now))
 
     def _tick_rollout(self, at: int) -> None:
         if self.is_alive and not self.is_paused and at == self._next_rollout_tick:
-            self.carry_out_rollout(self.rollout.tick(self._versioned_cluster.queue.now))
+            self.execute_rollout(self.rollout.tick(self._versioned_cluster.queue.now))
 
 
 class VersionedCluster(VirtualCluster):
@@ -128,16 +128,16 @@
         self.is_rollout_on = self.rollout.on
         self.is_membership_on = is_membership_on
         self.without_rollout = without_rollout
-        self.files = {number: File.of(version) for number in range(size)}
+        self.files = {number: ConfigurationFile.of(version) for number in range(size)}
         self.rollout_reports: list[tuple[int, int, RolloutReport]] = []
         self.applied: dict[int, dict[int, int]] = {}  # by version and member, when it came in force first
-        super().__init__(size, seed, loss=loss, settings=settings, is_known=True)
+        super().__init__(size, seed, loss=loss, settings=settings, is_converged=True)
 
-    def start(self, number: int, ahead_s: float = 0.0, size: int | None = None) -> Process:
+    def start(self, number: int, clock_offset_s: float = 0.0, size: int | None = None) -> Process:
         """Start a process; one without rollout runs the membership protocol only."""
         if number in self.without_rollout:
-            return super().start(number, ahead_s, size)
-        process = VersionedProcess(self, number, size or self.size, ahead_s)
+            return super().start(number, clock_offset_s, size)
+        process = VersionedProcess(self, number, size or self.size, clock_offset_s)
         self.processes.setdefault(number, []).append(process)
         return process
 
@@ -148,14 +148,14 @@
         return process
 
     @property
-    def everyone(self) -> list[VersionedProcess]:
+    def versioned_processes(self) -> list[VersionedProcess]:
         """The latest process of each that lives and compares versions."""
         return [self.versioned(number) for number in self.alive if number not in self.without_rollout]
 
     def publish(self, version: int, first: int, members: range | None = None) -> None:
         """Files of this version are with everybody, or with these; one alone gets SIGHUP."""
         for number in members or range(self.size):
-            self.files[number] = File.of(version)
+            self.files[number] = ConfigurationFile.of(version)
         self.versioned(first).read()
 
     def status(self, number: int) -> RolloutStatus:
@@ -164,7 +164,7 @@
 
     def in_force(self, version: int) -> bool:
         """Whether all that live have it in force."""
-        return all(each.rollout.version == version for each in self.everyone)
+        return all(each.rollout.version == version for each in self.versioned_processes)
 
     def until_in_force(self, version: int, within_s: float, step_s: float = 0.05) -> float | None:
         """Run until all have it; give after how many seconds, or None if not within the bound."""
@@ -179,7 +179,7 @@
         """Run until all that live answer that it is in force everywhere."""
         began = self.queue.now
         while self.queue.now - began <= within_s * 1e6:
-            if all(self.status(each.number).is_in_force_everywhere for each in self.everyone):
+            if all(self.status(each.number).is_in_force_everywhere for each in self.versioned_processes):
                 return (self.queue.now - began) / 1e6
             self.run(step_s)
         return None
--- a/testbed/cluster_simulation/virtual.py
+++ b/testbed/cluster_simulation/virtual.py
@@ -28,7 +28,7 @@
 Report = tuple[int, int, MembershipAction]  # at, by which member, what
 
 
-def agreed(tables: Mapping[int, MemberTable]) -> bool:
+def have_converged(tables: Mapping[int, MemberTable]) -> bool:
     """Whether all that live, by number, hold the same lives and ends, and just those that live present."""
     if len({each.digest for each in tables.values()}) != 1:
         return False
@@ -42,10 +42,11 @@
 class Process:
     """One process of a member."""
 
-    def __init__(self, cluster: VirtualCluster, number: int, size: int, ahead_s: float) -> None:
+    def __init__(self, cluster: VirtualCluster, number: int, size: int, clock_offset_s: float) -> None:
         self.number = number
         self.is_alive = True
-        self.late_us = 0  # each of its datagrams and ticks takes so much longer: starved of its processor
+        # Added to each datagram and tick, as if the process waited for a processor.
+        self.processing_delay_us = 0
         self._cluster = cluster
         self.is_paused = False
         self._waiting: list[tuple[int, bytes]] = []  # what came while it was paused
@@ -58,35 +59,35 @@
             cluster.settings,
             random.Random(cluster.random.getrandbits(64)),
             cluster.queue.now,
-            UNIX_S + cluster.queue.now / 1e6 + ahead_s,
+            UNIX_S + cluster.queue.now / 1e6 + clock_offset_s,
         )
-        self.carry_out(self.membership.start(cluster.queue.now))
+        self.execute(self.membership.start(cluster.queue.now))
 
-    def hear(self, sender: int, payload: bytes) -> None:
+    def receive(self, sender: int, payload: bytes) -> None:
         """Receive a datagram; a paused process receives it when it resumes."""
         if self.is_paused:
             self._waiting.append((sender, payload))
         elif self.is_alive:
             self.heard += 1
             self.heard_bytes += len(payload)
-            self.carry_out(self.membership.datagram_received(self._cluster.queue.now, sender, payload))
+            self.execute(self.membership.datagram_received(self._cluster.queue.now, sender, payload))
 
-    def carry_out(self, actions: list[MembershipAction]) -> None:
+    def execute(self, actions: list[MembershipAction]) -> None:
         """Execute membership actions: send datagrams, schedule ticks and record events."""
         now = self._cluster.queue.now
         for action in actions:
             match action:
                 case SendDatagram():
-                    self._cluster.carry(self, action)
+                    self._cluster.transmit(self, action)
                 case ScheduleTick():
                     self._wake = action.at
-                    self._cluster.queue.at(action.at + self.late_us, self._tick, action.at)
+                    self._cluster.queue.at(action.at + self.processing_delay_us, self._tick, action.at)
                 case MemberStateChanged() | DuplicateMember() | ProcessStalled():
                     self._cluster.on_report((now, self.number, action))
 
     def _tick(self, at: int) -> None:
         if self.is_alive and not self.is_paused and at == self._wake:
-            self.carry_out(self.membership.tick(self._cluster.queue.now))
+            self.execute(self.membership.tick(self._cluster.queue.now))
 
     def kill(self) -> None:
         """End without notifying the others."""
@@ -94,7 +95,7 @@
 
     def leave(self, *, has_successor: bool = False) -> None:
         """Shut down gracefully, notifying the others."""
-        self.carry_out(self.membership.leave(has_successor=has_successor))
+        self.execute(self.membership.leave(has_successor=has_successor))
         self.is_alive = False
 
     def pause(self) -> None:
@@ -106,9 +107,9 @@
         self.is_paused = False
         waiting, self._waiting = self._waiting, []
         for sender, payload in waiting:
-            self.hear(sender, payload)
+            self.receive(sender, payload)
         if self.is_alive:
-            self.carry_out(self.membership.tick(self._cluster.queue.now))
+            self.execute(self.membership.tick(self._cluster.queue.now))
 
 
 class VirtualCluster:
@@ -124,31 +125,31 @@
         settings: MembershipSettings | None = None,
         name: str = "a",
         start: Iterable[int] | None = None,
-        is_known: bool = False,
+        is_converged: bool = False,
     ) -> None:
-        """All of `start` begin at once; by default everybody does.  `is_known`: and they know each other."""
+        """Start the members `start`, by default all; with `is_converged` they already know each other."""
         self.size, self.loss, self.delay_us, self.name = size, loss, delay_us, name
         self.settings = settings or MembershipSettings()
         self.random = random.Random(seed)
         self.queue = Queue()
         self.reports: list[Report] = []
         self.on_report: Callable[[Report], None] = self.reports.append  # or whoever needs less than all of it
-        self.double = 0.0
-        self.late = 0.0  # part of the datagrams that come up to a second late, out of order
+        self.duplicate_probability = 0.0
+        self.late_probability = 0.0  # part of the datagrams that come up to a second late, out of order
         # Whether a datagram from one to another is lost to a cut now, and until when one is held back.
-        self.is_cut: Callable[[int, int], bool] = lambda _source, _target: False
+        self.is_partitioned: Callable[[int, int], bool] = lambda _source, _target: False
         self.held_until: Callable[[int, int], int] = lambda _source, _target: 0
         self.processes: dict[int, list[Process]] = {}
         for number in range(size) if start is None else start:
             self.start(number)
-        if is_known:
-            self._introduce()
+        if is_converged:
+            self._converge()
 
-    def _introduce(self) -> None:
+    def _converge(self) -> None:
         """Have everybody know everybody, as after a long rest; what was to be told of it is told."""
         first, *others = [each[0].membership for each in self.processes.values()]
         for number in self.alive:
-            incarnation = self.of(number).incarnation
+            incarnation = self.membership_of(number).incarnation
             first.table.apply(
                 MembershipUpdate.create(number, incarnation, MemberState.PRESENT, 0, number), self.queue.now
             )
@@ -159,9 +160,9 @@
 
     # Who lives
 
-    def start(self, number: int, ahead_s: float = 0.0, size: int | None = None) -> Process:
+    def start(self, number: int, clock_offset_s: float = 0.0, size: int | None = None) -> Process:
         """A process begins, beside any that the member has; its wall clock is so far ahead."""
-        process = Process(self, number, size or self.size, ahead_s)
+        process = Process(self, number, size or self.size, clock_offset_s)
         self.processes.setdefault(number, []).append(process)
         return process
 
@@ -186,7 +187,7 @@
 
         self.queue.after(overlap_us, retire)
 
-    def of(self, number: int) -> Membership:
+    def membership_of(self, number: int) -> Membership:
         """The membership of a member's latest process."""
         return self.processes[number][-1].membership
 
@@ -197,7 +198,7 @@
 
     # What lies between
 
-    def carry(self, source: Process, datagram: SendDatagram) -> None:
+    def transmit(self, source: Process, datagram: SendDatagram) -> None:
         """Deliver a datagram to its receivers, with the network's loss, delay and partitions."""
         targets: Sequence[int] = (datagram.receiver,) if datagram.receiver is not None else ()
         if datagram.receiver is None:
@@ -205,22 +206,24 @@
         source.sent += len(targets)  # a word to all is as many datagrams
         source.sent_bytes += len(targets) * len(datagram.payload)
         for target in targets:
-            if self.is_cut(source.number, target) or self.random.random() < self.loss:
+            if self.is_partitioned(source.number, target) or self.random.random() < self.loss:
                 continue
-            late = self.random.randrange(S) if self.random.random() < self.late else 0
+            late = self.random.randrange(S) if self.random.random() < self.late_probability else 0
             at = max(self.queue.now + self.delay_us + late, self.held_until(source.number, target))
-            for _ in range(2 if self.random.random() < self.double else 1):
-                self.queue.at(at + source.late_us, self.deliver, source.number, target, datagram.payload)
+            for _ in range(2 if self.random.random() < self.duplicate_probability else 1):
+                self.queue.at(
+                    at + source.processing_delay_us, self.deliver, source.number, target, datagram.payload
+                )
 
     def deliver(self, source: int, target: int, payload: bytes) -> None:
         """Hand a datagram to one process of a member; which, is by its source, as the system does it."""
         found = self.processes.get(target)
         if found:
             process = found[(source * 2_654_435_761 >> 8) % len(found)]
-            if process.late_us:
-                self.queue.after(process.late_us, process.hear, source, payload)
+            if process.processing_delay_us:
+                self.queue.after(process.processing_delay_us, process.receive, source, payload)
             else:
-                process.hear(source, payload)
+                process.receive(source, payload)
 
     def run(self, seconds: float) -> None:
         """Run the simulation for a number of virtual seconds."""
@@ -230,7 +233,7 @@
 
     def is_agreed(self) -> bool:
         """Whether all that live hold the same lives and ends, and believe just those that live present."""
-        return agreed({number: self.of(number).table for number in self.processes})
+        return have_converged({number: self.membership_of(number).table for number in self.processes})
 
     def until_agreed(self, within_s: float, step_s: float = 0.25) -> float | None:
         """Run until all agree; give after how many seconds, or None if not within the bound."""
--- a/testbed/scale/discovery.py
+++ b/testbed/scale/discovery.py
@@ -16,7 +16,7 @@
 
 
 class _Counting(log.EventLogWriter):
-    """Counts what discovery writes of its calls, and keeps nothing else."""
+    """TrafficCounters what discovery writes of its calls, and keeps nothing else."""
 
     def __init__(self) -> None:
         super().__init__(Path(os.devnull))
--- a/testbed/scale/lag.py
+++ b/testbed/scale/event_loop_lag.py
@@ -9,7 +9,7 @@
 _MOST_KEPT = 100_000  # looks; half an hour
 
 
-class Lag:
+class EventLoopLag:
     """Looks at the clock again and again; keeps by how much it came late."""
 
     def __init__(self) -> None:
--- a/testbed/scale/figures.py
+++ b/testbed/scale/figures.py
@@ -7,8 +7,8 @@
 from statistics import fmean, median
 
 from testbed.capacity.samples import Sample
-from testbed.scale.crew import Snapshot
 from testbed.scale.plan import Plan
+from testbed.scale.runner import Snapshot
 
 AGREES_WITHIN = 1.3  # hollow and real members' means at rest, one by the other, either way
 LAG_P99_MS, LAG_MOST_MS = (
--- a/testbed/scale/plan.py
+++ b/testbed/scale/plan.py
@@ -36,7 +36,7 @@
     KILL = "kill"
     RACK = "rack"
     ZONE = "zone"
-    CUT = "cut"
+    PARTITION = "cut"
     LOSS = "loss"
     RESTARTS = "restarts"
     DISCOVERY = "discovery"
@@ -137,7 +137,7 @@
         raise PlayError(f"a process would need {needed} descriptors, and may have {soft}")
 
 
-def fitted(members: int) -> tuple[Event, ...]:
+def feasible_events(members: int) -> tuple[Event, ...]:
     """All events that a tier of this size can have while versions are not compared."""
     events = tuple(each for each in Event if each is not Event.CONFIG)
     return tuple(each for each in events if each is not Event.RACK or members >= RACK_FROM)
--- a/testbed/scale/real.py
+++ b/testbed/scale/real_member.py
@@ -25,7 +25,7 @@
     memory_mb: float
 
 
-class Real(Sidecar):
+class RealMember(Sidecar):
     """One real member, or a process beside the tier."""
 
     def __init__(
--- a/testbed/scale/crew.py
+++ b/testbed/scale/runner.py
@@ -15,9 +15,9 @@
 from testbed.clock import DayClock
 from testbed.emulator.copies import PlayError, end_with_parent
 from testbed.scale.discovery import Discovery
-from testbed.scale.lag import Lag
+from testbed.scale.event_loop_lag import EventLoopLag
 from testbed.scale.plan import Plan, configuration, day_of
-from testbed.scale.real import Real, Usage, is_true
+from testbed.scale.real_member import RealMember, Usage, is_true
 from testbed.scale.worker import Order, Reply, Share
 from testbed.streams import MOST_LINE
 
@@ -90,7 +90,7 @@
     lag_ms: tuple[float, float]  # the worst loop's since the last snapshot: 99th percentile, greatest
 
 
-class Crew:
+class Runner:
     """Starts everybody and ends everybody."""
 
     def __init__(self, plan: Plan, root: Path, folder: Path, command: str) -> None:
@@ -100,10 +100,10 @@
             Path(os.devnull)
         )  # a run's figures are its results, not a day's log
         self._children: list[_Child] = []
-        self.real: list[Real] = []
-        self.off: list[Real] = []
+        self.real: list[RealMember] = []
+        self.off: list[RealMember] = []
         self.gone: set[int] = set()
-        self._lag = Lag()
+        self._lag = EventLoopLag()
         self._lagging: asyncio.Task[None] | None = None
         self.discovery = Discovery(self._day)
 
@@ -126,7 +126,7 @@
             # Beyond the members' numbers are those with membership off: addresses are by number.
             own = number if is_member else self.plan.members + number - self.plan.real
             folder = self._folder / f"real-{own}"
-            real = Real(self._day, own, self._command, self._root, folder, clock, self._writer)
+            real = RealMember(self._day, own, self._command, self._root, folder, clock, self._writer)
             (self.real if is_member else self.off).append(real)
         peers = [f"{host}:{port}" for host, port in (each.peer_listen for each in self.real)]
         peers += [f"127.0.0.1:{ports[each]}" for each in self.plan.hollow]
@@ -167,7 +167,10 @@
         await self.start([member])
 
     async def settle(self) -> None:
-        """Hollow members have no news left to tell: as after a long rest.  Real ones can't be told so."""
+        """Mark all updates of simulated members as disseminated, as after a long rest.
+
+        Real members have no such order.
+        """
         await self._all(Order("settle"))
 
     async def cut(self, border: int | None) -> None:
@@ -213,7 +216,7 @@
         return all(each is not None and is_true(each, self.gone) for each in views)
 
     @property
-    def living(self) -> list[Real]:
+    def living(self) -> list[RealMember]:
         """The real members that were not killed."""
         return [each for each in self.real if each.number not in self.gone]
 
--- a/testbed/scale/keep.py
+++ b/testbed/scale/save.py
@@ -8,7 +8,7 @@
 from testbed.scale.figures import Figures
 
 
-def kept(figures: Figures, command: str, folder: Path = FOLDER) -> list[Path]:
+def save_results(figures: Figures, command: str, folder: Path = FOLDER) -> list[Path]:
     """Write them; where a case has a fault, a second file holds it, not valid, with the reason."""
     name = f"scale-{figures.plan.members:04d}-seed{figures.plan.seed}"
     name += "-versions" if figures.plan.has_versions else ""
--- a/testbed/scale/hollow.py
+++ b/testbed/scale/simulated_member.py
@@ -42,21 +42,21 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class TrafficCounters:
     """One member's traffic, over all its lives."""
 
     sent: Traffic = field(default_factory=Traffic)
     heard: Traffic = field(default_factory=Traffic)
 
 
-class Ground:
+class SimulatedNetwork:
     """What the hollow members of one process share: faults, who lives, and what is written down."""
 
     def __init__(self, real: int, rng: random.Random) -> None:
         """Members below `real` are processes of their own; what passes to and from them is counted."""
         self.border: int | None = None  # of a cut: nothing passes between those below it and the rest
         self.loss = 0.0
-        self.real = [Counts() for _ in range(real)]
+        self.real = [TrafficCounters() for _ in range(real)]
         self.since: dict[int, int] = {}  # the least life that each living member may have
         self.wrongly_dead: set[tuple[int, int]] = set()  # lives that were called dead and were not
         self.on_gone: Callable[[int, int], None] = lambda _by, _member: None
@@ -80,13 +80,13 @@
             self.wrongly_dead.add((news.member, news.incarnation))
 
 
-class GroundPeers(Peers):
+class SimulatedPeers(Peers):
     """The program's datagrams over a socket that was bound beforehand, counted, some of them lost."""
 
     def __init__(
         self,
-        ground: Ground,
-        counts: Counts,
+        ground: SimulatedNetwork,
+        counts: TrafficCounters,
         own: socket.socket,
         peers: tuple[Address, ...],
         me: int,
@@ -129,7 +129,7 @@
         super().datagram_received(data, addr)
 
 
-class GroundMembers(ClusterMembership):
+class ObservedMembership(ClusterMembership):
     """The program's membership; who is believed gone is written down."""
 
     on_gone: Callable[[MemberStateChanged], None]
@@ -140,13 +140,13 @@
         super()._handle(action)
 
 
-class GroundCluster(ClusterService):
+class SimulatedClusterService(ClusterService):
     """The program's cluster service, with datagrams and membership of the ground."""
 
     def __init__(
         self,
-        ground: Ground,
-        counts: Counts,
+        ground: SimulatedNetwork,
+        counts: TrafficCounters,
         own: socket.socket,
         configuration: Configuration,
         clock: Clock,
@@ -154,35 +154,42 @@
         on_newer_version: Callable[[], None],
     ) -> None:
         self._ground, self._counts, self._own = ground, counts, own
-        super().__init__(configuration, clock, dispatch, on_newer_version, unheard)
+        super().__init__(configuration, clock, dispatch, on_newer_version, discard_log_event)
 
     def create_peers(self, configuration: Configuration) -> Peers:
         """Peers that count their datagrams and apply the simulated loss."""
         peers = configuration.peer_addresses
-        return GroundPeers(self._ground, self._counts, self._own, peers, self._number, self.message_received)
+        return SimulatedPeers(
+            self._ground, self._counts, self._own, peers, self._number, self.message_received
+        )
 
     def create_membership(self) -> ClusterMembership:
         """A membership that reports each death it learns of."""
         own, number = self._configuration, self._number
-        members = GroundMembers(
-            number, own.cluster, own.seed, self._clock, self.peers, unheard, self.size_changed
+        members = ObservedMembership(
+            number, own.cluster, own.seed, self._clock, self.peers, discard_log_event, self.size_changed
         )
         members.on_gone = lambda news: self._ground.hear(number, news)
         return members
 
 
-class Hollow(Sidecar):
+class SimulatedMember(Sidecar):
     """One life of a hollow member."""
 
     def __init__(
-        self, ground: Ground, number: int, counts: Counts, own: socket.socket, config: Configuration
+        self,
+        ground: SimulatedNetwork,
+        number: int,
+        counts: TrafficCounters,
+        own: socket.socket,
+        config: Configuration,
     ) -> None:
         self.number = number
         self._ground, self._counts, self._own = ground, counts, own
-        super().__init__(config, unheard)
+        super().__init__(config, discard_log_event)
 
     def _create_cluster(self) -> ClusterService:
-        return GroundCluster(
+        return SimulatedClusterService(
             self._ground,
             self._counts,
             self._own,
@@ -215,7 +222,7 @@
         self.close()
 
 
-class Watch:
+class DisseminationTimer:
     """Waits until each of some members has had all of what it waits for, and keeps when that was."""
 
     def __init__(self, began: float, waits: dict[int, set[int]]) -> None:
@@ -248,5 +255,5 @@
         pass
 
 
-def unheard(_: object) -> None:
+def discard_log_event(_: object) -> None:
     """Nobody reads a hollow member's log."""
--- a/testbed/scale/worker.py
+++ b/testbed/scale/worker.py
@@ -25,8 +25,14 @@
 from sidecar.cluster.message import MemberState
 from sidecar.configuration import load
 from sidecar.configuration_reload import ConfigurationReloader
-from testbed.scale.hollow import Counts, Ground, Hollow, Watch, unheard
-from testbed.scale.lag import Lag
+from testbed.scale.event_loop_lag import EventLoopLag
+from testbed.scale.simulated_member import (
+    DisseminationTimer,
+    SimulatedMember,
+    SimulatedNetwork,
+    TrafficCounters,
+    discard_log_event,
+)
 from testbed.streams import lines_of_input
 
 
@@ -71,17 +77,17 @@
 
     def __init__(self, share: Share) -> None:
         self._share = share
-        self._ground = Ground(share.real, random.Random(f"hollow {share.seed} {share.worker}"))
+        self._ground = SimulatedNetwork(share.real, random.Random(f"hollow {share.seed} {share.worker}"))
         self._ground.on_gone = lambda by, member: self._heard("deaths", by, member)
         self._ground.on_told = lambda member: self._heard("lists", member, 0)
         self._ground.on_version = lambda member, version: self._heard("versions", member, version)
-        self._counts = {number: Counts() for number in share.configurations}
+        self._counts = {number: TrafficCounters() for number in share.configurations}
         self._sockets = {number: _bound() for number in share.configurations}
-        self._alive: dict[int, Hollow] = {}
+        self._alive: dict[int, SimulatedMember] = {}
         self._reloaders: dict[int, ConfigurationReloader] = {}
-        self._watch: Watch | None = None
+        self._watch: DisseminationTimer | None = None
         self._watched = ""  # what the watch is for
-        self.lag = Lag()
+        self.lag = EventLoopLag()
 
     async def carry_out(self, order: Order) -> Reply:
         """Execute one order; raise ValueError for an unknown one."""
@@ -140,13 +146,15 @@
         match order.do:
             case "watch deaths":
                 killed, observers = set(order.members), self._alive.keys() - set(order.members)
-                self._watch = Watch(order.amount, {each: set(killed) for each in observers})
+                self._watch = DisseminationTimer(order.amount, {each: set(killed) for each in observers})
                 self._watched = "deaths"
             case "watch lists":
-                self._watch = Watch(order.amount, {each: {0} for each in self._alive})
+                self._watch = DisseminationTimer(order.amount, {each: {0} for each in self._alive})
                 self._watched = "lists"
             case "watch versions":
-                self._watch = Watch(order.amount, {each: set(order.members) for each in self._alive})
+                self._watch = DisseminationTimer(
+                    order.amount, {each: set(order.members) for each in self._alive}
+                )
                 self._watched = "versions"
 
     async def _start(self, members: list[int]) -> None:
@@ -157,9 +165,11 @@
             if number in self._sockets and number not in self._alive:
                 environ = {"BALANCER_CONFIG": str(self._file(number))}
                 config = load(environ)
-                own = Hollow(self._ground, number, self._counts[number], self._sockets[number], config)
+                own = SimulatedMember(
+                    self._ground, number, self._counts[number], self._sockets[number], config
+                )
                 self._alive[number] = own
-                reloader = self._reloaders[number] = ConfigurationReloader(own, unheard, environ)
+                reloader = self._reloaders[number] = ConfigurationReloader(own, discard_log_event, environ)
                 own.on_newer_version = reloader.reload_if_newer  # as the program does
                 await own.start()
                 await asyncio.sleep(0)
@@ -231,7 +241,7 @@
     return own
 
 
-def _plain(counts: Counts) -> tuple[int, int, int, int]:
+def _plain(counts: TrafficCounters) -> tuple[int, int, int, int]:
     sent, heard = counts.sent, counts.heard
     return sent.datagrams, sent.size, heard.datagrams, heard.size
 
--- a/tests/test_aggregation.py
+++ b/tests/test_aggregation.py
@@ -10,7 +10,7 @@
 
 from sidecar.cluster.aggregation import NO_DIGESTS, AggregationRound
 from sidecar.cluster.member_set import CHUNK_MEMBERS, decode_chunk, first_members, member_bit
-from testbed.cluster_simulation.versions import File, VersionedCluster
+from testbed.cluster_simulation.versions import ConfigurationFile, VersionedCluster
 
 SIZE = 5
 FEW_EXAMPLES = hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
@@ -94,11 +94,11 @@
         match event:
             case "publish":
                 self.newest += 1
-                cluster.files[number] = File.of(self.newest)
+                cluster.files[number] = ConfigurationFile.of(self.newest)
                 if number in cluster.processes:
                     cluster.versioned(number).read()
             case "cut":
-                cluster.is_cut = lambda source, target: number in (source, target)
+                cluster.is_partitioned = lambda source, target: number in (source, target)
             case "heal":
                 self.heal()
             case "lose":
@@ -110,13 +110,13 @@
         cluster.run(0.3)
 
     def heal(self) -> None:
-        self.cluster.is_cut, self.cluster.loss = lambda source, target: False, 0.0
+        self.cluster.is_partitioned, self.cluster.loss = lambda source, target: False, 0.0
 
     def settle(self) -> None:
         """Remove all faults, start all members and give all of them the newest file."""
         self.heal()
         for number in range(SIZE):
-            self.cluster.files[number] = File.of(self.newest)
+            self.cluster.files[number] = ConfigurationFile.of(self.newest)
             if number not in self.cluster.processes:
                 self.cluster.start(number)
         for number in range(SIZE):
@@ -131,7 +131,7 @@
         for number, processes in self.cluster.processes.items():
             assert len(processes) == 1
             self.had_in_force[number].add(self.cluster.versioned(number).rollout.version)
-        for process in self.cluster.everyone:
+        for process in self.cluster.versioned_processes:
             round_ = process.rollout.round
             in_force = first_members(round_.in_force, SIZE)
             assert all(round_.version in self.had_in_force[member] for member in in_force), round_
--- a/tests/test_membership_datagrams.py
+++ b/tests/test_membership_datagrams.py
@@ -33,7 +33,7 @@
 def member_of_cluster_of_three() -> Membership:
     cluster = VirtualCluster(3, name=CLUSTER)
     cluster.run(5.0)
-    return cluster.of(0)
+    return cluster.membership_of(0)
 
 
 def encoded_ping(**changes: object) -> bytes:
@@ -109,7 +109,7 @@
 def test_replies_to_a_flood_of_pings_are_rate_limited() -> None:
     cluster = VirtualCluster(3, name=CLUSTER)
     cluster.run(20.0)  # fills the token bucket
-    member, now = cluster.of(0), cluster.queue.now
+    member, now = cluster.membership_of(0), cluster.queue.now
     pings = [encoded_ping(sequence_number=number) for number in range(200)]
     actions = [action for ping in pings for action in member.datagram_received(now, 1, ping)]
     assert 10 <= len([action for action in actions if isinstance(action, SendDatagram)]) <= 30
@@ -118,13 +118,13 @@
 def test_datagrams_stay_within_maximum_size() -> None:
     cluster = VirtualCluster(300, start=range(40))
     sizes: list[int] = []
-    carry = cluster.carry
+    transmit = cluster.transmit
 
-    def carry_and_record_size(source: object, datagram: SendDatagram) -> None:
+    def transmit_and_record_size(source: object, datagram: SendDatagram) -> None:
         sizes.append(len(datagram.payload))
-        carry(source, datagram)  # type: ignore[arg-type]
+        transmit(source, datagram)  # type: ignore[arg-type]
 
-    cluster.carry = carry_and_record_size  # type: ignore[method-assign]
+    cluster.transmit = transmit_and_record_size  # type: ignore[method-assign]
     cluster.run(40.0)
     assert max(sizes) > 200 and max(sizes) <= MAX_DATAGRAM_BYTES
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -24,7 +24,7 @@
 from sidecar.cluster.rollout_message import MAX_ROUND_NUMBER, ExchangeKind, encode, is_rollout_message
 from sidecar.cluster.rollout_status import MAX_LISTED_MEMBERS
 from sidecar.cluster.settings import RolloutSettings
-from testbed.cluster_simulation.versions import File, VersionedCluster, VersionedProcess
+from testbed.cluster_simulation.versions import ConfigurationFile, VersionedCluster, VersionedProcess
 from testbed.cluster_simulation.virtual import Process
 
 IN_FORCE_S = 6.0  # twice the time in which a version has to be in force everywhere
@@ -79,7 +79,7 @@
     cluster = cluster_with_version_1(10)
     pending = cluster.versioned(9)
     # A part of member 9's file takes effect only at a restart.
-    pending.carry_out_rollout(pending.rollout.configuration_pending(cluster.queue.now, 2))
+    pending.execute_rollout(pending.rollout.configuration_pending(cluster.queue.now, 2))
     cluster.publish(2, first=0, members=range(9))
     cluster.run(30.0)
     for number in range(10):
@@ -92,7 +92,7 @@
     cluster = cluster_with_version_1(10)
     cluster.publish(2, first=0, members=range(9))
     cluster.run(20.0)
-    cluster.files[9] = File.of(2)
+    cluster.files[9] = ConfigurationFile.of(2)
     assert cluster.until_in_force(2, 4.0 * 1.2 + 0.1) is not None
     assert cluster.until_known(60.0) is not None
 
@@ -108,7 +108,7 @@
     assert reporters_of(cluster, VersionMissing, 2) == [4]
     # Each member reports once which members are behind.
     assert sorted(reporters_of(cluster, RolloutConcluded, 2)) == list(range(5))
-    cluster.files[4] = File.of(2)
+    cluster.files[4] = ConfigurationFile.of(2)
     assert cluster.until_in_force(2, 60.0 * 1.2 + 0.1) is not None
 
 
@@ -124,16 +124,16 @@
 def test_greater_of_two_versions_published_at_once_is_the_newest() -> None:
     cluster = cluster_with_version_1(12)
     for number in range(6):
-        cluster.files[number] = File.of(2)
+        cluster.files[number] = ConfigurationFile.of(2)
     for number in range(6, 12):
-        cluster.files[number] = File.of(3)
+        cluster.files[number] = ConfigurationFile.of(3)
     cluster.versioned(0).read()
     cluster.versioned(6).read()
     cluster.run(10.0)
     assert {cluster.versioned(number).rollout.version for number in range(6)} == {2}
     assert cluster.status(0).behind == tuple(range(6))
     for number in range(6):
-        cluster.files[number] = File.of(3)
+        cluster.files[number] = ConfigurationFile.of(3)
     assert cluster.until_in_force(3, 6.0) is not None
 
 
@@ -154,14 +154,14 @@
     cluster.kill(5)
     cluster.run(60.0)
     receivers: list[int | None] = []
-    carry = cluster.carry
+    transmit = cluster.transmit
 
-    def carry_and_record_receiver(source: Process, datagram: SendDatagram) -> None:
+    def transmit_and_record_receiver(source: Process, datagram: SendDatagram) -> None:
         if is_rollout_message(datagram.payload):
             receivers.append(datagram.receiver)
-        carry(source, datagram)
+        transmit(source, datagram)
 
-    cluster.carry = carry_and_record_receiver  # type: ignore[method-assign]
+    cluster.transmit = transmit_and_record_receiver  # type: ignore[method-assign]
     cluster.run(400.0)
     assert 0 < receivers.count(5) < 0.05 * len(receivers)
 
@@ -176,7 +176,7 @@
 )
 def test_version_spreads_with_faulty_datagrams(loss: float, double: float, late: float) -> None:
     cluster = cluster_with_version_1(20)
-    cluster.loss, cluster.double, cluster.late = loss, double, late
+    cluster.loss, cluster.duplicate_probability, cluster.late_probability = loss, double, late
     cluster.publish(2, first=3)
     assert cluster.until_in_force(2, IN_FORCE_S) is not None
     assert cluster.until_known(60.0) is not None
@@ -194,15 +194,15 @@
     assert cluster.until_in_force(2, IN_FORCE_S) is not None
     cluster.run(130.0)
     assert all(cluster.status(number).is_in_force_everywhere for number in range(6))
-    assert all(process.rollout.version == 2 for process in cluster.everyone)
+    assert all(process.rollout.version == 2 for process in cluster.versioned_processes)
 
 
 def test_partitioned_halves_report_missing_members_and_heal() -> None:
     cluster = cluster_with_version_1(6)
-    cluster.is_cut = lambda source, target: (source < 3) != (target < 3)
+    cluster.is_partitioned = lambda source, target: (source < 3) != (target < 3)
     cluster.publish(2, first=0, members=range(3))
     for number in range(3, 6):
-        cluster.files[number] = File.of(3)
+        cluster.files[number] = ConfigurationFile.of(3)
     cluster.versioned(5).read()
     cluster.run(3_600.0)
     for number in range(6):
@@ -212,16 +212,16 @@
         assert status.missing == ((3, 4, 5) if number < 3 else (0, 1, 2))
         # The reports of the reachable half stay recent.
         assert status.round_age_us <= 2 * cluster.versioned(number).rollout.round_interval_us
-    cluster.is_cut = lambda source, target: False
+    cluster.is_partitioned = lambda source, target: False
     for number in range(3):
-        cluster.files[number] = File.of(3)
+        cluster.files[number] = ConfigurationFile.of(3)
     assert cluster.until_known(90.0) is not None
     assert cluster.in_force(3)
 
 
 def test_isolated_member_reports_all_others_missing() -> None:
     cluster = cluster_with_version_1(5)
-    cluster.is_cut = lambda source, target: 2 in (source, target)
+    cluster.is_partitioned = lambda source, target: 2 in (source, target)
     cluster.run(300.0)
     status = cluster.status(2)
     assert status.is_in_force_everywhere is None and status.missing == (0, 1, 3, 4)
@@ -252,13 +252,13 @@
     assert cluster.until_known(30.0) is not None
     cluster.run(100.0)
     cluster.kill(3)
-    cluster.files[3] = File.of(1)
+    cluster.files[3] = ConfigurationFile.of(1)
     cluster.start(3)
     cluster.run(5.0)
     for number in range(8):
         assert cluster.status(number).is_in_force_everywhere is False
         assert cluster.status(number).behind == (3,)
-    cluster.files[3] = File.of(2)
+    cluster.files[3] = ConfigurationFile.of(2)
     assert cluster.until_in_force(2, 6.0) is not None
     assert cluster.until_known(60.0) is not None
 
@@ -278,7 +278,7 @@
     assert cluster.until_known(IN_FORCE_S) is not None
     cluster.publish(2, first=749)
     assert cluster.until_in_force(2, IN_FORCE_S) is not None
-    processes = cluster.everyone
+    processes = cluster.versioned_processes
     assert max(process.exchanges for process in processes) <= 64 + 10 * cluster.queue.now / 1e6
     assert max(process.exchange_bytes / process.exchanges for process in processes) <= 256
 
@@ -290,7 +290,7 @@
     status = cluster.status(7)
     assert status.is_in_force_everywhere is None
     assert status.missing == (0, 1, 2, 3) and status.in_force_count == 4
-    dropped_by_old_program = cluster.of(0).dropped
+    dropped_by_old_program = cluster.membership_of(0).dropped
     assert dropped_by_old_program[DropReason.OTHER_FORMAT_VERSION] > 0
     assert set(dropped_by_old_program) == {DropReason.OTHER_FORMAT_VERSION}
     assert cluster.is_agreed()  # membership works across both programs
@@ -308,11 +308,11 @@
     cluster.run(20.0)
     assert cluster.status(0).behind_count == 40
     for number in range(40):
-        cluster.files[number] = File.of(2)
+        cluster.files[number] = ConfigurationFile.of(2)
     assert cluster.until_in_force(2, IN_FORCE_S) is not None
     assert cluster.until_known(60.0) is not None
     assert cluster.status(0).in_force_count == cluster.status(40).in_force_count == 41
-    sizes = [process.exchange_bytes / process.exchanges for process in cluster.everyone]
+    sizes = [process.exchange_bytes / process.exchanges for process in cluster.versioned_processes]
     assert max(sizes) < 40  # a header and one byte of each set
 
 
@@ -330,7 +330,7 @@
     cluster = cluster_with_version_1(4)
     cluster.publish(5, first=0)
     assert cluster.until_known(30.0) is not None
-    cluster.files[2] = File.of(4)
+    cluster.files[2] = ConfigurationFile.of(4)
     assert not cluster.versioned(2).read()
     cluster.run(5.0)
     assert cluster.versioned(2).rollout.version == 5 and cluster.status(0).is_in_force_everywhere
@@ -343,12 +343,15 @@
     cluster.publish(2, first=0)
     assert cluster.until_known(30.0) is not None
     assert not reporters_of(cluster, AmbiguousVersion, 2)
-    cluster.files[5] = File(2, 99)
+    cluster.files[5] = ConfigurationFile(2, 99)
     assert cluster.versioned(5).read()
     cluster.run(30.0)
     assert sorted(reporters_of(cluster, AmbiguousVersion, 2)) == list(range(8))
-    assert (cluster.status(1).min_digest, cluster.status(1).max_digest) == (99, File.of(2).digest)
-    cluster.files[5] = File.of(2)
+    assert (cluster.status(1).min_digest, cluster.status(1).max_digest) == (
+        99,
+        ConfigurationFile.of(2).digest,
+    )
+    cluster.files[5] = ConfigurationFile.of(2)
     assert cluster.versioned(5).read()
     cluster.run(120.0)  # time for the next round, in which the digests agree
     assert not cluster.status(1).is_ambiguous
@@ -362,21 +365,21 @@
         version, round_number, sender, cluster.queue.now, 1, 1, in_force or member_bit(sender)
     )
     payload = encode(cluster_id(cluster.name), sender, ExchangeKind.PUSH, false_round, 0, cluster.queue.now)
-    for process in cluster.everyone:
+    for process in cluster.versioned_processes:
         if process.number != sender:
-            process.hear(sender, payload)
+            process.receive(sender, payload)
 
 
 def test_false_greatest_version_costs_bounded_reads_and_is_forgotten() -> None:
     cluster = cluster_with_version_1(10)
-    exchanges_before = [process.exchanges for process in cluster.everyone]
+    exchanges_before = [process.exchanges for process in cluster.versioned_processes]
     for _ in range(30):
         send_false_round(cluster, 9, MAX_CONFIGURATION_VERSION)
         cluster.run(1.0)
     status = cluster.status(0)
     assert status.version == MAX_CONFIGURATION_VERSION and status.is_in_force_everywhere is False
     assert cluster.versioned(0).rollout.round.first_reported_by == 9
-    processes = cluster.everyone
+    processes = cluster.versioned_processes
     assert all(process.rollout.version == 1 for process in processes)
     assert max(process.file_reads for process in processes) <= 20
     sent = [process.exchanges - before for process, before in zip(processes, exchanges_before, strict=True)]
@@ -397,17 +400,17 @@
     for second in range(150, 230):
         send_false_round(cluster, 5, MAX_CONFIGURATION_VERSION, round_number=second + 1)
         cluster.run(1.0)
-    assert {process.rollout.version for process in cluster.everyone if process.number != 5} == {2}
+    assert {process.rollout.version for process in cluster.versioned_processes if process.number != 5} == {2}
     assert cluster.status(0).version == MAX_CONFIGURATION_VERSION
 
 
 def test_ever_greater_false_versions_cost_bounded_datagrams_and_reads() -> None:
     cluster = cluster_with_version_1(10)
-    counts_before = [(process.exchanges, process.file_reads) for process in cluster.everyone]
+    counts_before = [(process.exchanges, process.file_reads) for process in cluster.versioned_processes]
     for count in range(2_000):
         send_false_round(cluster, 9, 1_000 + count)
         cluster.run(0.01)
-    for process, (exchanges, file_reads) in zip(cluster.everyone, counts_before, strict=True):
+    for process, (exchanges, file_reads) in zip(cluster.versioned_processes, counts_before, strict=True):
         assert process.exchanges - exchanges <= 64 + 10 * 20 + 16
         assert process.file_reads - file_reads <= 4 * 20 + 1
 
@@ -445,9 +448,9 @@
     rates = {}
     for size in (8, 32, 96):
         cluster = cluster_with_version_1(size, is_membership_on=False)
-        sent_before = sum(process.exchanges for process in cluster.everyone)
+        sent_before = sum(process.exchanges for process in cluster.versioned_processes)
         cluster.run(200.0)
-        sent = sum(process.exchanges for process in cluster.everyone) - sent_before
+        sent = sum(process.exchanges for process in cluster.versioned_processes) - sent_before
         rates[size] = sent / size / 200
     assert max(rates.values()) <= 1.0
     assert rates[96] <= 1.5 * rates[8]
@@ -475,4 +478,4 @@
 
 
 def test_every_member_of_versioned_cluster_runs_the_rollout() -> None:
-    assert all(isinstance(process, VersionedProcess) for process in VersionedCluster(3).everyone)
+    assert all(isinstance(process, VersionedProcess) for process in VersionedCluster(3).versioned_processes)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,12 +21,12 @@
 from testbed import cli
 from testbed.capacity.samples import load_all
 from testbed.emulator.copies import PlayError
-from testbed.scale.crew import Snapshot
 from testbed.scale.figures import Figures
-from testbed.scale.hollow import Ground, Watch, drain
-from testbed.scale.keep import kept
-from testbed.scale.plan import RACK, Event, Plan, check, fitted
-from testbed.scale.play import play
+from testbed.scale.plan import RACK, Event, Plan, check, feasible_events
+from testbed.scale.run import run_plan
+from testbed.scale.runner import Snapshot
+from testbed.scale.save import save_results
+from testbed.scale.simulated_member import DisseminationTimer, SimulatedNetwork, drain
 
 GENEROUS_S = 120.0  # that an event's end is waited for; never what is measured
 SMALL = Plan(
@@ -45,7 +45,7 @@
 
 def played(plan: Plan, folder: Path) -> Figures:
     said: list[str] = []
-    return asyncio.run(play(plan, ROOT, PROGRAM, said.append, folder))
+    return asyncio.run(run_plan(plan, ROOT, PROGRAM, said.append, folder))
 
 
 def test_twenty_members_agree_find_the_killed_one_and_are_told_when_discovery_is_back(tmp_path: Path) -> None:
@@ -84,9 +84,9 @@
 import asyncio, sys
 from pathlib import Path
 from testbed.scale.plan import Event, Plan
-from testbed.scale.play import play
+from testbed.scale.run import run_plan
 plan = Plan(members=8, real=2, off=1, workers=2, events=(Event.REST,), rest_s=600.0)
-asyncio.run(play(plan, Path(sys.argv[1]), sys.argv[2], print, Path(sys.argv[3])))
+asyncio.run(run_plan(plan, Path(sys.argv[1]), sys.argv[2], print, Path(sys.argv[3])))
 """
 
 
@@ -149,11 +149,11 @@
     assert len(plan.rack) == RACK and min(plan.rack) == plan.real - 1
     assert len(plan.zone) == 150 and min(plan.zone) > max(plan.rack)
     assert plan.border > plan.real
-    assert Event.RACK in fitted(100) and Event.RACK not in fitted(99)
+    assert Event.RACK in feasible_events(100) and Event.RACK not in feasible_events(99)
 
 
 def test_a_datagram_between_hollow_members_is_asked_for_once_and_a_cut_goes_both_ways() -> None:
-    ground = Ground(2, _Chances([0.04, 0.06]))
+    ground = SimulatedNetwork(2, _Chances([0.04, 0.06]))
     ground.loss = 0.05
     assert ground.loses(3, 4) and not ground.loses(3, 4)
     ground.loss, ground.border = 0.0, 4
@@ -171,7 +171,7 @@
 
 
 def test_a_death_is_wrong_where_that_life_goes_on() -> None:
-    ground = Ground(0, random.Random(1))
+    ground = SimulatedNetwork(0, random.Random(1))
     ground.since = {5: 100}
     ground.hear(1, MemberStateChanged(5, MemberState.DEAD, 99, 2))  # an earlier life of it
     ground.hear(1, MemberStateChanged(6, MemberState.DEAD, 100, 2))  # it was killed
@@ -183,7 +183,7 @@
 
 
 def test_a_watch_ends_with_the_last_of_what_each_waits_for() -> None:
-    watch = Watch(time.monotonic(), {1: {7, 8}, 2: {7, 8}})
+    watch = DisseminationTimer(time.monotonic(), {1: {7, 8}, 2: {7, 8}})
     watch.heard(1, 7)
     watch.heard(3, 7)
     assert watch.took_s == {}
@@ -220,7 +220,7 @@
     figures.between(figures.case("kill"), first, _snapshot(10.0, 10, (80.0, 90.0)), set())
     figures.between(figures.case("zone"), first, _snapshot(10.0, 10, (4.0, 20.0), cpu_s=9.9), set())
     assert {each.case for each in figures.usable} == {"rest"}
-    kept(figures, "sidecar-testbed scale", tmp_path)
+    save_results(figures, "sidecar-testbed scale", tmp_path)
     usable, unusable = sorted(load_all(tmp_path), key=lambda each: not each.valid)
     assert (usable.valid, unusable.valid) == (True, False)
     assert {each.case for each in unusable.samples} == {"kill", "zone"}
