--- a/testbed/scale/__init__.py
+++ b/testbed/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Many members on one machine: real sidecar processes beside hollow ones, faults between, and figures."""
+"""Scale runs: real sidecar processes and simulated members on one machine, with faults, and their costs."""
--- a/testbed/scale/discovery.py
+++ b/testbed/scale/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of a scale run: the stand-in of the ground behind one address for all, with its calls counted."""
+"""Discovery of a scale run: the emulator's stand-in at one address for all members, with call counters."""
 
 from __future__ import annotations
 
@@ -15,39 +15,41 @@
 from testbed.streams import seeded
 
 
-class _Counting(log.EventLogWriter):
-    """TrafficCounters what discovery writes of its calls, and keeps nothing else."""
+class _CallCounter(log.EventLogWriter):
+    """Counts the calls that the stand-in logs, and discards its events."""
 
     def __init__(self) -> None:
         super().__init__(Path(os.devnull))
-        self.calls = self.failed = self.lines = 0
+        self.calls = self.failed = self.entries = 0
 
     def write(self, event: log.Event) -> None:
         if isinstance(event, log.DiscoveryPolled):
             self.calls += 1
             self.failed += not event.succeeded
         elif isinstance(event, log.EndpointListDelivered):
-            self.lines += len(event.entries)
+            self.entries += len(event.entries)
 
 
 class Discovery:
-    """Answers one call after another; may be away for a while."""
+    """Answers one call after another; can be stopped and started again to simulate an outage."""
 
-    def __init__(self, day: ScenarioRun) -> None:
+    def __init__(self, scenario_run: ScenarioRun) -> None:
         clock = DayClock(time.monotonic_ns())
-        # Nobody dials servers without requests: any addresses will do.
-        addresses = [[f"127.0.0.1:{1 + each.number % 60_000}" for each in day.servers]]
-        self._counting = _Counting()
-        stand_in = StandInDiscovery(day, clock, self._counting, addresses, seeded(day.seed, DISCOVERY))
-        links = Links(day)
-        copy = day.replicas[0].party
+        # Without client requests no sidecar connects to a server, so any address will do.
+        addresses = [[f"127.0.0.1:{1 + server.number % 60_000}" for server in scenario_run.servers]]
+        self._counter = _CallCounter()
+        stand_in = StandInDiscovery(
+            scenario_run, clock, self._counter, addresses, seeded(scenario_run.seed, DISCOVERY)
+        )
+        links = Links(scenario_run)
+        replica = scenario_run.replicas[0].party
         self._gate = Gate(
             clock,
             0,
             stand_in,
-            links.between(copy, DISCOVERY),
-            links.between(DISCOVERY, copy),
-            seeded(day.seed, "discovery.0"),
+            links.between(replica, DISCOVERY),
+            links.between(DISCOVERY, replica),
+            seeded(scenario_run.seed, "discovery.0"),
         )
         self.address = self._gate.bind("127.0.0.1")
 
@@ -56,7 +58,7 @@
         self._gate.start()
 
     def down(self) -> None:
-        """Its process ends: connections are reset and new ones refused."""
+        """Simulate the end of its process: reset connections and refuse new ones."""
         self._gate.down()
 
     def up(self) -> None:
@@ -65,10 +67,10 @@
 
     @property
     def counts(self) -> tuple[int, int, int]:
-        """Calls, those of them that failed, and lines of lists, since the start."""
-        return self._counting.calls, self._counting.failed, self._counting.lines
+        """The numbers of calls, of failed calls and of entries in the lists sent, since the start."""
+        return self._counter.calls, self._counter.failed, self._counter.entries
 
     def close(self) -> None:
         """Close the listener and stop counting."""
         self._gate.close()
-        self._counting.close()
+        self._counter.close()
--- a/testbed/scale/event_loop_lag.py
+++ b/testbed/scale/event_loop_lag.py
@@ -1,30 +1,30 @@
-"""How late an event loop is: what a machine that is the limit shows first."""
+"""Event loop lag: how late timers fire, the first sign that the machine limits a measurement."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 
-_LOOK_S = 0.02
-_MOST_KEPT = 100_000  # looks; half an hour
+_INTERVAL_S = 0.02
+_MAX_MEASUREMENTS = 100_000  # about half an hour
 
 
 class EventLoopLag:
-    """Looks at the clock again and again; keeps by how much it came late."""
+    """Sleeps for short intervals and records by how much each wake-up was late."""
 
     def __init__(self) -> None:
         self._late_s: list[float] = []
 
-    async def watch(self) -> None:
-        """Runs until it is cancelled."""
+    async def measure(self) -> None:
+        """Measure until cancelled."""
         while True:
-            due = time.monotonic() + _LOOK_S
-            await asyncio.sleep(_LOOK_S)
-            if len(self._late_s) < _MOST_KEPT:
+            due = time.monotonic() + _INTERVAL_S
+            await asyncio.sleep(_INTERVAL_S)
+            if len(self._late_s) < _MAX_MEASUREMENTS:
                 self._late_s.append(max(time.monotonic() - due, 0.0))
 
-    def taken_ms(self) -> tuple[float, float]:
-        """The 99th percentile and the greatest since this was asked last, in milliseconds."""
+    def take_ms(self) -> tuple[float, float]:
+        """Return the 99th percentile and the maximum since the last call, in milliseconds, and start anew."""
         late, self._late_s = sorted(self._late_s), []
         if not late:
             return 0.0, 0.0
--- a/testbed/scale/real_member.py
+++ b/testbed/scale/real_member.py
@@ -1,4 +1,4 @@
-"""Real members: processes of the program as the deploy file starts them, with what they believe and cost."""
+"""Real members: sidecar processes started as in the deploy file, with their views and resource usage."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from testbed.emulator.copies import Sidecar, _asked
 from testbed.scenario.scenario_run import ScenarioRun
 
-_GONE = "dl"  # letters of a view
+_ENDED_LETTERS = "dl"  # in a view: dead, left
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used since its start, and what it holds."""
+    """Processor time since the start of a process, and its resident memory."""
 
     cpu_s: float
     memory_mb: float
 
 
 class RealMember(Sidecar):
-    """One real member, or a process beside the tier."""
+    """A sidecar process: a real member, or one with membership off for comparison."""
 
     def __init__(
         self,
-        day: ScenarioRun,
+        scenario_run: ScenarioRun,
         number: int,
         command: str,
         root: Path,
@@ -38,10 +38,12 @@
         clock: DayClock,
         writer: log.EventLogWriter,
     ) -> None:
-        rng = random.Random(f"real {day.seed} {number}")
-        super().__init__(day, day.replicas[number], command, root, folder, clock, writer, rng, 60.0)
+        rng = random.Random(f"real {scenario_run.seed} {number}")
+        super().__init__(
+            scenario_run, scenario_run.replicas[number], command, root, folder, clock, writer, rng, 60.0
+        )
         self.number = number
-        self.listing = lambda: None  # the list is discovery's to tell
+        self.listing = lambda: None  # the endpoint list comes from discovery
 
     @property
     def is_alive(self) -> bool:
@@ -49,44 +51,48 @@
         return self.process is not None and not self.process.ended.is_set()
 
     async def view(self) -> str | None:
-        """What it believes of all members, a letter each; None where it does not say."""
-        membership = (await self.told()).get("membership")
+        """Return the member's view, one letter for the state of each member; None without an answer."""
+        membership = (await self.telemetry()).get("membership")
         return str(membership["view"]) if isinstance(membership, dict) else None
 
-    async def told(self) -> dict[str, Any]:
-        """Its figures as operators see them; empty where it does not say."""
+    async def telemetry(self) -> dict[str, Any]:
+        """Return the telemetry of the admin interface; empty without an answer."""
         if self._door is None or not self.is_alive:
             return {}
-        told = await _asked(self._door, "/api/telemetry")
-        given: dict[str, Any] = {} if told is None else json.loads(told)
-        return given
+        body = await _asked(self._door, "/api/telemetry")
+        telemetry: dict[str, Any] = {} if body is None else json.loads(body)
+        return telemetry
 
     def publish(self, version: int) -> None:
-        """Put a file of this version in the place of the last one; nobody is told."""
+        """Replace the configuration file by one of this version, without signalling the process."""
         path = self.folder / "config.json"
-        held = json.loads(path.read_text())
+        contents = json.loads(path.read_text())
         self.config["version"] = version
-        path.with_suffix(".new").write_text(json.dumps({**held, "version": version}))
+        path.with_suffix(".new").write_text(json.dumps({**contents, "version": version}))
         path.with_suffix(".new").rename(path)
 
     def usage(self) -> Usage | None:
-        """Processor time, by the scheduler's nanoseconds, and resident memory; None where it has ended."""
+        """Return processor time, from scheduler statistics, and resident memory; None once it has ended."""
         if self.process is None or not self.is_alive:
             return None
-        own = Path("/proc") / str(self.process.number)
+        proc = Path("/proc") / str(self.process.number)
         try:
-            spent = sum(int((task / "schedstat").read_text().split()[0]) for task in (own / "task").iterdir())
-            pages = int((own / "statm").read_text().split()[1])
+            cpu_ns = sum(
+                int((task / "schedstat").read_text().split()[0]) for task in (proc / "task").iterdir()
+            )
+            pages = int((proc / "statm").read_text().split()[1])
         except (OSError, IndexError, ValueError):
             return None
-        return Usage(spent / 1e9, pages * os.sysconf("SC_PAGE_SIZE") / 2**20)
+        return Usage(cpu_ns / 1e9, pages * os.sysconf("SC_PAGE_SIZE") / 2**20)
 
 
-def knows_gone(view: str, members: list[int]) -> bool:
-    """Whether all of these are believed dead or left."""
-    return all(view[each] in _GONE for each in members)
+def shows_ended(view: str, members: list[int]) -> bool:
+    """Whether a view holds all these members as dead or left."""
+    return all(view[number] in _ENDED_LETTERS for number in members)
 
 
-def is_true(view: str, gone: set[int]) -> bool:
-    """Whether just these are believed gone, and all others present."""
-    return all((letter in _GONE) if number in gone else letter == "p" for number, letter in enumerate(view))
+def is_accurate(view: str, ended: set[int]) -> bool:
+    """Whether a view holds exactly these members as dead or left, and all others as present."""
+    return all(
+        (letter in _ENDED_LETTERS) if number in ended else letter == "p" for number, letter in enumerate(view)
+    )
--- a/testbed/scale/runner.py
+++ b/testbed/scale/runner.py
@@ -1,4 +1,4 @@
-"""Everybody of a run: discovery, hollow and real members, and what they say together."""
+"""Runs all processes of a scale run: discovery, the workers with simulated members, and the real members."""
 
 from __future__ import annotations
 
@@ -16,31 +16,31 @@
 from testbed.emulator.copies import PlayError, end_with_parent
 from testbed.scale.discovery import Discovery
 from testbed.scale.event_loop_lag import EventLoopLag
-from testbed.scale.plan import Plan, configuration, day_of
-from testbed.scale.real_member import RealMember, Usage, is_true
+from testbed.scale.plan import Plan, draw_scenario_run, member_configuration
+from testbed.scale.real_member import RealMember, Usage, is_accurate
 from testbed.scale.worker import Order, Reply, Share
 from testbed.streams import MOST_LINE
 
-_ANSWER_WITHIN_S = 60.0
-_ENDS_WITHIN_S = 10.0
+_REPLY_TIMEOUT_S = 60.0
+_EXIT_TIMEOUT_S = 10.0
 
 
-class _Child:
-    """One worker: an order in, a reply out."""
+class _WorkerProcess:
+    """A worker process, which answers one order at a time."""
 
     def __init__(self, process: asyncio.subprocess.Process, number: int) -> None:
         self.process, self.number = process, number
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
     @classmethod
-    async def start(cls, command: str, root: Path, number: int, log_file: Path) -> _Child:
-        with log_file.open("ab") as said:
+    async def start(cls, command: str, root: Path, number: int, log_file: Path) -> _WorkerProcess:
+        with log_file.open("ab") as log_output:
             process = await asyncio.create_subprocess_shell(
                 command,
                 cwd=root,
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
-                stderr=said,
+                stderr=log_output,
                 limit=MOST_LINE,
                 env={**os.environ, "TMPDIR": str(log_file.parent)},
                 start_new_session=True,
@@ -48,16 +48,17 @@
             )
         return cls(process, number)
 
-    def tell(self, told: Share | Order) -> None:
+    def send(self, message: Share | Order) -> None:
         assert self.process.stdin is not None
-        self.process.stdin.write(msgspec.json.encode(told) + b"\n")
+        self.process.stdin.write(msgspec.json.encode(message) + b"\n")
 
-    async def ask(self, order: Order) -> Reply:
+    async def request(self, order: Order) -> Reply:
+        """Send an order and return its reply; raise PlayError if the worker ended or did not answer."""
         assert self.process.stdout is not None
-        async with self._turn:
+        async with self._lock:
             try:
-                async with asyncio.timeout(_ANSWER_WITHIN_S):
-                    self.tell(order)
+                async with asyncio.timeout(_REPLY_TIMEOUT_S):
+                    self.send(order)
                     line = await self.process.stdout.readline()
             except (TimeoutError, OSError):
                 raise PlayError(f"worker {self.number} does not answer") from None
@@ -69,7 +70,7 @@
         if self.process.stdin is not None:
             self.process.stdin.close()
         try:
-            async with asyncio.timeout(_ENDS_WITHIN_S):
+            async with asyncio.timeout(_EXIT_TIMEOUT_S):
                 await self.process.wait()
         except TimeoutError:
             self.process.kill()
@@ -78,92 +79,108 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All counts at one time; differences of two are what happened between."""
+    """All counters at one time; the difference of two snapshots covers the time between them."""
 
     at: float  # monotonic, seconds
-    hollow: dict[int, tuple[int, int, int, int]]  # datagrams and bytes sent, heard, by member
-    real: list[tuple[int, int, int, int]]  # likewise, as far as it passed hollow members
-    calls: tuple[int, int, int]  # at discovery: all, failed, lines
+    simulated: dict[int, tuple[int, int, int, int]]  # by member: datagrams and bytes sent, then received
+    real: list[tuple[int, int, int, int]]  # likewise of real members, exchanged with simulated ones
+    discovery_calls: tuple[int, int, int]  # all calls, failed calls, and entries of the lists sent
     usage: dict[int, Usage]  # of real processes, those with membership off included
     workers: list[tuple[float, float]]  # processor seconds, MB
-    wrongly_dead: set[tuple[int, int]]
-    lag_ms: tuple[float, float]  # the worst loop's since the last snapshot: 99th percentile, greatest
+    wrongly_dead: set[tuple[int, int]]  # (member, incarnation) declared dead while alive
+    # Event loop lag since the last snapshot: 99th percentile and maximum, each of the worst process.
+    lag_ms: tuple[float, float]
 
 
 class Runner:
-    """Starts everybody and ends everybody."""
+    """Starts, controls and ends all processes of a scale run."""
 
     def __init__(self, plan: Plan, root: Path, folder: Path, command: str) -> None:
         self.plan, self._root, self._folder, self._command = plan, root, folder, command
-        self._day = day_of(plan)
-        self._writer = log.EventLogWriter(
-            Path(os.devnull)
-        )  # a run's figures are its results, not a day's log
-        self._children: list[_Child] = []
+        self._scenario_run = draw_scenario_run(plan)
+        # A scale run has no event log: its results are its samples.
+        self._writer = log.EventLogWriter(Path(os.devnull))
+        self._workers: list[_WorkerProcess] = []
         self.real: list[RealMember] = []
         self.off: list[RealMember] = []
-        self.gone: set[int] = set()
+        self.killed: set[int] = set()
         self._lag = EventLoopLag()
-        self._lagging: asyncio.Task[None] | None = None
-        self.discovery = Discovery(self._day)
+        self._lag_task: asyncio.Task[None] | None = None
+        self.discovery = Discovery(self._scenario_run)
 
     async def prepare(self) -> None:
-        """Bind everybody's address, and tell all of them; nobody lives yet."""
+        """Bind the addresses of all members and write all configurations, without starting a member."""
         if "-m sidecar" not in self._command:
-            raise PlayError(f"hollow members need `-m sidecar` in `run`: {self._command}")
-        worded = self._command.replace("-m sidecar", "-m testbed.scale.worker")
+            raise PlayError(
+                f"the `run` command has to contain `-m sidecar` for simulated members: {self._command}"
+            )
+        worker_command = self._command.replace("-m sidecar", "-m testbed.scale.worker")
         self.discovery.start()
-        self._lagging = asyncio.create_task(self._lag.watch())
-        for number, share in enumerate(self.plan.shares()):
-            child = await _Child.start(worded, self._root, number, self._folder / f"worker-{number}.log")
-            self._children.append(child)
-            told = {each: self._configuration(each) for each in share}
-            child.tell(Share(number, self.plan.seed, self.plan.real, told, str(self._folder)))
-        ports = {each: port for reply in await self._all(Order("bind")) for each, port in reply.ports.items()}
+        self._lag_task = asyncio.create_task(self._lag.measure())
+        for worker_number, members in enumerate(self.plan.shares()):
+            log_file = self._folder / f"worker-{worker_number}.log"
+            worker = await _WorkerProcess.start(worker_command, self._root, worker_number, log_file)
+            self._workers.append(worker)
+            configurations = {number: self._configuration(number) for number in members}
+            worker.send(
+                Share(worker_number, self.plan.seed, self.plan.real, configurations, str(self._folder))
+            )
+        ports = {
+            number: port
+            for reply in await self._request_all(Order("bind"))
+            for number, port in reply.ports.items()
+        }
         clock = DayClock(time.monotonic_ns())
-        for number in range(self.plan.real + self.plan.off):
-            is_member = number < self.plan.real
-            # Beyond the members' numbers are those with membership off: addresses are by number.
-            own = number if is_member else self.plan.members + number - self.plan.real
-            folder = self._folder / f"real-{own}"
-            real = RealMember(self._day, own, self._command, self._root, folder, clock, self._writer)
+        for index in range(self.plan.real + self.plan.off):
+            is_member = index < self.plan.real
+            # Processes with membership off are numbered above the members, as addresses follow the number.
+            number = index if is_member else self.plan.members + index - self.plan.real
+            folder = self._folder / f"real-{number}"
+            real = RealMember(
+                self._scenario_run, number, self._command, self._root, folder, clock, self._writer
+            )
             (self.real if is_member else self.off).append(real)
-        peers = [f"{host}:{port}" for host, port in (each.peer_listen for each in self.real)]
-        peers += [f"127.0.0.1:{ports[each]}" for each in self.plan.hollow]
+        peers = [f"{host}:{port}" for host, port in (real.peer_listen for real in self.real)]
+        peers += [f"127.0.0.1:{ports[number]}" for number in self.plan.simulated]
         for real in (*self.real, *self.off):
             real.configure(self.discovery.address, peers, "")
-            given = self._configuration(real.number)
-            real.config |= {key: given[key] for key in ("settings", "membership", "version") if key in given}
+            values = self._configuration(real.number)
+            keys = [key for key in ("settings", "membership", "version") if key in values]
+            real.config |= {key: values[key] for key in keys}
         for real in self.off:
             real.config["membership"] = {"on": False}
-        await self._all(Order("introduce", peers=peers))
+        await self._request_all(Order("introduce", peers=peers))
 
     def _configuration(self, number: int) -> dict[str, object]:
-        return configuration(self.plan, self._day, number, self.discovery.address)
+        return member_configuration(self.plan, self._scenario_run, number, self.discovery.address)
 
-    # What is done to members
+    # Changes to members and the network
 
     async def start(self, members: list[int], *, with_off: bool = False) -> None:
-        """New lives of all of these at once."""
-        self.gone -= set(members)
-        own = [each for each in self.real if each.number in members] + (self.off if with_off else [])
-        await asyncio.gather(self._all(Order("start", members)), *(each.start() for each in own))
+        """Start a new incarnation of all these members at once."""
+        self.killed -= set(members)
+        processes = [real for real in self.real if real.number in members] + (self.off if with_off else [])
+        await asyncio.gather(
+            self._request_all(Order("start", members)), *(process.start() for process in processes)
+        )
 
     async def kill(self, members: list[int]) -> None:
         """Kill members, real and simulated."""
-        self.gone |= set(members)
-        own = [each for each in self.real if each.number in members]
-        await asyncio.gather(self._all(Order("kill", members)), *(each.kill() for each in own))
+        self.killed |= set(members)
+        processes = [real for real in self.real if real.number in members]
+        await asyncio.gather(
+            self._request_all(Order("kill", members)), *(process.kill() for process in processes)
+        )
 
     async def restart(self, member: int) -> None:
-        """A planned end, and the next life."""
+        """Shut a member down gracefully and start its next incarnation."""
         if member < self.plan.real:
-            own = self.real[member]
-            await self._all(Order("leave", [member]))
-            if own.process is not None:
-                await own.stop(own.process, own.life)
+            real = self.real[member]
+            await self._request_all(Order("leave", [member]))
+            if real.process is not None:
+                await real.stop(real.process, real.life)
         else:
-            await self._all(Order("leave", [member]))
+            await self._request_all(Order("leave", [member]))
         await self.start([member])
 
     async def settle(self) -> None:
@@ -171,91 +188,103 @@
 
         Real members have no such order.
         """
-        await self._all(Order("settle"))
+        await self._request_all(Order("settle"))
 
-    async def cut(self, border: int | None) -> None:
-        """Nothing passes between members below the border and the rest; None: all does again."""
-        await self._all(Order("cut", [] if border is None else [border]))
+    async def partition(self, border: int | None) -> None:
+        """Drop all datagrams between members below the border and the rest; None ends the partition."""
+        await self._request_all(Order("cut", [] if border is None else [border]))
 
-    async def lose(self, part: float) -> None:
-        """So many datagrams are lost, but for those between two real members."""
-        await self._all(Order("loss", amount=part))
+    async def set_loss(self, loss: float) -> None:
+        """Lose this part of the datagrams, except for those between two real members."""
+        await self._request_all(Order("loss", amount=loss))
 
     async def publish(self, version: int) -> None:
-        """A file of this version lies with everybody; nobody has been told to read it."""
+        """Write a file of this version for all members, without signalling any of them to read it."""
         for real in (*self.real, *self.off):
             real.publish(version)
-        await self._all(Order("publish", amount=float(version)))
+        await self._request_all(Order("publish", amount=float(version)))
 
-    async def hang_up(self, member: int) -> None:
-        """SIGHUP, or for a hollow member what the program does at it."""
+    async def signal_reload(self, member: int) -> None:
+        """Send SIGHUP to a real member, or have a simulated one do what the sidecar does on SIGHUP."""
         if member < self.plan.real:
             self.real[member].hang_up()
         else:
-            await self._all(Order("hang up", [member]))
+            await self._request_all(Order("hang up", [member]))
 
-    # What they say
+    # Observations
 
-    async def watch(self, what: str, members: list[int], began: float) -> None:
-        """Start to measure, from a monotonic time in seconds, when the simulated members learn something."""
-        await self._all(Order(f"watch {what}", members, began))
+    async def start_timer(self, subject: str, items: list[int], started_at: float) -> None:
+        """Start to measure when simulated members learn of these items.
 
-    async def watched(self) -> tuple[int, list[float]]:
-        """How many hollow members still wait, and how long those that don't have waited."""
-        replies = await self._all(Order("watched"))
-        return sum(each.waits for each in replies), [s for each in replies for s in each.took_s.values()]
+        `subject` is "deaths", "lists" or "versions"; `started_at` is a monotonic time in seconds.
+        """
+        await self._request_all(Order(f"watch {subject}", items, started_at))
+
+    async def read_timer(self) -> tuple[int, list[float]]:
+        """Return the number of simulated members that still wait, and the seconds that the others took."""
+        replies = await self._request_all(Order("watched"))
+        return (
+            sum(reply.waits for reply in replies),
+            [seconds for reply in replies for seconds in reply.took_s.values()],
+        )
 
     async def is_agreed(self) -> bool:
-        """Whether all living members hold the same lives and ends, and believe just those present."""
-        replies = [each for each in await self._all(Order("look")) if each.digests]
-        if len({digest for each in replies for digest in each.digests}) > 1:
+        """Whether the tables of all live members are equal and hold exactly the live members as present."""
+        replies = [reply for reply in await self._request_all(Order("look")) if reply.digests]
+        if len({digest for reply in replies for digest in reply.digests}) > 1:
             return False
-        if any(each.unsettled or set(each.gone) != self.gone for each in replies):
+        if any(reply.unsettled or set(reply.gone) != self.killed for reply in replies):
             return False
-        views = await asyncio.gather(*(each.view() for each in self.living))
-        return all(each is not None and is_true(each, self.gone) for each in views)
+        views = await asyncio.gather(*(real.view() for real in self.live_real))
+        return all(view is not None and is_accurate(view, self.killed) for view in views)
 
     @property
-    def living(self) -> list[RealMember]:
+    def live_real(self) -> list[RealMember]:
         """The real members that were not killed."""
-        return [each for each in self.real if each.number not in self.gone]
+        return [real for real in self.real if real.number not in self.killed]
 
     async def snapshot(self) -> Snapshot:
-        """The counters of all processes since the start, and their resource usage."""
-        replies = await self._all(Order("count"))
-        lags = [*(each.lag_ms for each in replies), self._lag.taken_ms()]
+        """Return the counters of all processes since the start, and their resource usage."""
+        replies = await self._request_all(Order("count"))
+        lags = [*(reply.lag_ms for reply in replies), self._lag.take_ms()]
         usage = {
-            each.number: found for each in (*self.real, *self.off) if (found := each.usage()) is not None
+            process.number: process_usage
+            for process in (*self.real, *self.off)
+            if (process_usage := process.usage()) is not None
         }
         real = [
-            (sum(each[0] for each in one), sum(each[1] for each in one),
-             sum(each[2] for each in one), sum(each[3] for each in one))
-            for one in zip(*(each.real for each in replies), strict=True)
-        ]  # fmt: skip
+            (
+                sum(counts[0] for counts in of_member),
+                sum(counts[1] for counts in of_member),
+                sum(counts[2] for counts in of_member),
+                sum(counts[3] for counts in of_member),
+            )
+            for of_member in zip(*(reply.real for reply in replies), strict=True)
+        ]
         return Snapshot(
             time.monotonic(),
-            {number: each for reply in replies for number, each in reply.counts.items()},
+            {number: counts for reply in replies for number, counts in reply.counts.items()},
             real,
             self.discovery.counts,
             usage,
-            [(each.cpu_s, each.memory_mb) for each in replies],
-            {each for reply in replies for each in reply.wrongly_dead},
-            (max(each[0] for each in lags), max(each[1] for each in lags)),
+            [(reply.cpu_s, reply.memory_mb) for reply in replies],
+            {incarnation for reply in replies for incarnation in reply.wrongly_dead},
+            (max(lag[0] for lag in lags), max(lag[1] for lag in lags)),
         )
 
-    async def _all(self, order: Order) -> list[Reply]:
-        return list(await asyncio.gather(*(each.ask(order) for each in self._children)))
+    async def _request_all(self, order: Order) -> list[Reply]:
+        return list(await asyncio.gather(*(worker.request(order) for worker in self._workers)))
 
     async def close(self) -> None:
-        """End everybody, whatever state they are in."""
-        if self._lagging is not None:
-            self._lagging.cancel()
+        """End all processes, whatever state they are in."""
+        if self._lag_task is not None:
+            self._lag_task.cancel()
         for real in (*self.real, *self.off):
             if real.is_alive and real.process is not None:
                 real.process.signal(signal.SIGKILL)
         await asyncio.gather(
-            *(each.close() for each in (*self.real, *self.off)),
-            *(each.close() for each in self._children),
+            *(real.close() for real in (*self.real, *self.off)),
+            *(worker.close() for worker in self._workers),
             return_exceptions=True,
         )
         self.discovery.close()
--- a/testbed/scale/save.py
+++ b/testbed/scale/save.py
@@ -1,4 +1,4 @@
-"""Keeps a run's figures below `docs/capacity/`: those that may be used, and apart those that may not."""
+"""Saves the figures of a scale run below `docs/capacity/`, valid and invalid ones in separate files."""
 
 from __future__ import annotations
 
@@ -9,13 +9,16 @@
 
 
 def save_results(figures: Figures, command: str, folder: Path = FOLDER) -> list[Path]:
-    """Write them; where a case has a fault, a second file holds it, not valid, with the reason."""
+    """Write the samples of a run and return the paths of the files.
+
+    The samples of cases with faults go to a second file, marked as not valid, with the reasons as its notes.
+    """
     name = f"scale-{figures.plan.members:04d}-seed{figures.plan.seed}"
     name += "-versions" if figures.plan.has_versions else ""
     notes = "; ".join(figures.notes)
-    out = [save(name, command, figures.usable, notes=notes, folder=folder)] if figures.usable else []
+    paths = [save(name, command, figures.usable, notes=notes, folder=folder)] if figures.usable else []
     if figures.faults:
-        why = "; ".join(figures.faults)
-        again = f"{name}-not-valid"
-        out.append(save(again, command, figures.unusable, valid=False, notes=why, folder=folder))
-    return out
+        reasons = "; ".join(figures.faults)
+        invalid_name = f"{name}-not-valid"
+        paths.append(save(invalid_name, command, figures.unusable, valid=False, notes=reasons, folder=folder))
+    return paths
--- a/testbed/scale/simulated_member.py
+++ b/testbed/scale/simulated_member.py
@@ -1,7 +1,8 @@
-"""A hollow member: a whole sidecar without clients, on an event loop that it shares with others.
+"""Simulated members: complete sidecars without clients that share one event loop.
 
-Its membership, its watch of discovery and its decisions are the program's own lines.  What stands between
-is here: datagrams are counted, and lost where a fault takes them; what it believes and hears is written down.
+Membership, the discovery watch and the decisions are the sidecar's own code.  This module replaces only the
+datagram transport, to count datagrams and to drop those that a simulated fault affects, and observes which
+members are believed to have ended and which endpoint lists and configuration versions arrive.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 from sidecar.peers import Peers
 from sidecar.sidecar import Sidecar
 
-_DRAINED_BYTES = 1 << 16
+_RECEIVE_BYTES = 1 << 16
 
 
 @dataclass(slots=True)
@@ -43,156 +44,175 @@
 
 @dataclass(slots=True)
 class TrafficCounters:
-    """One member's traffic, over all its lives."""
+    """One member's traffic, over all its incarnations."""
 
     sent: Traffic = field(default_factory=Traffic)
-    heard: Traffic = field(default_factory=Traffic)
+    received: Traffic = field(default_factory=Traffic)
 
 
 class SimulatedNetwork:
-    """What the hollow members of one process share: faults, who lives, and what is written down."""
+    """State shared by the simulated members of one process: faults, live incarnations and observations."""
 
     def __init__(self, real: int, rng: random.Random) -> None:
-        """Members below `real` are processes of their own; what passes to and from them is counted."""
-        self.border: int | None = None  # of a cut: nothing passes between those below it and the rest
+        """Create a network whose members below `real` are separate processes.
+
+        For those, the traffic that they exchange with members of this process is counted.
+        """
+        # No datagram passes between members below this number and the others; None without a partition.
+        self.partition_border: int | None = None
         self.loss = 0.0
         self.real = [TrafficCounters() for _ in range(real)]
-        self.since: dict[int, int] = {}  # the least life that each living member may have
-        self.wrongly_dead: set[tuple[int, int]] = set()  # lives that were called dead and were not
-        self.on_gone: Callable[[int, int], None] = lambda _by, _member: None
-        self.on_told: Callable[[int], None] = lambda _member: None
+        self.min_incarnations: dict[int, int] = {}  # the least incarnation that each live member may have
+        self.wrongly_dead: set[tuple[int, int]] = set()  # (member, incarnation) declared dead while alive
+        self.on_member_ended: Callable[[int, int], None] = lambda _observer, _member: None
+        self.on_endpoint_list: Callable[[int], None] = lambda _member: None
         self.on_version: Callable[[int, int], None] = lambda _member, _version: None
-        self._chance = rng.random
+        self._random = rng.random
 
-    def is_cut(self, one: int, other: int) -> bool:
+    def is_partitioned(self, sender: int, receiver: int) -> bool:
         """Whether the partition separates two members."""
-        return self.border is not None and (one < self.border) != (other < self.border)
+        border = self.partition_border
+        return border is not None and (sender < border) != (receiver < border)
 
-    def loses(self, one: int, other: int) -> bool:
-        """Whether a datagram from one to another is lost; asked once for each."""
-        return self.is_cut(one, other) or (self.loss > 0.0 and self._chance() < self.loss)
+    def is_lost(self, sender: int, receiver: int) -> bool:
+        """Decide whether a datagram is lost; called once for each datagram, as it draws a random number."""
+        return self.is_partitioned(sender, receiver) or (self.loss > 0.0 and self._random() < self.loss)
 
-    def hear(self, by: int, news: MemberStateChanged) -> None:
-        """A member has come to believe that another is gone."""
-        self.on_gone(by, news.member)
-        since = self.since.get(news.member)
-        if news.state is MemberState.DEAD and since is not None and news.incarnation >= since:
-            self.wrongly_dead.add((news.member, news.incarnation))
+    def record_member_ended(self, observer: int, change: MemberStateChanged) -> None:
+        """Record that a member believes another to be dead or left, and whether the other is still alive."""
+        self.on_member_ended(observer, change.member)
+        min_incarnation = self.min_incarnations.get(change.member)
+        if (
+            change.state is MemberState.DEAD
+            and min_incarnation is not None
+            and change.incarnation >= min_incarnation
+        ):
+            self.wrongly_dead.add((change.member, change.incarnation))
 
 
 class SimulatedPeers(Peers):
-    """The program's datagrams over a socket that was bound beforehand, counted, some of them lost."""
+    """The sidecar's datagram transport over a socket bound in advance, with counters and datagram loss."""
 
     def __init__(
         self,
-        ground: SimulatedNetwork,
-        counts: TrafficCounters,
-        own: socket.socket,
+        network: SimulatedNetwork,
+        traffic: TrafficCounters,
+        bound_socket: socket.socket,
         peers: tuple[Address, ...],
-        me: int,
+        local_number: int,
         on_message: Callable[[int, bytes], None],
     ) -> None:
-        super().__init__(peers, None, me, on_message)
-        self._ground, self._counts, self._own = ground, counts, own
+        super().__init__(peers, None, local_number, on_message)
+        self._network, self._traffic, self._bound_socket = network, traffic, bound_socket
 
     # The base class's signature: neither argument matters to a socket that is bound already.
     async def listen(self, address: Address, shared: bool = False) -> None:  # noqa: ARG002, FBT001, FBT002 - see above
-        """Hear others on a copy of the socket: the port stays the member's when this life ends."""
-        drain(self._own)
-        await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, sock=self._own.dup())
+        """Receive on a duplicate of the socket, so that the member keeps its port after this incarnation."""
+        drain(self._bound_socket)
+        await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, sock=self._bound_socket.dup())
 
     def send(self, receiver: int | None, payload: bytes) -> bool:
         """Send a datagram to one member, or to all; lost ones count as sent."""
         if receiver is None:
-            others = [each for each in range(len(self._peers)) if each != self._local_number]
-            told = [self.send(each, payload) for each in others]
-            return all(told)
-        self._counts.sent.add(payload)
-        if self._ground.loses(self._local_number, receiver):
-            return True  # nobody who sends a datagram hears that it is lost
-        if receiver < len(self._ground.real):
-            self._ground.real[receiver].heard.add(payload)
+            others = [number for number in range(len(self._peers)) if number != self._local_number]
+            results = [self.send(number, payload) for number in others]
+            return all(results)
+        self._traffic.sent.add(payload)
+        if self._network.is_lost(self._local_number, receiver):
+            return True  # the sender of a datagram is not notified of its loss
+        if receiver < len(self._network.real):
+            self._network.real[receiver].received.add(payload)
         return super().send(receiver, payload)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Count a datagram and pass it on, unless it is lost or its sender is unknown."""
+        """Count a datagram and pass it on, unless it is lost; one of an unknown sender is not counted."""
         sender = self._numbers.get((addr[0], addr[1]))
         if sender is not None:
-            is_real = sender < len(self._ground.real)
+            is_real = sender < len(self._network.real)
             if is_real:
-                self._ground.real[sender].sent.add(data)
-            # A hollow sender has asked already whether it is lost.
-            is_lost = self._ground.loses if is_real else self._ground.is_cut
-            if is_lost(sender, self._local_number):
+                self._network.real[sender].sent.add(data)
+            # For a simulated sender, `send` has decided about random loss already.
+            is_dropped = self._network.is_lost if is_real else self._network.is_partitioned
+            if is_dropped(sender, self._local_number):
                 return
-            self._counts.heard.add(data)
+            self._traffic.received.add(data)
         super().datagram_received(data, addr)
 
 
 class ObservedMembership(ClusterMembership):
-    """The program's membership; who is believed gone is written down."""
+    """The sidecar's membership, reporting which members it believes to be dead or left."""
 
-    on_gone: Callable[[MemberStateChanged], None]
+    on_member_ended: Callable[[MemberStateChanged], None]
 
     def _handle(self, action: MembershipAction) -> None:
         if isinstance(action, MemberStateChanged) and action.state >= MemberState.DEAD:
-            self.on_gone(action)
+            self.on_member_ended(action)
         super()._handle(action)
 
 
 class SimulatedClusterService(ClusterService):
-    """The program's cluster service, with datagrams and membership of the ground."""
+    """The sidecar's cluster service, with the transport and membership of the simulated network."""
 
     def __init__(
         self,
-        ground: SimulatedNetwork,
-        counts: TrafficCounters,
-        own: socket.socket,
+        network: SimulatedNetwork,
+        traffic: TrafficCounters,
+        bound_socket: socket.socket,
         configuration: Configuration,
         clock: Clock,
         dispatch: Callable[[Event], None],
         on_newer_version: Callable[[], None],
     ) -> None:
-        self._ground, self._counts, self._own = ground, counts, own
+        self._network, self._traffic, self._bound_socket = network, traffic, bound_socket
         super().__init__(configuration, clock, dispatch, on_newer_version, discard_log_event)
 
     def create_peers(self, configuration: Configuration) -> Peers:
-        """Peers that count their datagrams and apply the simulated loss."""
-        peers = configuration.peer_addresses
+        """Return peers that count their datagrams and apply the simulated loss."""
         return SimulatedPeers(
-            self._ground, self._counts, self._own, peers, self._number, self.message_received
+            self._network,
+            self._traffic,
+            self._bound_socket,
+            configuration.peer_addresses,
+            self._number,
+            self.message_received,
         )
 
     def create_membership(self) -> ClusterMembership:
-        """A membership that reports each death it learns of."""
-        own, number = self._configuration, self._number
+        """Return a membership that reports each member it believes to be dead or left."""
+        configuration, number = self._configuration, self._number
         members = ObservedMembership(
-            number, own.cluster, own.seed, self._clock, self.peers, discard_log_event, self.size_changed
+            number,
+            configuration.cluster,
+            configuration.seed,
+            self._clock,
+            self.peers,
+            discard_log_event,
+            self.size_changed,
         )
-        members.on_gone = lambda news: self._ground.hear(number, news)
+        members.on_member_ended = lambda change: self._network.record_member_ended(number, change)
         return members
 
 
 class SimulatedMember(Sidecar):
-    """One life of a hollow member."""
+    """One incarnation of a simulated member."""
 
     def __init__(
         self,
-        ground: SimulatedNetwork,
+        network: SimulatedNetwork,
         number: int,
-        counts: TrafficCounters,
-        own: socket.socket,
-        config: Configuration,
+        traffic: TrafficCounters,
+        bound_socket: socket.socket,
+        configuration: Configuration,
     ) -> None:
         self.number = number
-        self._ground, self._counts, self._own = ground, counts, own
-        super().__init__(config, discard_log_event)
+        self._network, self._traffic, self._bound_socket = network, traffic, bound_socket
+        super().__init__(configuration, discard_log_event)
 
     def _create_cluster(self) -> ClusterService:
         return SimulatedClusterService(
-            self._ground,
-            self._counts,
-            self._own,
+            self._network,
+            self._traffic,
+            self._bound_socket,
             self._configuration,
             self._clock,
             self._dispatcher.dispatch,
@@ -205,55 +225,55 @@
         return self._cluster.membership
 
     def _endpoint_list_received(self, endpoint_list: EndpointList) -> None:
-        self._ground.on_told(self.number)
+        self._network.on_endpoint_list(self.number)
         super()._endpoint_list_received(endpoint_list)
 
     def reconfigure(self, configuration: Configuration) -> list[str]:
         """Apply a configuration and report its version."""
-        kept = super().reconfigure(configuration)
+        restart_required = super().reconfigure(configuration)
         if self.version is not None:
-            self._ground.on_version(self.number, self.version)
-        return kept
+            self._network.on_version(self.number, self.version)
+        return restart_required
 
     def leave(self) -> None:
-        """End as planned: the others are told."""
+        """Shut down gracefully, notifying the other members."""
         if self.members is not None:
             self.members.leave()
         self.close()
 
 
 class DisseminationTimer:
-    """Waits until each of some members has had all of what it waits for, and keeps when that was."""
-
-    def __init__(self, began: float, waits: dict[int, set[int]]) -> None:
-        """`began` by the monotonic clock, in seconds; `waits`: what each member has yet to hear."""
-        self._began = began
-        self.waits = waits
-        self.took_s: dict[int, float] = {}
-
-    def heard(self, by: int, what: int) -> None:
-        """Note that a member learned something; when nothing is left, record the seconds it took."""
-        left = self.waits.get(by)
-        if left is None:
+    """Measures how long each observer takes to learn all items that it has to learn."""
+
+    def __init__(self, started_at: float, pending: dict[int, set[int]]) -> None:
+        """Start at a monotonic time in seconds, with the items that each observer has yet to learn."""
+        self._started_at = started_at
+        self.pending = pending
+        self.elapsed_s: dict[int, float] = {}
+
+    def learned(self, observer: int, item: int) -> None:
+        """Note that an observer learned an item; at its last one, record the seconds since the start."""
+        items = self.pending.get(observer)
+        if items is None:
             return
-        left.discard(what)
-        if not left:
-            del self.waits[by]
-            self.took_s[by] = time.monotonic() - self._began
+        items.discard(item)
+        if not items:
+            del self.pending[observer]
+            self.elapsed_s[observer] = time.monotonic() - self._started_at
 
-    def forget(self, member: int) -> None:
-        """Stop waiting for a member."""
-        self.waits.pop(member, None)
+    def remove(self, observer: int) -> None:
+        """Stop waiting for an observer."""
+        self.pending.pop(observer, None)
 
 
-def drain(own: socket.socket) -> None:
-    """Throw away what came while nobody heard."""
+def drain(bound_socket: socket.socket) -> None:
+    """Discard the datagrams that arrived while no process of the member was running."""
     try:
         while True:
-            own.recv(_DRAINED_BYTES)
+            bound_socket.recv(_RECEIVE_BYTES)
     except BlockingIOError:
         pass
 
 
 def discard_log_event(_: object) -> None:
-    """Nobody reads a hollow member's log."""
+    """Ignore a log event: the logs of simulated members are not kept."""
--- a/testbed/scale/worker.py
+++ b/testbed/scale/worker.py
@@ -1,7 +1,7 @@
-"""A process of hollow members: `python -m testbed.scale.worker`, told what to do on its standard input.
+"""A worker process with simulated members: `python -m testbed.scale.worker`.
 
-Each line in is an `Order`, the first with a `Share`; each is answered by one `Reply`.  It ends when its input
-does, so that nothing outlives the run.
+It reads JSON lines from its standard input: first a `Share`, then an `Order` a line, and answers each order
+with one `Reply` on its standard output.  It ends at the end of its input, so that no worker outlives the run.
 """
 
 from __future__ import annotations
@@ -14,6 +14,7 @@
 import socket
 import sys
 import time
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -37,213 +38,218 @@
 
 
 class Share(msgspec.Struct, frozen=True):
-    """What one process holds."""
+    """The members that one worker simulates, and their configurations."""
 
     worker: int
     seed: int
     real: int  # members below this number are processes of their own
-    configurations: dict[int, dict[str, Any]]  # of each hollow member, without `peers`
-    folder: str  # for their files
+    configurations: dict[int, dict[str, Any]]  # by simulated member, without `peers`
+    folder: str  # for the configuration files
 
 
 class Order(msgspec.Struct, frozen=True):
-    """What is to be done."""
+    """One command to a worker."""
 
     do: str
-    members: list[int] = []  # all that it concerns, also those of others
+    members: list[int] = []  # all members concerned, those of other workers included; see `Worker.execute`
     amount: float = 0.0
     peers: list[str] = []  # of `introduce`: every member's address
 
 
 class Reply(msgspec.Struct):
-    """What came of an order; each order fills what it is about."""
+    """The result of an order; fields that do not belong to the order keep their defaults."""
 
     ports: dict[int, int] = {}
-    digests: list[int] = []  # of `look`: the tables' that differ, two at the most
-    unsettled: int = 0  # members suspected or unknown, summed over all that look
-    gone: list[int] = []  # believed dead or left, by one of them
-    waits: int = 0  # members that still wait for what is watched
-    took_s: dict[int, float] = {}  # and since when those that don't have had it, from the watch's beginning
-    counts: dict[int, tuple[int, int, int, int]] = {}  # datagrams and bytes sent, heard
-    real: list[tuple[int, int, int, int]] = []  # likewise of real members, as far as it passed here
+    digests: list[int] = []  # of `look`: distinct digests of member tables, two at the most
+    unsettled: int = 0  # suspected and unknown members, summed over all tables
+    gone: list[int] = []  # members that the first table holds as dead or left
+    waits: int = 0  # members that have not yet learned what the current timer waits for
+    took_s: dict[int, float] = {}  # by member that has: seconds since the start of the timer
+    counts: dict[int, tuple[int, int, int, int]] = {}  # datagrams and bytes sent, then received
+    real: list[tuple[int, int, int, int]] = []  # likewise of real members, exchanged with this worker
     wrongly_dead: list[tuple[int, int]] = []
-    lag_ms: tuple[float, float] = (0.0, 0.0)  # the loop's, since it was asked last: 99th percentile, greatest
+    lag_ms: tuple[float, float] = (0.0, 0.0)  # event loop lag since the last count: 99th percentile, maximum
     cpu_s: float = 0.0
     memory_mb: float = 0.0
 
 
 class Worker:
-    """The hollow members of this process."""
+    """The simulated members of this process."""
 
     def __init__(self, share: Share) -> None:
         self._share = share
-        self._ground = SimulatedNetwork(share.real, random.Random(f"hollow {share.seed} {share.worker}"))
-        self._ground.on_gone = lambda by, member: self._heard("deaths", by, member)
-        self._ground.on_told = lambda member: self._heard("lists", member, 0)
-        self._ground.on_version = lambda member, version: self._heard("versions", member, version)
-        self._counts = {number: TrafficCounters() for number in share.configurations}
-        self._sockets = {number: _bound() for number in share.configurations}
-        self._alive: dict[int, SimulatedMember] = {}
+        self._network = SimulatedNetwork(share.real, random.Random(f"hollow {share.seed} {share.worker}"))
+        self._network.on_member_ended = lambda observer, member: self._learned("deaths", observer, member)
+        self._network.on_endpoint_list = lambda member: self._learned("lists", member, 0)
+        self._network.on_version = lambda member, version: self._learned("versions", member, version)
+        self._traffic = {number: TrafficCounters() for number in share.configurations}
+        self._sockets = {number: _bound_socket() for number in share.configurations}
+        self._running: dict[int, SimulatedMember] = {}
         self._reloaders: dict[int, ConfigurationReloader] = {}
-        self._watch: DisseminationTimer | None = None
-        self._watched = ""  # what the watch is for
+        self._timer: DisseminationTimer | None = None
+        self._timed = ""  # what the timer waits for: "deaths", "lists" or "versions"
         self.lag = EventLoopLag()
 
-    async def carry_out(self, order: Order) -> Reply:
+    async def execute(self, order: Order) -> Reply:
         """Execute one order; raise ValueError for an unknown one."""
         match order.do:
             case "bind":
-                return Reply(ports={each: own.getsockname()[1] for each, own in self._sockets.items()})
+                return Reply(
+                    ports={number: bound.getsockname()[1] for number, bound in self._sockets.items()}
+                )
             case "introduce" | "publish" | "hang up":
                 self._configure(order)
             case "start":
                 await self._start(order.members)
             case "kill" | "leave" | "settle" | "cut" | "loss":
-                self._change_ground(order)
+                self._change_network(order)
             case "watch deaths" | "watch lists" | "watch versions":
-                self._start_watch(order)
+                self._start_timer(order)
             case "watched":
-                if self._watch is not None:
-                    return Reply(waits=len(self._watch.waits), took_s=self._watch.took_s)
+                if self._timer is not None:
+                    return Reply(waits=len(self._timer.pending), took_s=self._timer.elapsed_s)
             case "look":
-                return self._look()
+                return self._compare_tables()
             case "count":
                 return self._count()
             case _:
-                raise ValueError(f"no such order: {order.do}")
+                raise ValueError(f"unknown order: {order.do}")
         return Reply()
 
     def _configure(self, order: Order) -> None:
         match order.do:
             case "introduce":
-                for number, each in self._share.configurations.items():
-                    each |= {"peers": order.peers, "peer_listen": order.peers[number]}
-                    self._write(number)
+                for number, configuration in self._share.configurations.items():
+                    configuration |= {"peers": order.peers, "peer_listen": order.peers[number]}
+                    self._write_configuration(number)
             case "publish":
-                for number, each in self._share.configurations.items():
-                    each["version"] = int(order.amount)
-                    self._write(number)
+                for number, configuration in self._share.configurations.items():
+                    configuration["version"] = int(order.amount)
+                    self._write_configuration(number)
             case "hang up":
                 for number in order.members:
-                    if number in self._alive:
+                    if number in self._running:
                         self._reloaders[number].reload()
 
-    def _change_ground(self, order: Order) -> None:
+    def _change_network(self, order: Order) -> None:
         match order.do:
             case "kill":
-                self._end(order.members, lambda each: each.close())
+                self._stop(order.members, lambda member: member.close())
             case "leave":
-                self._end(order.members, lambda each: each.leave())
+                self._stop(order.members, lambda member: member.leave())
             case "settle":
                 for membership in self._memberships():
                     membership.mark_all_disseminated()
             case "cut":
-                self._ground.border = order.members[0] if order.members else None
+                self._network.partition_border = order.members[0] if order.members else None
             case "loss":
-                self._ground.loss = order.amount
+                self._network.loss = order.amount
 
-    def _start_watch(self, order: Order) -> None:
+    def _start_timer(self, order: Order) -> None:
         match order.do:
             case "watch deaths":
-                killed, observers = set(order.members), self._alive.keys() - set(order.members)
-                self._watch = DisseminationTimer(order.amount, {each: set(killed) for each in observers})
-                self._watched = "deaths"
+                killed, observers = set(order.members), self._running.keys() - set(order.members)
+                self._timer = DisseminationTimer(order.amount, {number: set(killed) for number in observers})
+                self._timed = "deaths"
             case "watch lists":
-                self._watch = DisseminationTimer(order.amount, {each: {0} for each in self._alive})
-                self._watched = "lists"
+                self._timer = DisseminationTimer(order.amount, {number: {0} for number in self._running})
+                self._timed = "lists"
             case "watch versions":
-                self._watch = DisseminationTimer(
-                    order.amount, {each: set(order.members) for each in self._alive}
+                self._timer = DisseminationTimer(
+                    order.amount, {number: set(order.members) for number in self._running}
                 )
-                self._watched = "versions"
+                self._timed = "versions"
 
     async def _start(self, members: list[int]) -> None:
-        """New lives; the loop turns between two of them, so that others are heard."""
-        least = incarnation_at(time.time()) - 1
+        """Start new incarnations, yielding to the event loop after each, so that datagrams are received."""
+        min_incarnation = incarnation_at(time.time()) - 1
         for number in members:
-            self._ground.since[number] = least
-            if number in self._sockets and number not in self._alive:
-                environ = {"BALANCER_CONFIG": str(self._file(number))}
-                config = load(environ)
-                own = SimulatedMember(
-                    self._ground, number, self._counts[number], self._sockets[number], config
+            self._network.min_incarnations[number] = min_incarnation
+            if number in self._sockets and number not in self._running:
+                environ = {"BALANCER_CONFIG": str(self._configuration_path(number))}
+                configuration = load(environ)
+                member = SimulatedMember(
+                    self._network, number, self._traffic[number], self._sockets[number], configuration
                 )
-                self._alive[number] = own
-                reloader = self._reloaders[number] = ConfigurationReloader(own, discard_log_event, environ)
-                own.on_newer_version = reloader.reload_if_newer  # as the program does
-                await own.start()
+                self._running[number] = member
+                reloader = ConfigurationReloader(member, discard_log_event, environ)
+                self._reloaders[number] = reloader
+                member.on_newer_version = reloader.reload_if_newer  # as the sidecar's own start-up does
+                await member.start()
                 await asyncio.sleep(0)
-        gc.freeze()  # as the program does after its start
+        gc.freeze()  # as the sidecar does after its start
 
-    def _end(self, members: list[int], how: Any) -> None:
+    def _stop(self, members: list[int], stop: Callable[[SimulatedMember], None]) -> None:
         for number in members:
-            self._ground.since.pop(number, None)
-            own = self._alive.pop(number, None)
-            if own is not None:
-                how(own)
-                if self._watch is not None:
-                    self._watch.forget(number)
-
-    def _heard(self, what: str, by: int, of: int) -> None:
-        if self._watch is not None and self._watched == what:
-            self._watch.heard(by, of)
-
-    def _file(self, number: int) -> Path:
+            self._network.min_incarnations.pop(number, None)
+            member = self._running.pop(number, None)
+            if member is not None:
+                stop(member)
+                if self._timer is not None:
+                    self._timer.remove(number)
+
+    def _learned(self, subject: str, observer: int, item: int) -> None:
+        if self._timer is not None and self._timed == subject:
+            self._timer.learned(observer, item)
+
+    def _configuration_path(self, number: int) -> Path:
         return Path(self._share.folder) / f"hollow-{number}.json"
 
-    def _write(self, number: int) -> None:
-        """A member's file as a whole, in the place of the last one."""
-        path = self._file(number)
+    def _write_configuration(self, number: int) -> None:
+        """Replace a member's configuration file atomically."""
+        path = self._configuration_path(number)
         path.with_suffix(".new").write_text(json.dumps(self._share.configurations[number]))
         path.with_suffix(".new").rename(path)
 
     def _memberships(self) -> list[Membership]:
-        own = [each.members.membership for each in self._alive.values() if each.members is not None]
-        return [each for each in own if each is not None]
+        memberships = [
+            member.members.membership for member in self._running.values() if member.members is not None
+        ]
+        return [membership for membership in memberships if membership is not None]
 
-    def _look(self) -> Reply:
-        tiers = self._memberships()
-        if not tiers:
+    def _compare_tables(self) -> Reply:
+        memberships = self._memberships()
+        if not memberships:
             return Reply()
-        digests = {each.table.digest for each in tiers}
-        sizes = [each.size() for each in tiers]
+        digests = {membership.table.digest for membership in memberships}
+        sizes = [membership.size() for membership in memberships]
         gone = [
             number
-            for number, each in enumerate(tiers[0].table.records)
-            if each.update.state >= MemberState.DEAD
+            for number, record in enumerate(memberships[0].table.records)
+            if record.update.state >= MemberState.DEAD
         ]
-        unsettled = sum(each.suspected + each.unknown for each in sizes)
+        unsettled = sum(size.suspected + size.unknown for size in sizes)
         return Reply(digests=list(digests)[:2], unsettled=unsettled, gone=gone)
 
     def _count(self) -> Reply:
-        spent = resource.getrusage(resource.RUSAGE_SELF)
+        usage = resource.getrusage(resource.RUSAGE_SELF)
         return Reply(
-            counts={number: _plain(each) for number, each in self._counts.items()},
-            real=[_plain(each) for each in self._ground.real],
-            wrongly_dead=sorted(self._ground.wrongly_dead),
-            lag_ms=self.lag.taken_ms(),
-            cpu_s=spent.ru_utime + spent.ru_stime,
+            counts={number: _counter_values(traffic) for number, traffic in self._traffic.items()},
+            real=[_counter_values(traffic) for traffic in self._network.real],
+            wrongly_dead=sorted(self._network.wrongly_dead),
+            lag_ms=self.lag.take_ms(),
+            cpu_s=usage.ru_utime + usage.ru_stime,
             memory_mb=_resident_mb(),
         )
 
     def close(self) -> None:
         """Close all simulated members and their sockets."""
-        for each in self._alive.values():
-            each.close()
-        for own in self._sockets.values():
-            own.close()
+        for member in self._running.values():
+            member.close()
+        for bound in self._sockets.values():
+            bound.close()
 
 
-def _bound() -> socket.socket:
-    own = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    own.setblocking(False)  # noqa: FBT003 - its only form
-    own.bind(("127.0.0.1", 0))
-    return own
+def _bound_socket() -> socket.socket:
+    bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    bound.setblocking(False)  # noqa: FBT003 - the method takes no keyword
+    bound.bind(("127.0.0.1", 0))
+    return bound
 
 
-def _plain(counts: TrafficCounters) -> tuple[int, int, int, int]:
-    sent, heard = counts.sent, counts.heard
-    return sent.datagrams, sent.size, heard.datagrams, heard.size
+def _counter_values(traffic: TrafficCounters) -> tuple[int, int, int, int]:
+    sent, received = traffic.sent, traffic.received
+    return sent.datagrams, sent.size, received.datagrams, received.size
 
 
 def _resident_mb() -> float:
@@ -253,16 +259,16 @@
 
 async def main() -> None:
     """Execute the orders read from standard input, one a line, and print the replies."""
-    told = await lines_of_input()
-    worker = Worker(msgspec.json.decode(await told.readline(), type=Share))
-    lagging = asyncio.create_task(worker.lag.watch())
+    lines = await lines_of_input()
+    worker = Worker(msgspec.json.decode(await lines.readline(), type=Share))
+    lag_task = asyncio.create_task(worker.lag.measure())
     try:
-        while line := await told.readline():
-            reply = await worker.carry_out(msgspec.json.decode(line, type=Order))
+        while line := await lines.readline():
+            reply = await worker.execute(msgspec.json.decode(line, type=Order))
             sys.stdout.buffer.write(msgspec.json.encode(reply) + b"\n")
             sys.stdout.buffer.flush()
     finally:
-        lagging.cancel()
+        lag_task.cancel()
         worker.close()
 
 
