--- a/testbed/cluster_simulation/__init__.py
+++ b/testbed/cluster_simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A cluster in virtual time: the sidecars' own membership, hundreds of members and faults between them."""
+"""Simulation of whole clusters in virtual time, on the sidecar's own membership code, with faults."""
--- a/testbed/cluster_simulation/versions.py
+++ b/testbed/cluster_simulation/versions.py
@@ -1,6 +1,6 @@
-"""Members in virtual time that compare their configuration's version, each with a file of its own.
+"""A cluster in virtual time whose members compare configuration versions, each with its own file.
 
-Every member runs `sidecar.cluster` as the sidecar does; a look at the file takes no time.
+Each member runs `sidecar.cluster` as the sidecar does; reading a file takes no virtual time.
 """
 
 from __future__ import annotations
@@ -21,37 +21,37 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationFile:
-    """What a member's configuration file says: its version, and a digest of the rest."""
+    """The contents of a member's configuration file: the version, and a digest of the rest."""
 
     version: int
     digest: int = 0
 
     @staticmethod
     def of(version: int) -> ConfigurationFile:
-        """A file whose contents go with its version."""
+        """Return a file whose digest is derived from its version."""
         return ConfigurationFile(version, version * 7_919 & 0xFFFF_FFFF)
 
 
 class VersionedProcess(Process):
-    """A process that compares versions besides keeping track of the others."""
+    """A process that runs the rollout protocol beside membership."""
 
     def __init__(self, cluster: VersionedCluster, number: int, size: int, clock_offset_s: float) -> None:
         self._versioned_cluster = cluster
         self._next_rollout_tick = _NEVER
-        self.exchanges = self.exchange_bytes = 0  # sent
+        self.exchanges = self.exchange_bytes = 0  # rollout datagrams and bytes sent
         self.file_reads = 0
         super().__init__(cluster, number, size, clock_offset_s)
         now, file = cluster.queue.now, cluster.files[number]
-        own = random.Random(cluster.random.getrandbits(64))
+        rng = random.Random(cluster.random.getrandbits(64))
         table = self.membership.table
         self.rollout = Rollout(
-            number, cluster.name, table, cluster.rollout, own, now, file.version, file.digest
+            number, cluster.name, table, cluster.rollout, rng, now, file.version, file.digest
         )
         if cluster.is_rollout_on:
             self.execute_rollout(self.rollout.start(now))
 
     def receive(self, sender: int, payload: bytes) -> None:
-        """Pass a datagram to the rollout or to the membership, as its type says."""
+        """Pass a datagram to the rollout or to the membership, according to its type."""
         if self.is_paused or not self.is_alive or not is_rollout_message(payload):
             super().receive(sender, payload)
         elif self._versioned_cluster.is_rollout_on:
@@ -83,7 +83,7 @@
                     cluster.rollout_reports.append((cluster.queue.now, self.number, action))
 
     def read(self) -> bool:
-        """Read the file, as at SIGHUP; no if its version is refused."""
+        """Read the file, as on SIGHUP; return False if the rollout rejects its version."""
         cluster, file = self._versioned_cluster, self._versioned_cluster.files[self.number]
         if not self.rollout.permits(file.version):
             return False
@@ -105,7 +105,7 @@
 
 
 class VersionedCluster(VirtualCluster):
-    """A cluster whose members have files."""
+    """A cluster whose members have configuration files."""
 
     def __init__(
         self,
@@ -119,10 +119,10 @@
         is_membership_on: bool = True,
         without_rollout: frozenset[int] = frozenset(),
     ) -> None:
-        """All begin at once, know each other and have this version.
+        """Start all members at once, knowing each other, with this version.
 
-        Without `is_membership_on`, membership is at rest for good, with everybody present.  Members
-        `without_rollout` run a program that knows membership alone.
+        Without `is_membership_on`, the membership protocol does not run and all members remain present.  The
+        members `without_rollout` run a program without the rollout protocol.
         """
         self.rollout = rollout or RolloutSettings()
         self.is_rollout_on = self.rollout.on
@@ -130,7 +130,9 @@
         self.without_rollout = without_rollout
         self.files = {number: ConfigurationFile.of(version) for number in range(size)}
         self.rollout_reports: list[tuple[int, int, RolloutReport]] = []
-        self.applied: dict[int, dict[int, int]] = {}  # by version and member, when it came in force first
+        self.applied: dict[
+            int, dict[int, int]
+        ] = {}  # by version and member: time at which it first came in force
         super().__init__(size, seed, loss=loss, settings=settings, is_converged=True)
 
     def start(self, number: int, clock_offset_s: float = 0.0, size: int | None = None) -> Process:
@@ -149,11 +151,11 @@
 
     @property
     def versioned_processes(self) -> list[VersionedProcess]:
-        """The latest process of each that lives and compares versions."""
+        """The latest process of each live member that runs the rollout protocol."""
         return [self.versioned(number) for number in self.alive if number not in self.without_rollout]
 
     def publish(self, version: int, first: int, members: range | None = None) -> None:
-        """Files of this version are with everybody, or with these; one alone gets SIGHUP."""
+        """Write files of this version for all members, or for `members`; only `first` gets SIGHUP."""
         for number in members or range(self.size):
             self.files[number] = ConfigurationFile.of(version)
         self.versioned(first).read()
@@ -163,23 +165,25 @@
         return self.versioned(number).rollout.status(self.queue.now)
 
     def in_force(self, version: int) -> bool:
-        """Whether all that live have it in force."""
-        return all(each.rollout.version == version for each in self.versioned_processes)
+        """Whether all live members have the version in force."""
+        return all(process.rollout.version == version for process in self.versioned_processes)
 
-    def until_in_force(self, version: int, within_s: float, step_s: float = 0.05) -> float | None:
-        """Run until all have it; give after how many seconds, or None if not within the bound."""
-        began = self.queue.now
-        while self.queue.now - began <= within_s * 1e6:
+    def until_in_force(self, version: int, timeout_s: float, step_s: float = 0.05) -> float | None:
+        """Run until all live members have the version in force; return the seconds, None at timeout."""
+        started_at = self.queue.now
+        while self.queue.now - started_at <= timeout_s * 1e6:
             if self.in_force(version):
-                return (self.queue.now - began) / 1e6
+                return (self.queue.now - started_at) / 1e6
             self.run(step_s)
         return None
 
-    def until_known(self, within_s: float, step_s: float = 0.25) -> float | None:
-        """Run until all that live answer that it is in force everywhere."""
-        began = self.queue.now
-        while self.queue.now - began <= within_s * 1e6:
-            if all(self.status(each.number).is_in_force_everywhere for each in self.versioned_processes):
-                return (self.queue.now - began) / 1e6
+    def until_known(self, timeout_s: float, step_s: float = 0.25) -> float | None:
+        """Run until all live members report it in force everywhere; return the seconds, None at timeout."""
+        started_at = self.queue.now
+        while self.queue.now - started_at <= timeout_s * 1e6:
+            if all(
+                self.status(process.number).is_in_force_everywhere for process in self.versioned_processes
+            ):
+                return (self.queue.now - started_at) / 1e6
             self.run(step_s)
         return None
--- a/testbed/cluster_simulation/virtual.py
+++ b/testbed/cluster_simulation/virtual.py
@@ -1,6 +1,7 @@
-"""Members over a network of datagrams in virtual time: lost, late, doubled, held, cut; and who is gone.
+"""A cluster on a simulated datagram network in virtual time.
 
-Every member runs `sidecar.cluster` as the sidecar does; nothing of it is modelled.  Times are microseconds.
+The network loses, delays, duplicates and holds back datagrams, and can be partitioned.  Each member runs
+`sidecar.cluster` as the sidecar does; no part of the protocol is modelled.  Times are microseconds.
 """
 
 from __future__ import annotations
@@ -23,24 +24,24 @@
 from testbed.simulation.queue import Queue
 
 S = 1_000_000
-UNIX_S = 1_780_000_000.0  # the wall clock when virtual time begins
+UNIX_S = 1_780_000_000.0  # the wall clock at the start of virtual time
 _NEVER = 1 << 62
-Report = tuple[int, int, MembershipAction]  # at, by which member, what
+Report = tuple[int, int, MembershipAction]  # time, reporting member, report
 
 
 def have_converged(tables: Mapping[int, MemberTable]) -> bool:
-    """Whether all that live, by number, hold the same lives and ends, and just those that live present."""
-    if len({each.digest for each in tables.values()}) != 1:
+    """Whether the tables of the live members, by number, are equal and hold exactly these as present."""
+    if len({table.digest for table in tables.values()}) != 1:
         return False
-    views = {bytes([each.update.state for each in table.records]) for table in tables.values()}
+    views = {bytes([record.update.state for record in table.records]) for table in tables.values()}
     return len(views) == 1 and all(
-        each == MemberState.PRESENT if number in tables else each >= MemberState.DEAD
-        for number, each in enumerate(views.pop())
+        state == MemberState.PRESENT if number in tables else state >= MemberState.DEAD
+        for number, state in enumerate(views.pop())
     )
 
 
 class Process:
-    """One process of a member."""
+    """A process of a member."""
 
     def __init__(self, cluster: VirtualCluster, number: int, size: int, clock_offset_s: float) -> None:
         self.number = number
@@ -49,9 +50,9 @@
         self.processing_delay_us = 0
         self._cluster = cluster
         self.is_paused = False
-        self._waiting: list[tuple[int, bytes]] = []  # what came while it was paused
-        self._wake = _NEVER
-        self.sent = self.sent_bytes = self.heard = self.heard_bytes = 0
+        self._waiting: list[tuple[int, bytes]] = []  # datagrams that arrived during a pause
+        self._next_tick = _NEVER
+        self.sent = self.sent_bytes = self.received = self.received_bytes = 0
         self.membership = Membership(
             number,
             size,
@@ -68,8 +69,8 @@
         if self.is_paused:
             self._waiting.append((sender, payload))
         elif self.is_alive:
-            self.heard += 1
-            self.heard_bytes += len(payload)
+            self.received += 1
+            self.received_bytes += len(payload)
             self.execute(self.membership.datagram_received(self._cluster.queue.now, sender, payload))
 
     def execute(self, actions: list[MembershipAction]) -> None:
@@ -80,13 +81,13 @@
                 case SendDatagram():
                     self._cluster.transmit(self, action)
                 case ScheduleTick():
-                    self._wake = action.at
+                    self._next_tick = action.at
                     self._cluster.queue.at(action.at + self.processing_delay_us, self._tick, action.at)
                 case MemberStateChanged() | DuplicateMember() | ProcessStalled():
                     self._cluster.on_report((now, self.number, action))
 
     def _tick(self, at: int) -> None:
-        if self.is_alive and not self.is_paused and at == self._wake:
+        if self.is_alive and not self.is_paused and at == self._next_tick:
             self.execute(self.membership.tick(self._cluster.queue.now))
 
     def kill(self) -> None:
@@ -103,7 +104,7 @@
         self.is_paused = True
 
     def resume(self) -> None:
-        """Go on: what came meanwhile first, as sockets are read before timers are looked at."""
+        """Continue: process the waiting datagrams before timers, as the event loop does."""
         self.is_paused = False
         waiting, self._waiting = self._waiting, []
         for sender, payload in waiting:
@@ -113,7 +114,7 @@
 
 
 class VirtualCluster:
-    """All members, and what lies between them."""
+    """All members, and the network between them."""
 
     def __init__(
         self,
@@ -133,10 +134,11 @@
         self.random = random.Random(seed)
         self.queue = Queue()
         self.reports: list[Report] = []
-        self.on_report: Callable[[Report], None] = self.reports.append  # or whoever needs less than all of it
+        self.on_report: Callable[[Report], None] = self.reports.append  # replaceable, to keep fewer reports
         self.duplicate_probability = 0.0
-        self.late_probability = 0.0  # part of the datagrams that come up to a second late, out of order
-        # Whether a datagram from one to another is lost to a cut now, and until when one is held back.
+        self.late_probability = 0.0  # of a delay of up to one second, which also reorders datagrams
+        # By sender and receiver: whether a partition drops a datagram now, and the time until
+        # which a datagram is held back.
         self.is_partitioned: Callable[[int, int], bool] = lambda _source, _target: False
         self.held_until: Callable[[int, int], int] = lambda _source, _target: 0
         self.processes: dict[int, list[Process]] = {}
@@ -146,22 +148,22 @@
             self._converge()
 
     def _converge(self) -> None:
-        """Have everybody know everybody, as after a long rest; what was to be told of it is told."""
-        first, *others = [each[0].membership for each in self.processes.values()]
+        """Give all members the same table, with all updates disseminated, as after a long rest."""
+        first, *others = [processes[0].membership for processes in self.processes.values()]
         for number in self.alive:
             incarnation = self.membership_of(number).incarnation
             first.table.apply(
                 MembershipUpdate.create(number, incarnation, MemberState.PRESENT, 0, number), self.queue.now
             )
-        for each in others:
-            each.table.copy_beliefs(first.table)
-        for each in (first, *others):
-            each.mark_all_disseminated()
+        for membership in others:
+            membership.table.copy_beliefs(first.table)
+        for membership in (first, *others):
+            membership.mark_all_disseminated()
 
-    # Who lives
+    # Processes
 
     def start(self, number: int, clock_offset_s: float = 0.0, size: int | None = None) -> Process:
-        """A process begins, beside any that the member has; its wall clock is so far ahead."""
+        """Start a process beside any that the member has; `clock_offset_s` is added to its wall clock."""
         process = Process(self, number, size or self.size, clock_offset_s)
         self.processes.setdefault(number, []).append(process)
         return process
@@ -177,7 +179,7 @@
             process.leave()
 
     def upgrade(self, number: int, overlap_us: int = S) -> None:
-        """A second process beside the first, which ends a little later."""
+        """Start a second process beside the first, which leaves after the overlap."""
         (old,) = self.processes[number]
         self.start(number)
 
@@ -196,14 +198,14 @@
         """The numbers of the members that run, sorted."""
         return sorted(self.processes)
 
-    # What lies between
+    # Network
 
     def transmit(self, source: Process, datagram: SendDatagram) -> None:
         """Deliver a datagram to its receivers, with the network's loss, delay and partitions."""
         targets: Sequence[int] = (datagram.receiver,) if datagram.receiver is not None else ()
         if datagram.receiver is None:
-            targets = [each for each in range(self.size) if each != source.number]
-        source.sent += len(targets)  # a word to all is as many datagrams
+            targets = [number for number in range(self.size) if number != source.number]
+        source.sent += len(targets)  # a message to all members is one datagram for each
         source.sent_bytes += len(targets) * len(datagram.payload)
         for target in targets:
             if self.is_partitioned(source.number, target) or self.random.random() < self.loss:
@@ -216,10 +218,13 @@
                 )
 
     def deliver(self, source: int, target: int, payload: bytes) -> None:
-        """Hand a datagram to one process of a member; which, is by its source, as the system does it."""
-        found = self.processes.get(target)
-        if found:
-            process = found[(source * 2_654_435_761 >> 8) % len(found)]
+        """Deliver a datagram to one process of a member.
+
+        With several, a hash of the source selects the process, as the kernel does for sockets on one port.
+        """
+        processes = self.processes.get(target)
+        if processes:
+            process = processes[(source * 2_654_435_761 >> 8) % len(processes)]
             if process.processing_delay_us:
                 self.queue.after(process.processing_delay_us, process.receive, source, payload)
             else:
@@ -229,27 +234,29 @@
         """Run the simulation for a number of virtual seconds."""
         self.queue.run(self.queue.now + int(seconds * S))
 
-    # What is believed
+    # Agreement and reports
 
     def is_agreed(self) -> bool:
-        """Whether all that live hold the same lives and ends, and believe just those that live present."""
+        """Whether the tables of all live members are equal and hold exactly the live members as present."""
         return have_converged({number: self.membership_of(number).table for number in self.processes})
 
-    def until_agreed(self, within_s: float, step_s: float = 0.25) -> float | None:
-        """Run until all agree; give after how many seconds, or None if not within the bound."""
-        began = self.queue.now
-        while self.queue.now - began <= within_s * S:
+    def until_agreed(self, timeout_s: float, step_s: float = 0.25) -> float | None:
+        """Run until all live members agree; return the seconds that it took, or None at the timeout."""
+        started_at = self.queue.now
+        while self.queue.now - started_at <= timeout_s * S:
             if self.is_agreed():
-                return (self.queue.now - began) / S
+                return (self.queue.now - started_at) / S
             self.run(step_s)
         return None
 
     def state_changes(
         self, state: MemberState, member: int | None = None
     ) -> list[tuple[int, int, MemberStateChanged]]:
-        """What was told of members becoming so, in order of time."""
+        """Return the reports of members entering a state, in order: (time, reporting member, change)."""
         return [
-            (at, by, what)
-            for at, by, what in self.reports
-            if isinstance(what, MemberStateChanged) and what.state is state and member in (None, what.member)
+            (at, reporter, report)
+            for at, reporter, report in self.reports
+            if isinstance(report, MemberStateChanged)
+            and report.state is state
+            and member in (None, report.member)
         ]
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -14,17 +14,17 @@
 
 
 def explore_at_random(seeds: int) -> None:
-    """Long runs of steps by chance, each healed in the end."""
+    """Apply long sequences of random steps, and heal each at its end."""
     rng = random.Random(5)
     for _ in range(seeds):
         world = World(rng.randrange(1_000))
         for _ in range(120):
-            world.step(*rng.choice(list(world.steps(most_faults=6))))
+            world.step(*rng.choice(list(world.steps(max_faults=6))))
         world.heal()
 
 
 def test_every_order_of_events_keeps_the_guarantees_and_heals() -> None:
-    explored = explore(depth=3, most_faults=2, heal_every=5)
+    explored = explore(depth=3, max_faults=2, heal_every=5)
     assert explored.states > 1_000 and explored.healed > 200
     assert explored.longest_heal_us <= 120_000_000
 
