--- a/testbed/cluster_simulation/explore.py
+++ b/testbed/cluster_simulation/explore.py
@@ -163,7 +163,7 @@
     # Invariants
 
     def _check(self, number: int) -> None:
-        """Check that no ended incarnation, its own included, is alive again, and that the table is complete."""
+        """Check that no ended incarnation, its own included, is alive again and the table is complete."""
         member = self.members[number]
         membership = member.membership
         if membership is None:
--- a/testbed/cluster_simulation/measure.py
+++ b/testbed/cluster_simulation/measure.py
@@ -1,4 +1,4 @@
-"""What membership costs and how quickly it finds out, from 5 to 1,000 members, with tables and plots."""
+"""Costs of membership and its time to detect a death, from 5 to 1,000 members: `make membership`."""
 
 from __future__ import annotations
 
@@ -18,20 +18,21 @@
 
 T = TypeVar("T")
 SIZES = (5, 10, 30, 100, 300, 1_000)
-QUIET_SIZES = (10, 100)
-QUIET_S = 120.0
+FAULT_FREE_SIZES = (10, 100)
+FAULT_FREE_S = 120.0
 SEEDS = 100
 PLOT = Path(__file__).resolve().parent.parent.parent / "docs" / "membership-found.svg"
-_CONDITIONS = ((0.0, 0.0), (0.05, 0.0), (0.3, 0.0), (0.0, 0.1))  # loss, and the part that is slow
-_WARM_S = 8.0  # before the kill
-_MOST_S = 400.0  # that a killed one is waited for
+_CONDITIONS = ((0.0, 0.0), (0.05, 0.0), (0.3, 0.0), (0.0, 0.1))  # datagram loss, fraction of slow members
+_WARM_UP_S = 8.0  # before the kill
+_TIMEOUT_S = 400.0  # until all know of the killed member
 _STEP_S = 0.25
-_ONE_SUSPICION_US = 10_000_000  # news of one accuser on one life within this is one suspicion
+# Reports of one member about one incarnation within this time count as one suspicion.
+_ONE_SUSPICION_US = 10_000_000
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """One member killed: seconds till somebody suspects it, calls it dead, and till all know."""
+class Detection:
+    """One member killed: seconds until the first suspects it, the first declares it dead, and all know."""
 
     size: int
     seed: int
@@ -41,42 +42,44 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Quiet:
-    """Nobody killed: what was wrongly believed, and what it cost."""
+class FaultFreeRun:
+    """A run in which no member is killed: wrong suspicions, wrong deaths, and traffic."""
 
     size: int
     seed: int
     loss: float
     slow: float
     seconds: float
-    suspected: int  # suspicions by own sight, each counted once
-    dead: int  # lives that were called dead by anybody
-    datagrams: float  # a member and second
+    suspected: int  # suspicions raised by a member itself, each counted once
+    dead: int  # incarnations that any member declared dead
+    datagrams: float  # per member and second
     size_bytes: float  # likewise
 
 
-def found(size: int, seed: int) -> Found:
-    """Kill one member of a cluster at rest whose members know each other."""
+def measure_detection(size: int, seed: int) -> Detection:
+    """Kill one member of a cluster at rest whose members know each other, and time its detection."""
     cluster = VirtualCluster(size, seed, is_converged=True)
-    cluster.run(_WARM_S)
+    cluster.run(_WARM_UP_S)
     cluster.reports.clear()
     killed = seed % size
-    began = cluster.queue.now
+    killed_at = cluster.queue.now
     cluster.kill(killed)
-    knows: set[int] = set()
-    while len(knows) < size - 1 and cluster.queue.now - began < _MOST_S * 1e6:
+    informed: set[int] = set()
+    while len(informed) < size - 1 and cluster.queue.now - killed_at < _TIMEOUT_S * 1e6:
         cluster.run(_STEP_S)
-        knows = {by for _, by, _ in cluster.state_changes(MemberState.DEAD, killed)}
+        informed = {observer for _, observer, _ in cluster.state_changes(MemberState.DEAD, killed)}
 
     def first(state: MemberState) -> float:
-        return (cluster.state_changes(state, killed)[0][0] - began) / 1e6
+        return (cluster.state_changes(state, killed)[0][0] - killed_at) / 1e6
 
     last = max(at for at, _, _ in cluster.state_changes(MemberState.DEAD, killed))
-    return Found(size, seed, first(MemberState.SUSPECTED), first(MemberState.DEAD), (last - began) / 1e6)
+    return Detection(
+        size, seed, first(MemberState.SUSPECTED), first(MemberState.DEAD), (last - killed_at) / 1e6
+    )
 
 
-def quiet(size: int, seed: int, loss: float, slow: float, seconds: float) -> Quiet:
-    """Leave a cluster alone; a part of it is slow: every datagram and tick of these comes 0.4 s late."""
+def measure_fault_free(size: int, seed: int, loss: float, slow: float, seconds: float) -> FaultFreeRun:
+    """Run a cluster without killing a member; datagrams and ticks of the slow members are 0.4 s late."""
     cluster = VirtualCluster(size, seed, loss=loss, is_converged=True)
     for number in range(round(size * slow)):
         cluster.processes[number][0].processing_delay_us = 400_000
@@ -86,11 +89,11 @@
     cluster.run(seconds)
     per = 1.0 / size / seconds
     suspected = {
-        (what.member, what.incarnation, what.reported_by, at // _ONE_SUSPICION_US)
-        for at, _, what in cluster.state_changes(MemberState.SUSPECTED)
+        (change.member, change.incarnation, change.reported_by, at // _ONE_SUSPICION_US)
+        for at, _, change in cluster.state_changes(MemberState.SUSPECTED)
     }
-    dead = {(what.member, what.incarnation) for _, _, what in cluster.state_changes(MemberState.DEAD)}
-    return Quiet(
+    dead = {(change.member, change.incarnation) for _, _, change in cluster.state_changes(MemberState.DEAD)}
+    return FaultFreeRun(
         size,
         seed,
         loss,
@@ -104,63 +107,67 @@
 
 
 def _sent(cluster: VirtualCluster) -> tuple[int, int]:
-    """Datagrams and bytes that all members sent."""
-    own = [each[0] for each in cluster.processes.values()]
-    return sum(each.sent for each in own), sum(each.sent_bytes for each in own)
+    """Return the datagrams and bytes that all members have sent."""
+    processes = [of_member[0] for of_member in cluster.processes.values()]
+    return sum(process.sent for process in processes), sum(process.sent_bytes for process in processes)
 
 
-def many(work: Callable[..., T], cells: Sequence[tuple[object, ...]], jobs: int) -> list[T]:
-    """Do all cells on so many cores, in their order."""
+def run_parallel(function: Callable[..., T], cells: Sequence[tuple[object, ...]], jobs: int) -> list[T]:
+    """Run the function on all cells in this number of processes; return the results in order."""
     with ProcessPoolExecutor(jobs) as pool:
-        return [each.result() for each in [pool.submit(work, *cell) for cell in cells]]
+        return [future.result() for future in [pool.submit(function, *cell) for cell in cells]]
 
 
-def quantile(values: Sequence[float], part: float) -> float:
-    """The least value that this part of them does not exceed."""
-    return float(np.quantile(values, part, method="higher"))
+def quantile(values: Sequence[float], fraction: float) -> float:
+    """Return the value at this quantile, the higher of two neighbours."""
+    return float(np.quantile(values, fraction, method="higher"))
 
 
-def measure_found(jobs: int) -> None:
-    """How quickly a killed member is found: a table, and the plot."""
+def report_detection(jobs: int) -> None:
+    """Print a table of the time to detect a killed member, and write the plot."""
     cells = [(size, seed) for size in reversed(SIZES) for seed in range(SEEDS)]
-    rows = many(found, cells, jobs)
+    rows = run_parallel(measure_detection, cells, jobs)
     names = ("suspected first", "called dead first", "known to all")
-    print("| members |", " | ".join(f"{each}, s: median, 99th" for each in names), "|")
+    print("| members |", " | ".join(f"{name}, s: median, 99th" for name in names), "|")
     points: dict[str, list[tuple[float, float]]] = {name: [] for name in names}
     for size in SIZES:
-        own = [each for each in rows if each.size == size]
-        columns = [[getattr(each, key) for each in own] for key in ("suspected_s", "dead_s", "known_s")]
-        told = " | ".join(f"{quantile(each, 0.5):.1f}, {quantile(each, 0.99):.1f}" for each in columns)
-        print(f"| {size} | {told} |", flush=True)
+        of_size = [row for row in rows if row.size == size]
+        columns = [[getattr(row, key) for row in of_size] for key in ("suspected_s", "dead_s", "known_s")]
+        cells_text = " | ".join(
+            f"{quantile(values, 0.5):.1f}, {quantile(values, 0.99):.1f}" for values in columns
+        )
+        print(f"| {size} | {cells_text} |", flush=True)
         for name, values in zip(names, columns, strict=True):
             points[name].append((size, quantile(values, 0.5)))
     PLOT.write_text(plots.lines(points, "members", "seconds after a kill, median", is_log=True))
 
 
-def measure_quiet(jobs: int) -> None:
-    """What is wrongly believed where nobody was killed, and what it costs: a table."""
+def report_fault_free(jobs: int) -> None:
+    """Print a table of wrong suspicions, wrong deaths and traffic in runs without a death."""
     print(
         "| members | loss, slow | suspected, called dead: an hour and member"
         " | datagrams, bytes: a second and member |"
     )
-    for size in QUIET_SIZES:
+    for size in FAULT_FREE_SIZES:
         for loss, slow in _CONDITIONS:
-            calm = many(quiet, [(size, seed, loss, slow, QUIET_S) for seed in range(SEEDS)], jobs)
-            hours = len(calm) * QUIET_S / 3_600.0 * size
+            runs = run_parallel(
+                measure_fault_free, [(size, seed, loss, slow, FAULT_FREE_S) for seed in range(SEEDS)], jobs
+            )
+            hours = len(runs) * FAULT_FREE_S / 3_600.0 * size
             print(
-                f"| {size} | {loss:g}, {slow:g} | {sum(each.suspected for each in calm) / hours:.2f},"
-                f" {sum(each.dead for each in calm) / hours:.3f}"
-                f" | {statistics.fmean(each.datagrams for each in calm):.2f},"
-                f" {statistics.fmean(each.size_bytes for each in calm):.0f} |",
+                f"| {size} | {loss:g}, {slow:g} | {sum(run.suspected for run in runs) / hours:.2f},"
+                f" {sum(run.dead for run in runs) / hours:.3f}"
+                f" | {statistics.fmean(run.datagrams for run in runs):.2f},"
+                f" {statistics.fmean(run.size_bytes for run in runs):.0f} |",
                 flush=True,
             )
 
 
 def main() -> None:
-    """Measure all points: `make membership`."""
+    """Measure and report all sizes."""
     jobs = os.cpu_count() or 1
-    measure_found(jobs)
-    measure_quiet(jobs)
+    report_detection(jobs)
+    report_fault_free(jobs)
 
 
 if __name__ == "__main__":
