--- a/testbed/cluster_simulation/discovery_queue.py
+++ b/testbed/cluster_simulation/discovery_queue.py
@@ -152,7 +152,9 @@
 
 def measure() -> None:
     """Measure all sizes, call times and outages; write docs/capacity/discovery-line.json."""
-    cells = [_Cell(*each) for each in itertools.product(sorted(SIZES, reverse=True), CALLS_MS, DOWN_S, SEEDS)]
+    cells = [
+        _Cell(*values) for values in itertools.product(sorted(SIZES, reverse=True), CALLS_MS, DOWN_S, SEEDS)
+    ]
     results = {cell: run_cell(cell) for cell in cells}
     samples, missing = [], []
     for cell, delays in sorted(results.items(), key=lambda item: (item[0].size, item[0].call_ms)):
--- a/testbed/scale/plan.py
+++ b/testbed/scale/plan.py
@@ -61,7 +61,7 @@
     call_ms: float = 1.0  # that discovery takes for a call
     agree_within_s: float = 400.0  # timeout of the wait for agreement after an event
     within_s: float = 1_800.0  # timeout of the whole run
-    settles: bool = True  # before each event, mark all updates of simulated members as disseminated
+    settles: bool = True  # mark updates of simulated members as disseminated after each agreement
     membership: dict[str, bool | float] = {}  # membership settings in every member's configuration
 
     @property
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -37,7 +37,7 @@
     monkeypatch.setattr(
         MembershipUpdate,
         "precedence",
-        property(lambda own: (own.incarnation, 0, own.refutations, -own.state)),
+        property(lambda update: (update.incarnation, 0, update.refutations, -update.state)),
     )
     with pytest.raises(InvariantError):
         explore_at_random(300)
