--- a/testbed/__init__.py
+++ b/testbed/__init__.py
@@ -1,3 +1,3 @@
-"""The proving ground of the sidecar: worlds, days played from them, and a judge of their logs."""
+"""Test bed of the sidecar: scenarios, scenario runs, and a checker of their event logs."""
 
 __version__ = "0.1.0"
--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m testbed` is the console script."""
+"""Entry point of `python -m testbed`, the same as the console script."""
 
 from testbed.cli import main
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -136,7 +136,7 @@
     monkeypatch.setattr(sys, "argv", ["sidecar-testbed", "scale", "-n", "20000", "--workers", "180"])
     with pytest.raises(SystemExit) as ended:
         cli.main()
-    assert ended.value.code == cli.USER_ERROR
+    assert ended.value.code == cli.EXIT_USER_ERROR
     assert "MB are allowed" in capsys.readouterr().err
 
 
