--- a/testbed/cli.py
+++ b/testbed/cli.py
@@ -34,7 +34,7 @@
 from testbed.experiment.store import Key, Store, StoreError
 from testbed.experiment.variants import HELP, Variant, parse_variant
 from testbed.report import tables
-from testbed.report.page import of_one_day, page
+from testbed.report.page import render_page, result_of_run
 from testbed.scale.keep import kept
 from testbed.scale.plan import Event, Plan, check, fitted
 from testbed.scale.play import play as play_scale
@@ -205,7 +205,7 @@
     if as_json:
         print(json.dumps([asdict(row) for row in rows]))
     else:
-        tables.rows(Console(highlight=False), rows)
+        tables.print_comparison(Console(highlight=False), rows)
     raise typer.Exit(1 if any(row.broken for row in rows) else 0)
 
 
@@ -263,7 +263,7 @@
     if not results:
         raise StoreError(f"{db}: holds no results")
     out.parent.mkdir(parents=True, exist_ok=True)
-    out.write_text(page(results, title))
+    out.write_text(render_page(results, title))
     print(out)
 
 
@@ -402,7 +402,7 @@
     if as_json:
         print(json.dumps(tables.plain_samples(figures.usable)))
     else:
-        tables.samples(Console(highlight=False), figures.usable)
+        tables.print_samples(Console(highlight=False), figures.usable)
     for message in (*figures.notes, *figures.faults):
         print(f"sidecar-testbed: {message}", file=sys.stderr)
     raise typer.Exit(EXIT_NOT_SCORED if figures.faults else 0)
@@ -424,12 +424,12 @@
     verdict, account = check_invariants(history), compute_account(history)
     if report_path is not None:
         title = f"{history.run.scenario}, seed {history.run.seed}"
-        report_path.write_text(page([of_one_day(history, verdict, account)], title))
+        report_path.write_text(render_page([result_of_run(history, verdict, account)], title))
         print(f"report: {report_path}", file=sys.stderr)
     if as_json:
         print(json.dumps(tables.plain(history, verdict, account)))
     else:
-        tables.show(Console(highlight=False), history, verdict, account)
+        tables.print_run(Console(highlight=False), history, verdict, account)
     raise typer.Exit(EXIT_CODES.get(verdict.label, EXIT_NOT_SCORED))
 
 
--- a/testbed/report/__init__.py
+++ b/testbed/report/__init__.py
@@ -1,1 +1,1 @@
-"""What days and experiments are told as: tables for a terminal, one page for a browser."""
+"""Output of scenario runs and experiments: tables for a terminal and a self-contained HTML page."""
--- a/testbed/report/page.py
+++ b/testbed/report/page.py
@@ -1,4 +1,4 @@
-"""One self-contained HTML page of an experiment, made from its results without playing anything again."""
+"""Renders results of an experiment as one self-contained HTML page; nothing is run again for it."""
 
 from __future__ import annotations
 
@@ -15,71 +15,86 @@
 from testbed.report import plots
 from testbed.report.tables import plain
 
-_MOST_BREACHES = 3
-_ONE_DAY = "one day"  # in a digest's place, where nothing is compared
+_MAX_VIOLATIONS = 3  # shown for a run
+_SINGLE_RUN = "one day"  # stands for the digest of a run that belongs to no experiment
 
 Results = list[tuple[Key, dict[str, Any]]]
 
 
 @dataclass(frozen=True, slots=True)
-class _World:
+class _ScenarioSection:
+    """One section of the page.  page.html reads these names."""
+
     name: str
     rows: list[Row]
     notes: list[str]
     plots: list[str]
 
 
-def of_one_day(history: History, verdict: Verdict, counted: Account) -> tuple[Key, dict[str, Any]]:
-    """A single day as a result, for a page of its own."""
-    told = plain(history, verdict, counted)
-    key = Key(history.run.scenario, history.run.seed, history.variant, history.engine, 1.0, _ONE_DAY)
-    return key, {**told, "series": to_builtins(compute_time_series(history))}
+def result_of_run(history: History, verdict: Verdict, account: Account) -> tuple[Key, dict[str, Any]]:
+    """Return a single scenario run as a result, for a page of its own."""
+    result = plain(history, verdict, account)
+    key = Key(history.run.scenario, history.run.seed, history.variant, history.engine, 1.0, _SINGLE_RUN)
+    return key, {**result, "series": to_builtins(compute_time_series(history))}
 
 
-def page(results: Results, title: str) -> str:
-    """The page as text."""
+def render_page(results: Results, title: str) -> str:
+    """Return the page as HTML text."""
     loader = PackageLoader("testbed.report", ".")
     template = Environment(loader=loader, autoescape=select_autoescape()).get_template("page.html")
-    worlds = [
-        _world(name, engine, [each for each in results if (each[0].world, each[0].engine) == (name, engine)])
+    sections = [
+        _build_section(
+            name,
+            engine,
+            [(key, result) for key, result in results if (key.world, key.engine) == (name, engine)],
+        )
         for name, engine in dict.fromkeys((key.world, key.engine) for key, _ in results)
     ]
-    digests = sorted({key.digest for key, _ in results} - {_ONE_DAY})
+    digests = sorted({key.digest for key, _ in results} - {_SINGLE_RUN})
     about = f"{len(results)} days; sources and worlds {', '.join(digests[:4])}" if digests else "One day."
-    return template.render(title=title, about=about, worlds=worlds)
+    return template.render(title=title, about=about, worlds=sections)
 
 
-def _world(name: str, engine: str, results: Results) -> _World:
+def _build_section(name: str, engine: str, results: Results) -> _ScenarioSection:
     rates = sorted({key.rate for key, _ in results})
-    at = 1.0 if 1.0 in rates else rates[0]
-    here = [each for each in results if each[0].rate == at]
-    seed = min(key.seed for key, _ in here)
-    days = [(key.variant, result["series"]) for key, result in here if key.seed == seed]
-    drawn = [plots.over_time(days)]
+    rate = 1.0 if 1.0 in rates else rates[0]
+    results_at_rate = [(key, result) for key, result in results if key.rate == rate]
+    seed = min(key.seed for key, _ in results_at_rate)
+    series_by_variant = [
+        (key.variant, result["series"]) for key, result in results_at_rate if key.seed == seed
+    ]
+    svg_plots = [plots.over_time(series_by_variant)]
     if len(rates) > 1:
-        drawn.append(_by_rate(results))
-    seen = days[0][1].get("tier", {})
-    if seen:
-        drawn.append(plots.who_sees_whom(seen, len(days[0][1]["served"]) * days[0][1]["bin_us"] / 1e6))
-    notes = [f"The plots are of seed {seed}, at {at:g} times the world's rate.", *_breaches(here)]
-    return _World(f"{name} ({engine})", compare_variants(here), notes, drawn)
+        svg_plots.append(_plot_by_rate(results))
+    views = series_by_variant[0][1].get("tier", {})
+    if views:
+        svg_plots.append(
+            plots.membership_views(
+                views, len(series_by_variant[0][1]["served"]) * series_by_variant[0][1]["bin_us"] / 1e6
+            )
+        )
+    notes = [
+        f"The plots are of seed {seed}, at {rate:g} times the world's rate.",
+        *_describe_violations(results_at_rate),
+    ]
+    return _ScenarioSection(f"{name} ({engine})", compare_variants(results_at_rate), notes, svg_plots)
 
 
-def _by_rate(results: Results) -> str:
-    named: dict[str, dict[float, list[float]]] = {}
+def _plot_by_rate(results: Results) -> str:
+    served_by_variant: dict[str, dict[float, list[float]]] = {}
     for key, result in results:
-        named.setdefault(key.variant, {}).setdefault(key.rate, []).append(float(result["served"]))
+        served_by_variant.setdefault(key.variant, {}).setdefault(key.rate, []).append(float(result["served"]))
     points = {
         variant: [(rate, sum(values) / len(values)) for rate, values in rates.items()]
-        for variant, rates in named.items()
+        for variant, rates in served_by_variant.items()
     }
     return plots.lines(points, "times the world's rate", "served")
 
 
-def _breaches(results: Results) -> list[str]:
-    out = []
+def _describe_violations(results: Results) -> list[str]:
+    notes = []
     for key, result in results:
-        for breach in result["breaches"][:_MOST_BREACHES]:
-            where = f"{key.variant}, seed {key.seed}, {breach['at_us'] / 1e6:.2f} s"
-            out.append(f"Broken: {where}: {breach['rule']}: {breach['text']}")
-    return out
+        for violation in result["breaches"][:_MAX_VIOLATIONS]:
+            where = f"{key.variant}, seed {key.seed}, {violation['at_us'] / 1e6:.2f} s"
+            notes.append(f"Broken: {where}: {violation['rule']}: {violation['text']}")
+    return notes
--- a/testbed/report/plots.py
+++ b/testbed/report/plots.py
@@ -1,4 +1,4 @@
-"""Plots as SVG text: days over time, and rates upward."""
+"""Draws plots as SVG text: values of a run over time, membership views, and lines through points."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 matplotlib.rcParams.update(
     {
-        "svg.hashsalt": "plumtrestle",  # the same plot for the same results
+        "svg.hashsalt": "plumtrestle",  # equal results give equal SVG text
         "svg.fonttype": "none",
         "font.family": "sans-serif",
         "font.size": 9,
@@ -37,101 +37,109 @@
 )
 
 
-def over_time(days: Sequence[tuple[str, dict[str, Any]]]) -> str:
-    """One day by several variants: a panel for each value, a line for each variant."""
-    panels = [each for each in _PANELS if any(any(series[each[0]]) for _, series in days)]
-    seen = [(name, series) for name, series in days if series["members"]]
-    rows = len(panels) + bool(seen)
+def over_time(runs: Sequence[tuple[str, dict[str, Any]]]) -> str:
+    """Plot runs of several variants over time: a panel for each value, a line for each variant."""
+    panels = [(key, label) for key, label in _PANELS if any(any(series[key]) for _, series in runs)]
+    runs_with_members = [(name, series) for name, series in runs if series["members"]]
+    rows = len(panels) + bool(runs_with_members)
     figure = Figure(figsize=(9.0, 1.5 * rows + 0.6), layout="constrained")
     axes: list[Axes] = list(figure.subplots(rows, 1, sharex=True, squeeze=False)[:, 0])
-    for own, (key, label) in zip(axes, panels, strict=False):
-        for place, (name, series) in enumerate(days):
-            own.plot(_seconds(series), series[key], color=COLOURS[place % len(COLOURS)], lw=1.2, label=name)
-        own.set_ylabel(label, rotation=0, ha="right", va="center")
-        own.set_ylim(bottom=0)
-        _shade(own, days[0][1])
-    if seen:
-        _members(axes[-1], seen[0])
-        _shade(axes[-1], seen[0][1])
+    for panel, (key, label) in zip(axes, panels, strict=False):
+        for index, (name, series) in enumerate(runs):
+            panel.plot(_seconds(series), series[key], color=COLOURS[index % len(COLOURS)], lw=1.2, label=name)
+        panel.set_ylabel(label, rotation=0, ha="right", va="center")
+        panel.set_ylim(bottom=0)
+        _shade_faults(panel, runs[0][1])
+    if runs_with_members:
+        _plot_members(axes[-1], runs_with_members[0])
+        _shade_faults(axes[-1], runs_with_members[0][1])
     axes[0].legend(loc="lower left", ncols=4, frameon=False, bbox_to_anchor=(0, 1.0))
     axes[-1].set_xlabel("seconds of the day; shaded: troubles")
     return _svg(figure)
 
 
-def _members(own: Axes, day: tuple[str, dict[str, Any]]) -> None:
-    """Servers listed as each copy has it."""
-    name, series = day
+def _plot_members(panel: Axes, run: tuple[str, dict[str, Any]]) -> None:
+    """Plot the number of servers in the endpoint list of each replica."""
+    name, series = run
     for values in series["members"].values():
-        own.plot(_seconds(series), values, color=COLOURS[0], lw=0.8, alpha=0.5)
-    own.set_ylabel(f"servers listed,\neach copy ({name})", rotation=0, ha="right", va="center")
+        panel.plot(_seconds(series), values, color=COLOURS[0], lw=0.8, alpha=0.5)
+    panel.set_ylabel(f"servers listed,\neach copy ({name})", rotation=0, ha="right", va="center")
 
 
-_SNAPSHOTS = 8
-_MOST_INSIDE = 5  # lines named within the axes; the names of more stand beside them
-_BELIEF_COLOURS = {"p": "#2f7d4f", "s": "#e0a030", "?": "#d9d9d9", "l": "#7a8ca8", "d": "#a5251c"}
+_SNAPSHOTS = 8  # membership views at evenly spaced times
+_MAX_LABELS_INSIDE = 5  # with more lines, the legend is beside the axes
+# By letter of a member state, see MEMBER_STATES.
+_STATE_COLOURS = {"p": "#2f7d4f", "s": "#e0a030", "?": "#d9d9d9", "l": "#7a8ca8", "d": "#a5251c"}
 
 
-def who_sees_whom(seen: dict[str, list[tuple[float, str]]], length_s: float) -> str:
-    """A map at each of eight times: a row for each copy that looks, a column for each that is seen."""
-    copies = sorted(seen, key=int)
-    times = [length_s * (place + 1) / _SNAPSHOTS for place in range(_SNAPSHOTS)]
+def membership_views(views_by_replica: dict[str, list[tuple[float, str]]], length_s: float) -> str:
+    """Draw the membership views of all replicas at eight times.
+
+    In each map a row is the view of one replica, and a column the state of one member in these views.
+    """
+    replicas = sorted(views_by_replica, key=int)
+    times = [length_s * (index + 1) / _SNAPSHOTS for index in range(_SNAPSHOTS)]
     figure = Figure(figsize=(9.0, 5.2), layout="constrained")
-    letters = list(_BELIEF_COLOURS)
-    colours = ListedColormap(list(_BELIEF_COLOURS.values()))
-    for own, at in zip(figure.subplots(2, _SNAPSHOTS // 2).flat, times, strict=True):
-        views = [_view_at(seen[copy], at) for copy in copies]
+    letters = list(_STATE_COLOURS)
+    colours = ListedColormap(list(_STATE_COLOURS.values()))
+    for panel, at_s in zip(figure.subplots(2, _SNAPSHOTS // 2).flat, times, strict=True):
+        views = [_view_at(views_by_replica[replica], at_s) for replica in replicas]
         width = max(map(len, views))
         cells = [[letters.index(letter) for letter in view.ljust(width, "?")] for view in views]
-        own.imshow(cells, cmap=colours, vmin=0, vmax=len(letters) - 1, interpolation="nearest")
-        own.set_title(f"{at:.1f} s", fontsize=9)
-        own.grid(visible=False)
-        own.set_xticks([])
-        own.set_yticks([])
-    patches = [Patch(color=colour, label=MEMBER_STATES[letter]) for letter, colour in _BELIEF_COLOURS.items()]
+        panel.imshow(cells, cmap=colours, vmin=0, vmax=len(letters) - 1, interpolation="nearest")
+        panel.set_title(f"{at_s:.1f} s", fontsize=9)
+        panel.grid(visible=False)
+        panel.set_xticks([])
+        panel.set_yticks([])
+    patches = [Patch(color=colour, label=MEMBER_STATES[letter]) for letter, colour in _STATE_COLOURS.items()]
     figure.legend(handles=patches, loc="outside lower center", ncols=len(patches), frameon=False)
     figure.suptitle("who sees whom: a row for each copy that looks, a column for each member", fontsize=9)
     return _svg(figure)
 
 
-def _view_at(looks: list[tuple[float, str]], at: float) -> str:
-    """The last look up to a time; before the first, nothing is known."""
-    return next((view for when, view in reversed(looks) if when <= at), "?" * len(looks[0][1]))
+def _view_at(timed_views: list[tuple[float, str]], at_s: float) -> str:
+    """Return the last view up to a time; before the first one, all members are unknown."""
+    return next(
+        (view for time_s, view in reversed(timed_views) if time_s <= at_s), "?" * len(timed_views[0][1])
+    )
 
 
 def _seconds(series: dict[str, Any]) -> list[float]:
-    return [place * series["bin_us"] / 1e6 for place in range(len(series["served"]))]
+    return [index * series["bin_us"] / 1e6 for index in range(len(series["served"]))]
 
 
-def _shade(own: Axes, series: dict[str, Any]) -> None:
-    for _, begin, end in series["troubles"]:
-        own.axvspan(begin, max(end, begin + series["bin_us"] / 1e6), color="#999999", alpha=0.18, lw=0)
+def _shade_faults(panel: Axes, series: dict[str, Any]) -> None:
+    for _, begin_s, end_s in series["troubles"]:
+        panel.axvspan(
+            begin_s, max(end_s, begin_s + series["bin_us"] / 1e6), color="#999999", alpha=0.18, lw=0
+        )
 
 
 def lines(
-    named: dict[str, list[tuple[float, float]]], x_label: str, y_label: str, *, is_log: bool = False
+    points_by_name: dict[str, list[tuple[float, float]]], x_label: str, y_label: str, *, is_log: bool = False
 ) -> str:
-    """Lines through points, one for each name."""
-    width = 9.5 if len(named) > _MOST_INSIDE else 7.0
+    """Plot a line through the points of each name."""
+    width = 9.5 if len(points_by_name) > _MAX_LABELS_INSIDE else 7.0
     figure = Figure(figsize=(width, 3.4), layout="constrained")
-    own = figure.subplots()
-    for place, (name, points) in enumerate(named.items()):
-        colour = COLOURS[place % len(COLOURS)]
-        style = "o-" if place < len(COLOURS) else "s--"  # a colour that stands twice
-        own.plot(*zip(*sorted(points), strict=True), style, color=colour, lw=1.2, ms=3.5, label=name)
+    panel = figure.subplots()
+    for index, (name, points) in enumerate(points_by_name.items()):
+        colour = COLOURS[index % len(COLOURS)]
+        style = "o-" if index < len(COLOURS) else "s--"  # other markers where colours repeat
+        panel.plot(*zip(*sorted(points), strict=True), style, color=colour, lw=1.2, ms=3.5, label=name)
     if is_log:
-        own.set_xscale("log")
-    own.set_ylim(bottom=0)
-    own.set_xlabel(x_label)
-    own.set_ylabel(y_label)
-    if len(named) > _MOST_INSIDE:
+        panel.set_xscale("log")
+    panel.set_ylim(bottom=0)
+    panel.set_xlabel(x_label)
+    panel.set_ylabel(y_label)
+    if len(points_by_name) > _MAX_LABELS_INSIDE:
         figure.legend(loc="outside right upper", frameon=False)
-    elif len(named) > 1:
-        own.legend(frameon=False)
+    elif len(points_by_name) > 1:
+        panel.legend(frameon=False)
     return _svg(figure)
 
 
 def _svg(figure: Figure) -> str:
-    out = io.StringIO()
-    figure.savefig(out, format="svg", metadata={"Date": None})
-    text = out.getvalue()
+    buffer = io.StringIO()
+    figure.savefig(buffer, format="svg", metadata={"Date": None})
+    text = buffer.getvalue()
     return text[text.index("<svg") :]
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -20,7 +20,7 @@
 from testbed.experiment.grid import Grid, play
 from testbed.experiment.store import Key, Store
 from testbed.experiment.variants import MECHANISMS, parse_variant
-from testbed.report.page import page
+from testbed.report.page import render_page
 from testbed.scenario import draw_run, read_scenario
 from testbed.scenario.settings import replica_settings
 
@@ -148,10 +148,10 @@
 
 def test_report_is_self_contained_and_escapes_texts_of_the_log() -> None:
     results = [(key(), result(0.9)), (key("random"), result(0.7, "broken")), (key(rate=2.0), result(0.6))]
-    text = page(results, "a <title>")
+    text = render_page(results, "a <title>")
     assert text.count("<svg") == 2 and "a &lt;title&gt;" in text and "&lt;gone&gt;" in text
     assert not any(reference in text for reference in (" src=", "<link", "<script", "@import", "url(http"))
-    assert page(results, "a <title>") == text
+    assert render_page(results, "a <title>") == text
 
 
 def test_compare_report_and_sweep_from_the_command_line(tmp_path: Path) -> None:
