--- a/testbed/capacity/__init__.py
+++ b/testbed/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What each role costs as the tier grows: measured samples, slopes through them, and the page of both."""
+"""Capacity page: stored samples of what each role costs as the cluster grows, and curves fitted to them."""
--- a/testbed/capacity/__main__.py
+++ b/testbed/capacity/__main__.py
@@ -1,25 +1,25 @@
-"""Make docs/capacity.md and its plots from the committed runs: `make capacity`."""
+"""Writes docs/capacity.md and its plots from the stored capacity runs: `make capacity`."""
 
 from __future__ import annotations
 
-from testbed.capacity.page import pictures, render
-from testbed.capacity.rows import fill, read_table
+from testbed.capacity.page import render, render_plots
+from testbed.capacity.rows import compute_rows, read_table
 from testbed.capacity.samples import FOLDER, ROOT, load_all
 
 PAGE = ROOT / "docs" / "capacity.md"
 
 
 def main() -> None:
-    """Write the capacity page and its plots from the stored runs; delete plots no longer drawn."""
+    """Write the capacity page and its plots, and delete plots that the page no longer has."""
     table, runs = read_table(), load_all()
     PAGE.write_text(render(table, runs))
-    drawn = pictures(fill(table, runs)[0])
+    plots = render_plots(compute_rows(table, runs)[0])
     for path in FOLDER.glob("*.svg"):
-        if path.name not in drawn:
+        if path.name not in plots:
             path.unlink()
-    for name, text in drawn.items():
-        (FOLDER / name).write_text(text)
-    print(f"{PAGE.name}: {len(runs)} runs, {len(drawn)} plots")
+    for name, svg in plots.items():
+        (FOLDER / name).write_text(svg)
+    print(f"{PAGE.name}: {len(runs)} runs, {len(plots)} plots")
 
 
 if __name__ == "__main__":
--- a/testbed/capacity/feeds.py
+++ b/testbed/capacity/feeds.py
@@ -1,4 +1,4 @@
-"""What feeds the page's rows: each feed names samples; from these a figure at one size, and its slope."""
+"""Feeds select samples of the capacity runs and give a figure at one size, with the curve fitted to them."""
 
 from __future__ import annotations
 
@@ -11,39 +11,42 @@
 
 
 class NotMeasuredError(Exception):
-    """There is no figure; the text says why."""
+    """A feed has no usable samples; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Feed:
-    """Samples of one measure, case, part and engine; `is_alone`: no slope is asked of them.
+    """Selects the samples of one measure, case, part and engine.
 
-    Of several engines (`real/hollow`) the first that has valid samples is taken.
+    Of several engines (`real/hollow`) the first that has valid samples is used.
     """
 
     measure: str
     case: str
     part: str
     engine: str
-    at: float
-    is_alone: bool = False
+    size: float  # at which the figure is wanted
+    is_single_size: bool = False  # the figure has to be measured at that size; no curve is fitted
 
     @staticmethod
-    def read(text: str, at: float) -> Feed:
-        """Parse "measure | case | part | engine", and perhaps "| at SIZE" or "| alone at SIZE"; else `at`."""
-        measure, case, part, engine, *rest = [each.strip() for each in text.split("|")]
-        is_alone = bool(rest) and rest[0].startswith("alone")
-        size = float(rest[0].rsplit(" ", 1)[1]) if rest else at
-        return Feed(measure, case, part, engine, size, is_alone)
-
-    def takes(self, sample: Sample) -> bool:
+    def read(text: str, default_size: float) -> Feed:
+        """Parse "measure | case | part | engine", optionally followed by "| at SIZE" or "| alone at SIZE".
+
+        Without a size in the text, the figure is wanted at `default_size`.
+        """
+        measure, case, part, engine, *rest = [field.strip() for field in text.split("|")]
+        is_single_size = bool(rest) and rest[0].startswith("alone")
+        size = float(rest[0].rsplit(" ", 1)[1]) if rest else default_size
+        return Feed(measure, case, part, engine, size, is_single_size)
+
+    def selects(self, sample: Sample) -> bool:
         """Whether a sample has the feed's measure, case and part, and one of its engines."""
-        own = self.measure, self.case, self.part
-        return own == (sample.measure, sample.case, sample.part) and sample.engine in self.engines
+        identity = self.measure, self.case, self.part
+        return identity == (sample.measure, sample.case, sample.part) and sample.engine in self.engines
 
     @property
     def engines(self) -> list[str]:
-        """The engines that the feed accepts."""
+        """The accepted engines, the preferred one first."""
         return self.engine.split("/")
 
     @property
@@ -54,61 +57,64 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """What a feed gives."""
+    """The figure of a feed at its size, and the samples that it comes from."""
 
     feed: Feed
     value: float
     unit: str
-    is_measured: bool  # at that very size; else by its slope
-    least: float  # of the values at that size; by slope, a residual below
-    most: float
-    seeds: int  # runs at that size, or at the largest
-    slope: Fit | None
-    points: tuple[tuple[float, float], ...]
-    commands: tuple[str, ...]
-
-
-def figure(feed: Feed, runs: Sequence[Run]) -> Figure:
-    """The figure of a feed from valid runs alone; raise NotMeasuredError."""
-    found = [(run, sample) for run in runs for sample in run.samples if feed.takes(sample)]
-    if not found:
+    is_measured: bool  # at the size of the feed; else computed from the fitted curve
+    least: float  # lowest value measured at that size; from the curve, `value` less the residual
+    most: float  # highest value measured at that size; from the curve, `value` plus the residual
+    seeds: int  # samples at that size, or at the largest measured size if there are none
+    curve: Fit | None
+    points: tuple[tuple[float, float], ...]  # size and value of each sample
+    commands: tuple[str, ...]  # that repeat the runs
+
+
+def compute_figure(feed: Feed, runs: Sequence[Run]) -> Figure:
+    """Return the figure of a feed from valid runs; raise NotMeasuredError if there is none."""
+    selected = [(run, sample) for run in runs for sample in run.samples if feed.selects(sample)]
+    if not selected:
         raise NotMeasuredError("no sample of it")
-    valid = [(run, sample) for run, sample in found if run.valid]
+    valid = [(run, sample) for run, sample in selected if run.valid]
     if not valid:
         raise NotMeasuredError("no valid run")
     engine = min((sample.engine for _, sample in valid), key=feed.engines.index)
     feed = replace(feed, engine=engine)
     used = [(run, sample) for run, sample in valid if sample.engine == engine]
     points = tuple(sorted((sample.size, sample.value) for _, sample in used))
-    here = [value for size, value in points if size == feed.at]
-    slope = _slope(feed, points, is_here=bool(here))
-    if here:
-        value, least, most = statistics.fmean(here), min(here), max(here)
+    values_at_size = [value for size, value in points if size == feed.size]
+    curve = _fit_curve(feed, points, is_measured=bool(values_at_size))
+    if values_at_size:
+        value, least, most = statistics.fmean(values_at_size), min(values_at_size), max(values_at_size)
     else:
-        assert slope is not None  # _slope has raised otherwise
-        value = slope.at(feed.at)
-        least, most = value - slope.residual, value + slope.residual
+        assert curve is not None  # otherwise _fit_curve has raised
+        value = curve.at(feed.size)
+        least, most = value - curve.residual, value + curve.residual
     return Figure(
         feed=feed,
         value=value,
         unit=used[0][1].unit,
-        is_measured=bool(here),
+        is_measured=bool(values_at_size),
         least=least,
         most=most,
-        seeds=len(here) or sum(size == points[-1][0] for size, _ in points),
-        slope=slope,
+        seeds=len(values_at_size) or sum(size == points[-1][0] for size, _ in points),
+        curve=curve,
         points=points,
         commands=tuple(dict.fromkeys(run.command for run, _ in used)),
     )
 
 
-def _slope(feed: Feed, points: Sequence[tuple[float, float]], *, is_here: bool) -> Fit | None:
-    """Through four sizes or more; none where it is not asked for and the size itself was measured."""
-    if feed.is_alone:
-        if not is_here:
-            raise NotMeasuredError(f"not at {feed.at:g}")
+def _fit_curve(feed: Feed, points: Sequence[tuple[float, float]], *, is_measured: bool) -> Fit | None:
+    """Fit a curve through four sizes or more; return None for a feed of a single size.
+
+    Raises NotMeasuredError if there are too few sizes, or if a single size was not measured.
+    """
+    if feed.is_single_size:
+        if not is_measured:
+            raise NotMeasuredError(f"not at {feed.size:g}")
         return None
     try:
-        return fit([(size, value) for size, value in points if size >= 1.0])  # none has no logarithm
-    except FitError as fault:
-        raise NotMeasuredError(str(fault)) from None
+        return fit([(size, value) for size, value in points if size >= 1.0])  # log N needs N >= 1
+    except FitError as error:
+        raise NotMeasuredError(str(error)) from None
--- a/testbed/capacity/fit.py
+++ b/testbed/capacity/fit.py
@@ -1,4 +1,4 @@
-"""Slopes: how a cost grows with size, by least squares over four laws, with its spread and its stretch."""
+"""Fits how a cost grows with size: least squares for four growth laws, with residual and extrapolation."""
 
 from __future__ import annotations
 
@@ -8,10 +8,13 @@
 
 import numpy as np
 
-LEAST_SIZES = 4
-_ROUNDING = 1e-12  # part of the largest value; a smaller residual depends on the linear algebra library
-_TIE = 0.98  # a law with a slope has to leave less than this part of what a flat one leaves
-# Law: what its slope is multiplied by.  The first that leaves as little as any is taken.
+MIN_SIZES = 4
+# As a fraction of the largest value.  A smaller residual is a rounding error, which depends on the linear
+# algebra library, and counts as zero.
+_ROUNDING_ERROR = 1e-12
+# A law with a slope is used only if its residual is below this fraction of that of the flat law.
+_MAX_RESIDUAL_RATIO = 0.98
+# The function of size that the slope is multiplied by, by law.  Of equal residuals the first law is taken.
 LAWS: dict[str, Callable[[float], float]] = {
     "flat": lambda _size: 0.0,
     "log N": math.log2,
@@ -21,64 +24,67 @@
 
 
 class FitError(Exception):
-    """There is no slope through these points; the text says why."""
+    """No curve can be fitted to the points; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """value = base + slope x law(size)."""
+    """A fitted curve: value = base + slope x law(size)."""
 
     law: str
     base: float
     slope: float
     residual: float  # standard error of a point: sqrt(sum of squares / degrees of freedom)
     sizes: tuple[float, ...]
-    points: int
-    widest: float  # of the ranges of values at one size, the widest
+    points: int  # their number
+    max_range: float  # largest difference between values of the same size
 
     def at(self, size: float) -> float:
-        """The fitted value at a size."""
+        """Return the fitted value at a size."""
         return self.base + self.slope * LAWS[self.law](size)
 
-    def stretch(self, size: float) -> float:
-        """How far beyond the largest measured size it is used; 1 up to there."""
+    def extrapolation(self, size: float) -> float:
+        """Return the ratio of a size to the largest measured size, at least 1."""
         return max(size / self.sizes[-1], 1.0)
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Fit:
-    """The law with the least residual through (size, value); FitError with fewer than four sizes."""
+    """Fit the law with the smallest residual to points of size and value.
+
+    Raises FitError with fewer than four sizes or with a size below 1.
+    """
     sizes = tuple(sorted({size for size, _ in points}))
-    if len(sizes) < LEAST_SIZES:
-        raise FitError(f"{len(sizes)} of {LEAST_SIZES} sizes")
+    if len(sizes) < MIN_SIZES:
+        raise FitError(f"{len(sizes)} of {MIN_SIZES} sizes")
     if sizes[0] < 1.0:
-        raise FitError("a size below one")
-    found = [_by(law, points, sizes) for law in LAWS]
-    flat = found[0]
-    best = min(found, key=lambda each: each.residual)
-    return best if best.residual < _TIE * flat.residual else flat
+        raise FitError(f"size {sizes[0]:g} is below 1")
+    fits = [_fit_law(law, points, sizes) for law in LAWS]
+    flat = fits[0]
+    best = min(fits, key=lambda candidate: candidate.residual)
+    return best if best.residual < _MAX_RESIDUAL_RATIO * flat.residual else flat
 
 
-def _by(law: str, points: Sequence[tuple[float, float]], sizes: tuple[float, ...]) -> Fit:
+def _fit_law(law: str, points: Sequence[tuple[float, float]], sizes: tuple[float, ...]) -> Fit:
     values = np.array([value for _, value in points])
     columns = [np.ones(len(points))]
     if law != "flat":
         columns.append(np.array([LAWS[law](size) for size, _ in points]))
-    # Scaled to one, so that the laws' columns are told apart as well at any size.
-    scales = [float(np.max(each)) for each in columns]
-    matrix = np.stack([each / scale for each, scale in zip(columns, scales, strict=True)], axis=1)
-    found = np.linalg.lstsq(matrix, values, rcond=None)[0]
-    left = values - matrix @ found
-    residual = math.sqrt(float(left @ left) / max(len(points) - len(columns), 1))
-    if residual < _ROUNDING * float(np.max(np.abs(values))):
+    # Each column is scaled to a maximum of 1, so that the matrix is as well conditioned at any size.
+    scales = [float(np.max(column)) for column in columns]
+    matrix = np.stack([column / scale for column, scale in zip(columns, scales, strict=True)], axis=1)
+    solution = np.linalg.lstsq(matrix, values, rcond=None)[0]
+    residuals = values - matrix @ solution
+    residual = math.sqrt(float(residuals @ residuals) / max(len(points) - len(columns), 1))
+    if residual < _ROUNDING_ERROR * float(np.max(np.abs(values))):
         residual = 0.0
-    weights = [float(each) / scale for each, scale in zip(found, scales, strict=True)]
+    weights = [float(weight) / scale for weight, scale in zip(solution, scales, strict=True)]
     slope = weights[1] if law != "flat" else 0.0
-    return Fit(law, weights[0], slope, residual, sizes, len(points), _widest(points, sizes))
+    return Fit(law, weights[0], slope, residual, sizes, len(points), _max_range(points, sizes))
 
 
-def _widest(points: Sequence[tuple[float, float]], sizes: tuple[float, ...]) -> float:
+def _max_range(points: Sequence[tuple[float, float]], sizes: tuple[float, ...]) -> float:
     ranges = []
     for size in sizes:
-        own = [value for other, value in points if other == size]
-        ranges.append(max(own) - min(own))
+        values = [value for point_size, value in points if point_size == size]
+        ranges.append(max(values) - min(values))
     return max(ranges)
--- a/testbed/capacity/page.py
+++ b/testbed/capacity/page.py
@@ -1,4 +1,4 @@
-"""docs/capacity.md and its plots from the runs below docs/capacity/ and the rows of rows.toml."""
+"""Renders docs/capacity.md and its plots from the runs in docs/capacity/ and the rows of rows.toml."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import get_args
 
-from testbed.capacity.feeds import Feed, Figure, NotMeasuredError, figure
+from testbed.capacity.feeds import Feed, Figure, NotMeasuredError, compute_figure
 from testbed.capacity.fit import Fit
-from testbed.capacity.rows import Filled, Kind, Table, Unfilled, fill
+from testbed.capacity.rows import ComputedRow, Kind, Table, UnmeasuredRow, compute_rows
 from testbed.capacity.samples import Run
 from testbed.report import plots
 
-_PLACE = re.compile(r"\{(\w+)\}")
+_PLACEHOLDER = re.compile(r"\{(\w+)\}")
 _OPENING = """# Capacity
 
 What each role costs as the fleet grows, at its size: {sidecars} servers with a sidecar each, in {services}
@@ -40,8 +40,8 @@
 """
 
 
-def number(value: float) -> str:
-    """Three significant digits, without an exponent; large ones with commas."""
+def format_number(value: float) -> str:
+    """Format a number with three significant digits, without an exponent and with commas at thousands."""
     if value == 0 or value != value:
         return "0"
     if value in (float("inf"), float("-inf")):
@@ -57,193 +57,209 @@
 
 
 def render(table: Table, runs: Sequence[Run]) -> str:
-    """The whole page as text."""
-    filled, unfilled = fill(table, runs)
-    places = _places(table, runs)
-    given = table.given | {"calls_each": table.given["calls_per_s"] / table.given["sidecars"]}
-    opening = _put(_OPENING, {name: number(value) for name, value in given.items()})
-    parts = [opening, _covered(table, filled), *_roles(table, filled, places), _absent(table)]
-    figures = used(filled)
+    """Return the page as Markdown text."""
+    computed, unmeasured = compute_rows(table, runs)
+    placeholders = _placeholder_values(table, runs)
+    values = table.given | {"calls_each": table.given["calls_per_s"] / table.given["sidecars"]}
+    opening = _fill_in(_OPENING, {name: format_number(value) for name, value in values.items()})
+    parts = [opening, _coverage(table, computed), *_roles(table, computed, placeholders), _absent(table)]
+    figures = fitted_figures(computed)
     if figures:
         parts.append(_slopes(figures))
-        parts.append(_pictures(figures))
-    parts += [_runs(runs), _not_measured(unfilled), _over(filled)]
+        parts.append(_plot_links(figures))
+    parts += [_runs(runs), _not_measured(unmeasured), _over_budget(computed)]
     return "\n".join(parts)
 
 
-def _places(table: Table, runs: Sequence[Run]) -> dict[str, str]:
-    """What placeholders stand for: each feed's figure, and what is given."""
-    out = {name: number(value) for name, value in table.given.items()}
+def _placeholder_values(table: Table, runs: Sequence[Run]) -> dict[str, str]:
+    """Return the text for each placeholder: the figures of feeds, and the given values."""
+    texts = {name: format_number(value) for name, value in table.given.items()}
     for name, text in table.feed.items():
         try:
-            out[name] = number(figure(Feed.read(text, table.given["sidecars"]), runs).value)
+            texts[name] = format_number(compute_figure(Feed.read(text, table.given["sidecars"]), runs).value)
         except NotMeasuredError:
-            out[name] = "(not measured)"
-    return out
+            texts[name] = "(not measured)"
+    return texts
 
 
-def _put(text: str, places: Mapping[str, str]) -> str:
-    return _PLACE.sub(lambda found: places[found[1]], text)
+def _fill_in(text: str, placeholders: Mapping[str, str]) -> str:
+    return _PLACEHOLDER.sub(lambda match: placeholders[match[1]], text)
 
 
-def _line(cells: Iterable[str]) -> str:
+def _table_line(cells: Iterable[str]) -> str:
     return "| " + " | ".join(cells) + " |"
 
 
-def _head(*names: str) -> list[str]:
-    return [_line(names), _line("---" for _ in names)]
+def _table_head(*names: str) -> list[str]:
+    return [_table_line(names), _table_line("---" for _ in names)]
 
 
 # Rows
 
 
-def _covered(table: Table, filled: Sequence[Filled]) -> str:
-    """Which events have a figure, by role and kind."""
+def _coverage(table: Table, computed: Sequence[ComputedRow]) -> str:
+    """Return the section that lists, by role and kind, the events that have a figure."""
     kinds = get_args(Kind)
-    lines = _head("role", *kinds)
-    for role in dict.fromkeys(each.role for each in table.row):
-        own = [each for each in filled if each.row.role == role and each.how != "missing"]
-        cells = [dict.fromkeys(each.row.event for each in own if each.row.kind == kind) for kind in kinds]
-        lines.append(_line([role, *("; ".join(each) or "nothing" for each in cells)]))
+    lines = _table_head("role", *kinds)
+    for role in dict.fromkeys(row.role for row in table.row):
+        rows = [row for row in computed if row.row.role == role and row.how != "missing"]
+        events_by_kind = [
+            dict.fromkeys(row.row.event for row in rows if row.row.kind == kind) for kind in kinds
+        ]
+        lines.append(_table_line([role, *("; ".join(events) or "nothing" for events in events_by_kind)]))
     return "## What has a figure\n\n" + "\n".join(lines) + "\n"
 
 
-def _roles(table: Table, filled: Sequence[Filled], places: Mapping[str, str]) -> Iterable[str]:
-    """A section for each role, in the declared order."""
-    for role, rows in itertools.groupby(filled, key=lambda each: each.row.role):
-        at = number(table.given["sidecars"])
-        lines = _head("event", "what", "budget", f"at {at}", "ratio", "", "mechanism", "note")
-        lines += [_line(_cells(each, places)) for each in rows]
+def _roles(table: Table, computed: Sequence[ComputedRow], placeholders: Mapping[str, str]) -> Iterable[str]:
+    """Yield a section for each role, in the declared order."""
+    for role, rows in itertools.groupby(computed, key=lambda row: row.row.role):
+        size = format_number(table.given["sidecars"])
+        lines = _table_head("event", "what", "budget", f"at {size}", "ratio", "", "mechanism", "note")
+        lines += [_table_line(_cells(row, placeholders)) for row in rows]
         yield f"## {role[0].upper()}{role[1:]}\n\n" + "\n".join(lines) + "\n"
 
 
-def _cells(each: Filled, places: Mapping[str, str]) -> list[str]:
-    value = "" if each.value is None else f"{number(each.value)} {each.unit}{_range(each)}"
+def _cells(computed: ComputedRow, placeholders: Mapping[str, str]) -> list[str]:
+    value = (
+        "" if computed.value is None else f"{format_number(computed.value)} {computed.unit}{_range(computed)}"
+    )
     return [
-        each.row.event,
-        each.row.what,
-        _budget(each),
+        computed.row.event,
+        computed.row.what,
+        _budget(computed),
         value,
-        _ratio(each),
-        each.how,
-        f"`{each.row.file}`",
-        _note(each, places),
+        _ratio(computed),
+        computed.how,
+        f"`{computed.row.file}`",
+        _note(computed, placeholders),
     ]
 
 
-def _budget(each: Filled) -> str:
-    if each.budget is None:
+def _budget(computed: ComputedRow) -> str:
+    if computed.budget is None:
         return "none given"
-    return f"{'at least ' if each.budget.is_least else ''}{number(each.budget.value)} {each.budget.unit}"
+    prefix = "at least " if computed.budget.is_least else ""
+    return f"{prefix}{format_number(computed.budget.value)} {computed.budget.unit}"
 
 
-def _ratio(each: Filled) -> str:
-    return "" if each.ratio is None else number(each.ratio)
+def _ratio(computed: ComputedRow) -> str:
+    return "" if computed.ratio is None else format_number(computed.ratio)
 
 
-def _range(each: Filled) -> str:
-    """Least and greatest over runs, where a figure is one that was measured."""
-    if each.ends is None:
+def _range(computed: ComputedRow) -> str:
+    """Return the range over runs as text; empty unless the row is one measured figure."""
+    if computed.value_range is None:
         return ""
-    if each.figures[0].seeds == 1:
+    if computed.figures[0].seeds == 1:
         return " (one run)"
-    return f" ({number(each.ends[0])} to {number(each.ends[1])} in {each.figures[0].seeds} runs)"
+    low, high = map(format_number, computed.value_range)
+    return f" ({low} to {high} in {computed.figures[0].seeds} runs)"
 
 
-def _note(each: Filled, places: Mapping[str, str]) -> str:
+def _note(computed: ComputedRow, placeholders: Mapping[str, str]) -> str:
     parts = []
-    if each.how == "missing":
-        parts.append(each.row.missing)
-    if each.row.before:
-        parts.append(f"before: {each.row.before}")
-    if each.how == "worked out":
-        parts.append(f"= `{each.row.figure}`")
-        stretches = [own.slope.stretch(own.feed.at) for own in each.figures if own.slope]
-        if max(stretches, default=1.0) > 1.0:
-            parts.append(f"stretched {number(max(stretches))} times beyond the largest size")
-    if each.row.note and each.how != "missing":
-        parts.append(_put(each.row.note, places))
+    if computed.how == "missing":
+        parts.append(computed.row.missing)
+    if computed.row.before:
+        parts.append(f"before: {computed.row.before}")
+    if computed.how == "worked out":
+        parts.append(f"= `{computed.row.figure}`")
+        extrapolations = [
+            figure.curve.extrapolation(figure.feed.size) for figure in computed.figures if figure.curve
+        ]
+        if max(extrapolations, default=1.0) > 1.0:
+            parts.append(f"stretched {format_number(max(extrapolations))} times beyond the largest size")
+    if computed.row.note and computed.how != "missing":
+        parts.append(_fill_in(computed.row.note, placeholders))
     return "; ".join(parts)
 
 
 def _absent(table: Table) -> str:
-    lines = [f"- {each.role}: {each.what}: {each.why}." for each in table.absent]
+    lines = [f"- {absent.role}: {absent.what}: {absent.why}." for absent in table.absent]
     return "## What can't be had here\n\n" + "\n".join(lines) + "\n"
 
 
 # Slopes
 
 
-def used(filled: Sequence[Filled]) -> list[Figure]:
-    """The figures with a slope that rows stand on, each once, by name."""
-    by_name = {own.feed.name: own for each in filled for own in each.figures if own.slope is not None}
+def fitted_figures(computed: Sequence[ComputedRow]) -> list[Figure]:
+    """Return the figures of rows that have a fitted curve, without duplicates, sorted by feed name."""
+    by_name = {
+        figure.feed.name: figure for row in computed for figure in row.figures if figure.curve is not None
+    }
     return [by_name[name] for name in sorted(by_name)]
 
 
 def _slopes(figures: Sequence[Figure]) -> str:
-    lines = _head("of", "law", "mean by size; runs", "residual", "range", "at", "stretch", "again by")
-    lines += [_line(_slope_cells(own, own.slope)) for own in figures if own.slope is not None]
+    lines = _table_head("of", "law", "mean by size; runs", "residual", "range", "at", "stretch", "again by")
+    lines += [
+        _table_line(_slope_cells(figure, figure.curve)) for figure in figures if figure.curve is not None
+    ]
     return "\n".join([_ABOUT_SLOPES, *lines, ""])
 
 
-def _slope_cells(own: Figure, slope: Fit) -> list[str]:
-    means = ", ".join(f"{number(size)}: {number(mean)}" for size, mean in _means(own))
+def _slope_cells(figure: Figure, curve: Fit) -> list[str]:
+    means = ", ".join(f"{format_number(size)}: {format_number(mean)}" for size, mean in _means(figure))
     return [
-        own.feed.name,
-        f"{_law(slope)} {own.unit}",
-        f"{means}; {slope.points}",
-        number(slope.residual),
-        number(slope.widest),
-        number(own.feed.at),
-        number(slope.stretch(own.feed.at)),
-        ", ".join(f"`{each}`" for each in own.commands),
+        figure.feed.name,
+        f"{_format_law(curve)} {figure.unit}",
+        f"{means}; {curve.points}",
+        format_number(curve.residual),
+        format_number(curve.max_range),
+        format_number(figure.feed.size),
+        format_number(curve.extrapolation(figure.feed.size)),
+        ", ".join(f"`{command}`" for command in figure.commands),
     ]
 
 
-def _law(slope: Fit) -> str:
-    if slope.law == "flat":
-        return number(slope.base)
-    sign, times = "-" if slope.slope < 0 else "+", slope.law.replace("linear", "N")
-    return f"{number(slope.base)} {sign} {number(abs(slope.slope))} x {times}"
+def _format_law(curve: Fit) -> str:
+    if curve.law == "flat":
+        return format_number(curve.base)
+    sign, times = "-" if curve.slope < 0 else "+", curve.law.replace("linear", "N")
+    return f"{format_number(curve.base)} {sign} {format_number(abs(curve.slope))} x {times}"
 
 
 def plot_name(measure: str) -> str:
-    """The file name of a measure's plot."""
+    """Return the file name of the plot of a measure."""
     return f"{measure.replace('.', '-')}.svg"
 
 
-def pictures(filled: Sequence[Filled]) -> dict[str, str]:
-    """SVG texts by file name: each measure's figures over size, the mean of all runs at one."""
-    out = {}
-    for measure, group in _by_measure(used(filled)):
-        lines = {f"{own.feed.case}, {own.feed.part}, {own.feed.engine}": _means(own) for own in group}
-        out[plot_name(measure)] = plots.lines(lines, "size", f"{measure}, {group[0].unit}")
-    return out
+def render_plots(computed: Sequence[ComputedRow]) -> dict[str, str]:
+    """Return SVG texts by file name: a plot for each measure, with the mean of all runs at each size."""
+    svg_by_name = {}
+    for measure, group in _by_measure(fitted_figures(computed)):
+        lines = {
+            f"{figure.feed.case}, {figure.feed.part}, {figure.feed.engine}": _means(figure)
+            for figure in group
+        }
+        svg_by_name[plot_name(measure)] = plots.lines(lines, "size", f"{measure}, {group[0].unit}")
+    return svg_by_name
 
 
 def _by_measure(figures: Sequence[Figure]) -> list[tuple[str, list[Figure]]]:
     return [
-        (measure, list(group)) for measure, group in itertools.groupby(figures, lambda own: own.feed.measure)
+        (measure, list(group))
+        for measure, group in itertools.groupby(figures, lambda figure: figure.feed.measure)
     ]
 
 
-def _means(own: Figure) -> list[tuple[float, float]]:
+def _means(figure: Figure) -> list[tuple[float, float]]:
     return [
         (size, statistics.fmean(value for _, value in group))
-        for size, group in itertools.groupby(own.points, lambda point: point[0])
+        for size, group in itertools.groupby(figure.points, lambda point: point[0])
     ]
 
 
-def _pictures(figures: Sequence[Figure]) -> str:
+def _plot_links(figures: Sequence[Figure]) -> str:
     names = [measure for measure, _ in _by_measure(figures)]
-    return "\n".join(f"![{each} by size](capacity/{plot_name(each)})\n" for each in names)
+    return "\n".join(f"![{measure} by size](capacity/{plot_name(measure)})\n" for measure in names)
 
 
-# What was run, what was not, and what is over
+# Runs, figures that were not measured, and exceeded budgets
 
 
 def _runs(runs: Sequence[Run]) -> str:
-    lines = _head("run", "again by", "commit", "taken", "machine", "figures", "notes")
+    lines = _table_head("run", "again by", "commit", "taken", "machine", "figures", "notes")
     for run in runs:
         notes = run.notes if run.valid else f"not valid, not used: {run.notes}"
         cells = [
@@ -255,33 +271,38 @@
             str(len(run.samples)),
             notes,
         ]
-        lines.append(_line(each.replace("|", "/").replace("\n", " ") for each in cells))
+        lines.append(_table_line(cell.replace("|", "/").replace("\n", " ") for cell in cells))
     return "## Runs\n\n" + "\n".join(lines) + "\n"
 
 
-def _not_measured(unfilled: Sequence[Unfilled]) -> str:
-    lines = [f"- {each.row.role}, {each.row.event}: {each.row.what} ({each.why})" for each in unfilled]
+def _not_measured(unmeasured: Sequence[UnmeasuredRow]) -> str:
+    lines = [
+        f"- {missing.row.role}, {missing.row.event}: {missing.row.what} ({missing.reason})"
+        for missing in unmeasured
+    ]
     return "## Not measured\n\n" + ("\n".join(lines) or "Nothing is left out.") + "\n"
 
 
-def _over(filled: Sequence[Filled]) -> str:
-    """What is missing, then what is over its budget, worst first."""
-    missing = [each for each in filled if each.how == "missing"]
-    over = [(each.ratio, each) for each in filled if each.ratio is not None and each.ratio > 1.0]
+def _over_budget(computed: Sequence[ComputedRow]) -> str:
+    """Return the section with rows without a mechanism, then rows over their budget, worst first."""
+    missing = [row for row in computed if row.how == "missing"]
+    over = [(row.ratio, row) for row in computed if row.ratio is not None and row.ratio > 1.0]
     over.sort(key=lambda pair: -pair[0])
-    lines = _head("ratio", "role", "event", "what", "budget", "figure", "whose budget")
-    for own in missing:
-        lines.append(_line(["missing", *_who(own), _budget(own), "", _source(own)]))
-    for ratio, own in over:
-        shown = f"{number(own.value or 0.0)} {own.unit}"
-        lines.append(_line([number(ratio), *_who(own), _budget(own), shown, _source(own)]))
+    lines = _table_head("ratio", "role", "event", "what", "budget", "figure", "whose budget")
+    for row in missing:
+        lines.append(_table_line(["missing", *_identity_cells(row), _budget(row), "", _source(row)]))
+    for ratio, row in over:
+        shown = f"{format_number(row.value or 0.0)} {row.unit}"
+        lines.append(
+            _table_line([format_number(ratio), *_identity_cells(row), _budget(row), shown, _source(row)])
+        )
     body = "\n".join(lines) if missing or over else "Nothing."
     return f"## Over budget, worst first\n\n{body}\n"
 
 
-def _who(each: Filled) -> list[str]:
-    return [each.row.role, each.row.event, each.row.what]
+def _identity_cells(computed: ComputedRow) -> list[str]:
+    return [computed.row.role, computed.row.event, computed.row.what]
 
 
-def _source(each: Filled) -> str:
-    return each.budget.source if each.budget else ""
+def _source(computed: ComputedRow) -> str:
+    return computed.budget.source if computed.budget else ""
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The page of costs: known slopes are found, rows stand on valid runs alone, the page is as committed."""
+"""Capacity page: fitted curves, figures of feeds from valid runs, rows, and the committed page."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 import pytest
 
 from testbed.capacity.__main__ import PAGE
-from testbed.capacity.feeds import Feed, NotMeasuredError, figure
+from testbed.capacity.feeds import Feed, NotMeasuredError, compute_figure
 from testbed.capacity.fit import LAWS, FitError, fit
-from testbed.capacity.page import number, pictures, render
+from testbed.capacity.page import format_number, render, render_plots
 from testbed.capacity.rows import (
     TABLE,
     Budget,
     Row,
     Table,
     TableError,
-    evaluated,
-    fill,
+    compute_rows,
+    evaluate,
     names_in,
     read_table,
 )
@@ -31,63 +31,63 @@
 
 
 def run(values: dict[float, float], *, valid: bool = True, name: str = "r", engine: str = "virtual") -> Run:
-    """One run of one measure; a value at each size."""
+    """Return a run of one measure with a value at each size."""
     samples = [Sample("member.cost", size, value, "B/s", engine=engine) for size, value in values.items()]
     return Run(name, f"make {name}", "0000000", "2026-01-01T00:00Z", "1 cores", samples, valid)
 
 
 def table(figure: str = "cost", missing: str = "", before: str = "") -> Table:
-    own = {"figure": figure, "budget": "cost", "missing": missing, "before": before}
-    row = Row("member", "peace", "its cost", "time", "sidecar/cluster_membership.py", **own)
+    fields = {"figure": figure, "budget": "cost", "missing": missing, "before": before}
+    row = Row("member", "peace", "its cost", "time", "sidecar/cluster_membership.py", **fields)
     budget = {"cost": Budget(100.0, "B/s", "somebody")}
     return Table({"sidecars": 750.0, "calls_per_s": 7_500.0}, budget, {"cost": COST}, [row], [])
 
 
-def whole(given: Table) -> Table:
-    """With all that the page's opening names."""
+def with_page_values(given: Table) -> Table:
+    """Add the given values that the opening of the page needs."""
     return Table(read_table().given | given.given, given.budget, given.feed, given.row, given.absent)
 
 
-def grown(law: str, base: float, slope: float) -> dict[float, float]:
+def values_by_law(law: str, base: float, slope: float) -> dict[float, float]:
     return {size: base + slope * LAWS[law](size) for size in SIZES}
 
 
-# Slopes
+# Fitted curves
 
 
-@pytest.mark.parametrize("law", [each for each in LAWS if each != "flat"])
+@pytest.mark.parametrize("law", [law for law in LAWS if law != "flat"])
 @pytest.mark.parametrize("seed", range(5))
-def test_a_known_slope_is_found_under_noise(law: str, seed: int) -> None:
+def test_fit_finds_a_known_law_under_noise(law: str, seed: int) -> None:
     rng = random.Random(seed)
     slope = 60.0 / LAWS[law](SIZES[-1])
     points = [(size, 20.0 + slope * LAWS[law](size) + rng.gauss(0, 0.2)) for size in SIZES for _ in range(3)]
-    found = fit(points)
-    assert found.law == law
-    assert found.base == pytest.approx(20.0, abs=1.0)
-    assert found.slope == pytest.approx(slope, rel=0.05)
-    assert found.at(1_500) == pytest.approx(20.0 + slope * LAWS[law](1_500), rel=0.05)
-    assert found.residual < 0.5
-    assert found.stretch(1_500) == 2.0
-    assert found.stretch(100) == 1.0
+    fitted = fit(points)
+    assert fitted.law == law
+    assert fitted.base == pytest.approx(20.0, abs=1.0)
+    assert fitted.slope == pytest.approx(slope, rel=0.05)
+    assert fitted.at(1_500) == pytest.approx(20.0 + slope * LAWS[law](1_500), rel=0.05)
+    assert fitted.residual < 0.5
+    assert fitted.extrapolation(1_500) == 2.0
+    assert fitted.extrapolation(100) == 1.0
 
 
-def test_a_residual_of_rounding_errors_is_zero() -> None:
+def test_fit_residual_of_rounding_errors_is_zero() -> None:
     assert fit([(size, 41.0 + 146.0 * size) for size in SIZES]).residual == 0.0
 
 
-def test_what_does_not_grow_is_flat() -> None:
-    found = fit([(size, 25.0) for size in SIZES])
-    assert (found.law, found.slope, found.widest) == ("flat", 0.0, 0.0)
-    assert found.at(10_000) == pytest.approx(25.0)
+def test_fit_of_constant_values_is_flat() -> None:
+    fitted = fit([(size, 25.0) for size in SIZES])
+    assert (fitted.law, fitted.slope, fitted.max_range) == ("flat", 0.0, 0.0)
+    assert fitted.at(10_000) == pytest.approx(25.0)
 
 
-def test_the_spread_is_told() -> None:
-    found = fit([(size, value) for size in SIZES for value in (10.0, 14.0)])
-    assert found.widest == 4.0
-    assert found.residual == pytest.approx(2.0, rel=0.1)
+def test_fit_reports_range_and_residual() -> None:
+    fitted = fit([(size, value) for size in SIZES for value in (10.0, 14.0)])
+    assert fitted.max_range == 4.0
+    assert fitted.residual == pytest.approx(2.0, rel=0.1)
 
 
-def test_three_sizes_make_no_slope() -> None:
+def test_fit_rejects_three_sizes() -> None:
     with pytest.raises(FitError, match="3 of 4 sizes"):
         fit([(size, 1.0) for size in SIZES[:3] for _ in range(5)])
 
@@ -95,10 +95,12 @@
 # Feeds
 
 
-def test_a_figure_at_the_size_itself_is_the_mean_over_seeds() -> None:
+def test_figure_at_a_measured_size_is_the_mean_over_seeds() -> None:
     feed = Feed.read(COST, 750)
-    found = figure(feed, [run(grown("flat", 10.0, 0.0)), run(grown("flat", 20.0, 0.0))])
-    assert (found.value, found.least, found.most, found.seeds, found.is_measured) == (
+    result = compute_figure(
+        feed, [run(values_by_law("flat", 10.0, 0.0)), run(values_by_law("flat", 20.0, 0.0))]
+    )
+    assert (result.value, result.least, result.most, result.seeds, result.is_measured) == (
         15.0,
         10.0,
         20.0,
@@ -108,91 +110,93 @@
 
 
 def test_beyond_the_largest_size_the_slope_is_used() -> None:
-    values = grown("linear", 5.0, 0.1)
+    values = values_by_law("linear", 5.0, 0.1)
     del values[750]
-    found = figure(Feed.read(COST, 750), [run(values)])
-    assert found.value == pytest.approx(80.0)
-    assert not found.is_measured
-    assert found.slope is not None and found.slope.stretch(750) == 1.875
+    result = compute_figure(Feed.read(COST, 750), [run(values)])
+    assert result.value == pytest.approx(80.0)
+    assert not result.is_measured
+    assert result.curve is not None and result.curve.extrapolation(750) == 1.875
 
 
-def test_an_invalid_run_is_not_used() -> None:
+def test_figure_ignores_invalid_runs() -> None:
     feed = Feed.read(COST, 750)
-    good, bad = run(grown("flat", 10.0, 0.0)), run(grown("flat", 99.0, 0.0), valid=False)
-    assert figure(feed, [good, bad]).value == 10.0
+    good, bad = run(values_by_law("flat", 10.0, 0.0)), run(values_by_law("flat", 99.0, 0.0), valid=False)
+    assert compute_figure(feed, [good, bad]).value == 10.0
     with pytest.raises(NotMeasuredError, match="no valid run"):
-        figure(feed, [bad])
+        compute_figure(feed, [bad])
 
 
-def test_of_several_engines_the_first_that_was_run_is_taken() -> None:
+def test_figure_uses_the_first_engine_that_has_samples() -> None:
     feed = Feed.read("member.cost | rest | mean | real/hollow", 750)
-    real = run(grown("flat", 1.0, 0.0), engine="real")
-    hollow = run(grown("flat", 2.0, 0.0), engine="hollow")
-    assert figure(feed, [hollow, real]).value == 1.0
-    assert figure(feed, [hollow]).value == 2.0
+    real = run(values_by_law("flat", 1.0, 0.0), engine="real")
+    hollow = run(values_by_law("flat", 2.0, 0.0), engine="hollow")
+    assert compute_figure(feed, [hollow, real]).value == 1.0
+    assert compute_figure(feed, [hollow]).value == 2.0
 
 
-def test_what_stands_alone_needs_its_very_size() -> None:
+def test_feed_of_a_single_size_needs_a_sample_at_that_size() -> None:
     feed = Feed.read("member.cost | rest | mean | virtual | alone at 30", 750)
-    assert figure(feed, [run({30: 7.0})]).value == 7.0
+    assert compute_figure(feed, [run({30: 7.0})]).value == 7.0
     with pytest.raises(NotMeasuredError, match="not at 30"):
-        figure(feed, [run({50: 7.0})])
+        compute_figure(feed, [run({50: 7.0})])
 
 
 # Rows
 
 
-def test_a_row_without_its_run_is_left_out_and_named() -> None:
-    given = whole(table())
-    filled, unfilled = fill(given, [])
-    assert (filled, [each.row.what for each in unfilled]) == ([], ["its cost"])
+def test_row_without_samples_is_listed_as_not_measured() -> None:
+    given = with_page_values(table())
+    computed, unmeasured = compute_rows(given, [])
+    assert (computed, [row.row.what for row in unmeasured]) == ([], ["its cost"])
     page = render(given, [])
     assert "- member, peace: its cost (member.cost, rest, mean, virtual: no sample of it)" in page
     assert "## Member" not in page
 
 
 @pytest.mark.parametrize(
-    ("runs", "why"),
+    ("runs", "reason"),
     [
-        ([run(grown("flat", 1.0, 0.0), valid=False)], "no valid run"),
+        ([run(values_by_law("flat", 1.0, 0.0), valid=False)], "no valid run"),
         ([run({50: 1.0, 100: 1.0, 750: 1.0})], "3 of 4 sizes"),
     ],
 )
-def test_a_row_whose_run_does_not_do_is_left_out_with_the_reason(runs: list[Run], why: str) -> None:
-    filled, unfilled = fill(table(), runs)
-    assert not filled
-    assert why in unfilled[0].why
+def test_row_without_usable_samples_is_left_out_with_the_reason(runs: list[Run], reason: str) -> None:
+    computed, unmeasured = compute_rows(table(), runs)
+    assert not computed
+    assert reason in unmeasured[0].reason
 
 
-def test_over_its_budget_a_row_stands_at_the_end() -> None:
-    page = render(whole(table()), [run(grown("linear", 0.0, 0.2))])
+def test_row_over_its_budget_is_listed_at_the_end() -> None:
+    page = render(with_page_values(table()), [run(values_by_law("linear", 0.0, 0.2))])
     assert page.rstrip().endswith("| 1.5 | member | peace | its cost | 100 B/s | 150 B/s | somebody |")
     assert "Nothing is left out." in page
 
 
-def test_a_formula_is_worked_out_and_shown() -> None:
-    (filled,), _ = fill(table("cost * calls_per_s / sidecars / 2"), [run(grown("flat", 10.0, 0.0))])
-    assert (filled.value, filled.how, filled.ratio) == (50.0, "worked out", 0.5)
-    page = render(whole(table("cost + sidecars")), [run(grown("flat", 10.0, 0.0))])
+def test_formula_is_computed_and_shown() -> None:
+    (computed,), _ = compute_rows(
+        table("cost * calls_per_s / sidecars / 2"), [run(values_by_law("flat", 10.0, 0.0))]
+    )
+    assert (computed.value, computed.how, computed.ratio) == (50.0, "worked out", 0.5)
+    page = render(with_page_values(table("cost + sidecars")), [run(values_by_law("flat", 10.0, 0.0))])
     assert "= `cost + sidecars`" in page
 
 
 def test_one_measured_figure_in_another_unit_stays_measured() -> None:
-    runs = [run(grown("flat", 10.0, 0.0)), run(grown("flat", 20.0, 0.0))]
-    (filled,), _ = fill(table("cost / 10"), runs)
-    assert (filled.value, filled.how, filled.ends) == (1.5, "measured", (1.0, 2.0))
-    assert "| 1.5 B/s (1 to 2 in 2 runs) |" in render(whole(table("cost / 10")), runs)
-    assert "| 1 B/s (one run) |" in render(whole(table("cost / 10")), runs[:1])
-    (filled,), _ = fill(table("cost / 10"), [run({50: 1.0, 100: 1.0, 200: 1.0, 400: 1.0})])
-    assert filled.value == pytest.approx(0.1)
-    assert (filled.how, filled.ends) == ("worked out", None)
-
-
-def test_without_a_mechanism_a_row_is_missing_and_stands_first_at_the_end() -> None:
-    given = whole(table("", missing="nobody does it"))
-    runs = [run(grown("flat", 500.0, 0.0))]
-    (filled,), _ = fill(given, runs)
-    assert (filled.how, filled.value, filled.ratio) == ("missing", None, None)
+    runs = [run(values_by_law("flat", 10.0, 0.0)), run(values_by_law("flat", 20.0, 0.0))]
+    (computed,), _ = compute_rows(table("cost / 10"), runs)
+    assert (computed.value, computed.how, computed.value_range) == (1.5, "measured", (1.0, 2.0))
+    assert "| 1.5 B/s (1 to 2 in 2 runs) |" in render(with_page_values(table("cost / 10")), runs)
+    assert "| 1 B/s (one run) |" in render(with_page_values(table("cost / 10")), runs[:1])
+    (computed,), _ = compute_rows(table("cost / 10"), [run({50: 1.0, 100: 1.0, 200: 1.0, 400: 1.0})])
+    assert computed.value == pytest.approx(0.1)
+    assert (computed.how, computed.value_range) == ("worked out", None)
+
+
+def test_row_without_a_mechanism_is_listed_before_rows_over_budget() -> None:
+    given = with_page_values(table("", missing="nobody does it"))
+    runs = [run(values_by_law("flat", 500.0, 0.0))]
+    (computed,), _ = compute_rows(given, runs)
+    assert (computed.how, computed.value, computed.ratio) == ("missing", None, None)
     over = render(msgspec.structs.replace(given, row=[*table().row, *given.row]), runs)
     first, second = over.rstrip().splitlines()[-2:]
     assert first == "| missing | member | peace | its cost | 100 B/s |  | somebody |"
@@ -200,28 +204,28 @@
     assert "nobody does it" in over
 
 
-def test_what_there_was_before_stands_with_the_row() -> None:
-    given = whole(table(before="nobody did it"))
-    assert "before: nobody did it" in render(given, [run(grown("flat", 10.0, 0.0))])
+def test_row_shows_the_state_before_its_mechanism() -> None:
+    given = with_page_values(table(before="nobody did it"))
+    assert "before: nobody did it" in render(given, [run(values_by_law("flat", 10.0, 0.0))])
     assert "(member.cost, rest, mean, virtual: no sample of it)" in render(given, [])
 
 
-def test_a_budget_may_be_a_least() -> None:
+def test_budget_may_be_a_minimum() -> None:
     given = table()
     given.budget["cost"] = Budget(100.0, "B/s", "somebody", is_least=True)
-    (filled,), _ = fill(given, [run(grown("flat", 50.0, 0.0))])
-    assert filled.ratio == 2.0
-    (filled,), _ = fill(given, [run(grown("flat", 0.0, 0.0))])
-    assert filled.ratio == float("inf")
+    (computed,), _ = compute_rows(given, [run(values_by_law("flat", 50.0, 0.0))])
+    assert computed.ratio == 2.0
+    (computed,), _ = compute_rows(given, [run(values_by_law("flat", 0.0, 0.0))])
+    assert computed.ratio == float("inf")
 
 
 @pytest.mark.parametrize("text", ["__import__('os')", "cost ** 2", "cost.real", "max(cost)", "other + 1"])
-def test_an_expression_is_arithmetic_alone(text: str) -> None:
+def test_expression_allows_arithmetic_only(text: str) -> None:
     with pytest.raises(TableError):
-        evaluated(text, {"cost": 1.0})
+        evaluate(text, {"cost": 1.0})
 
 
-def test_an_expression_of_what_is_not_declared_is_refused(tmp_path: Path) -> None:
+def test_row_with_an_undeclared_name_or_without_a_figure_is_rejected(tmp_path: Path) -> None:
     text = TABLE.read_text().replace('figure = "added_median"', 'figure = "added_nothing"')
     path = tmp_path / "rows.toml"
     path.write_text(text)
@@ -245,17 +249,17 @@
         (999.9, "1,000"),
     ],
 )
-def test_figures_have_three_digits(value: float, text: str) -> None:
-    assert number(value) == text
+def test_numbers_have_three_significant_digits(value: float, text: str) -> None:
+    assert format_number(value) == text
 
 
-# What is committed
+# Committed table and page
 
 
-def test_the_committed_table_names_files_that_are_there_and_every_role() -> None:
+def test_committed_table_names_existing_files_and_all_roles() -> None:
     given = read_table()
-    assert not [each.file for each in given.row if not (ROOT / each.file).is_file()]
-    assert {each.role for each in given.row} == {
+    assert not [row.file for row in given.row if not (ROOT / row.file).is_file()]
+    assert {row.role for row in given.row} == {
         "sidecar: data path",
         "sidecar: member",
         "sidecar: list and configuration",
@@ -264,17 +268,17 @@
         "admin interface and metrics",
         "the 7 machines",
     }
-    needed = {name for each in given.row for name in names_in(each.figure) | _placed(each.note)}
+    needed = {name for row in given.row for name in names_in(row.figure) | _placeholders(row.note)}
     assert set(given.feed) - needed == set()
     assert needed <= set(given.feed) | set(given.given)
 
 
-def _placed(note: str) -> set[str]:
+def _placeholders(note: str) -> set[str]:
     return set(re.findall(r"\{(\w+)\}", note))
 
 
-def test_the_committed_page_is_what_the_committed_runs_give() -> None:
+def test_committed_page_matches_the_committed_runs() -> None:
     given, runs = read_table(), load_all()
     assert render(given, runs) == PAGE.read_text(), "make capacity"
-    drawn = pictures(fill(given, runs)[0])
-    assert set(drawn) == {each.name for each in FOLDER.glob("*.svg")}, "make capacity"
+    svg_by_name = render_plots(compute_rows(given, runs)[0])
+    assert set(svg_by_name) == {path.name for path in FOLDER.glob("*.svg")}, "make capacity"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The console script: exit codes, JSON, and no traceback for what a user can mend."""
+"""The console script: exit codes, JSON output, and errors of the user without a traceback."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
     )
 
 
-def test_a_modelled_day_is_told_as_json_and_judged_again_from_its_log(tmp_path: Path) -> None:
+def test_simulated_run_and_check_of_its_log_print_the_same_json(tmp_path: Path) -> None:
     path = tmp_path / "deep" / "log.jsonl"
     first = ran("model", "calm", "--seed", "2", "--out", path, "--json")
     assert first.returncode == 0, first.stderr
-    told = json.loads(first.stdout)
-    assert told["verdict"] == "kept" and told["engine"] == "model" and told["served"] > 0.9
-    again = ran("judge", path, "--json")
-    assert again.returncode == 0 and json.loads(again.stdout) == told
+    result = json.loads(first.stdout)
+    assert result["verdict"] == "kept" and result["engine"] == "model" and result["served"] > 0.9
+    checked = ran("judge", path, "--json")
+    assert checked.returncode == 0 and json.loads(checked.stdout) == result
 
 
-def test_a_broken_day_exits_by_1_and_one_that_was_cut_off_by_3(tmp_path: Path) -> None:
+def test_violated_invariant_exits_with_1_and_incomplete_log_with_3(tmp_path: Path) -> None:
     path = tmp_path / "log.jsonl"
     ran("model", "three-copies", "--out", path)
     lines = path.read_text().splitlines(keepends=True)
@@ -51,22 +51,22 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "told"),
+    ("arguments", "message"),
     [
         (["model", "nowhere"], "no such file, and no shipped world"),
         (["model", "calm", "--policy", "luck"], "luck: no such policy: choose from module"),
         (["judge", "/nowhere/at/all"], "No such file"),
         (["run", "calm", "--root", "/nowhere"], "no deploy/balancer.toml"),
     ],
-    ids=lambda each: each[0] if isinstance(each, list) else "",
+    ids=lambda value: value[0] if isinstance(value, list) else "",
 )
-def test_what_a_user_can_mend_is_one_line_and_exit_code_2(arguments: list[str], told: str) -> None:
+def test_error_of_the_user_is_one_line_with_exit_code_2(arguments: list[str], message: str) -> None:
     done = ran(*arguments)
-    assert done.returncode == 2 and told in done.stderr
+    assert done.returncode == 2 and message in done.stderr
     assert "Traceback" not in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_a_faulty_world_is_told_fault_by_fault(tmp_path: Path) -> None:
+def test_invalid_scenario_prints_all_errors(tmp_path: Path) -> None:
     path = tmp_path / "wrong.toml"
     path.write_text(SMALL.replace("share = 3", "share = -3").replace("count = 4", "count = 0"))
     done = ran("model", path)
@@ -77,7 +77,7 @@
     ]
 
 
-def test_an_interrupted_run_leaves_a_log_and_nothing_else(tmp_path: Path) -> None:
+def test_interrupted_run_leaves_a_log_and_no_processes(tmp_path: Path) -> None:
     world, out = tmp_path / "long.toml", tmp_path / "day"
     world.write_text(read_small().replace("seconds = 1", "seconds = 300"))
     command = [*COMMAND, "run", str(world), "--no-build", "--out", str(out), "--root", str(ROOT)]
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -1,4 +1,4 @@
-"""Measured figures as data: what is written is read again, and nonsense is refused by name."""
+"""Samples of capacity runs: a stored run is read back, and an invalid file is rejected by name."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from testbed.capacity.samples import Sample, SampleError, load, load_all, save
 
 
-def test_what_is_saved_is_read_again(tmp_path: Path) -> None:
+def test_saved_run_is_read_back(tmp_path: Path) -> None:
     samples = [
         Sample("member.sent_bytes", 50, 25.5, "B/s", engine="virtual", seed=1),
         Sample("member.sent_bytes", 750, 31.0, "B/s", case="zone", part="p99", engine="real", seed=2),
@@ -21,15 +21,15 @@
     assert run.samples == samples
     assert (run.name, run.command, run.valid) == ("tier", "make scale", False)
     assert load_all(tmp_path) == [run]
-    assert len(path.read_text().splitlines()) < 20  # a sample a line, so that changes can be read
+    assert len(path.read_text().splitlines()) < 20  # one sample on each line, so that diffs are readable
 
 
-def test_an_empty_run_is_read_again(tmp_path: Path) -> None:
+def test_run_without_samples_is_read_back(tmp_path: Path) -> None:
     assert load(save("none", "true", [], folder=tmp_path)).samples == []
 
 
 @pytest.mark.parametrize("text", ["", "{}", '{"name": 3}', "[1]"])
-def test_a_file_that_is_no_run_is_refused_by_its_name(tmp_path: Path, text: str) -> None:
+def test_invalid_file_is_rejected_with_its_name(tmp_path: Path, text: str) -> None:
     (tmp_path / "odd.json").write_text(text)
     with pytest.raises(SampleError, match=r"odd\.json"):
         load_all(tmp_path)
