--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -140,7 +140,7 @@
     monkeypatch.setattr(sys, "argv", ["sidecar-testbed", "scale", "-n", "20000", "--workers", "180"])
     with pytest.raises(SystemExit) as exited:
         cli.main()
-    assert exited.value.code == cli.USER_ERROR
+    assert exited.value.code == cli.EXIT_USER_ERROR
     assert "MB are allowed" in capsys.readouterr().err
 
 
